--- a/packages/basilpaddle/src/node/coordination/placement.ts
+++ b/packages/basilpaddle/src/node/coordination/placement.ts
@@ -1,25 +1,26 @@
 import type { Decision, Demand, Holding, LoadReport, Progress } from "../protocol/index.js";
 
-/** Finds engines for attempts. Behind it stands the pool's scheduler, here or on another daemon, or a choice made alone. */
+/** Reserves engines for attempts, through the pool's scheduler on this or another daemon, or by a local decision. */
 export abstract class Placement {
     /**
-     * Reserves engines, or refuses. May wait in the scheduler's queue. When the signal aborts, the demand is
-     * withdrawn and whatever was reserved for it is freed; the promise then gives a refusal with `callerGone`.
+     * Reserves engines, or refuses. May wait in the scheduler's queue. When the signal aborts, the request is withdrawn
+     * and whatever was reserved for it is released; the promise then resolves to a refusal with code `callerGone`.
      */
     abstract reserve(demand: Demand, signal: AbortSignal): Promise<Decision>;
 
     /**
-     * Tells that the decode engine of a holding has proved that it has no free slot, and asks for another one. Gives its
-     * identifier, or nothing where none has a free slot now: the attempt keeps what it has, and may ask again.
+     * Reports that the decode engine of a holding rejected the attempt for want of a free slot, and requests another one.
+     * Resolves to the new engine's identifier, or to undefined if none has a free slot now: the attempt then keeps its
+     * engines and may ask again.
      */
     abstract move(holding: Holding): Promise<string | undefined>;
 
-    /** Tells how an attempt gets on. `finished`, `cancelled` and `failed` free what it held. */
+    /** Reports the progress of an attempt. `finished`, `cancelled` and `failed` release what it held. */
     abstract progress(pool: string, progress: Progress): void;
 
-    /** Passes on a load report that an engine gave to this daemon. */
+    /** Forwards a load report that this daemon received from an engine. */
     abstract load(pool: string, report: LoadReport): void;
 
-    /** Stops; an attempt in progress keeps its engines. */
+    /** Stops placement; attempts in progress keep their engines. */
     abstract close(): Promise<void>;
 }
