--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/fakes.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/fakes.ts
@@ -20,7 +20,7 @@
     confirmed = true;
     private readonly listeners = new Set<(view: View) => void>();
 
-    constructor(private readonly own: Incarnation, private current: View) {
+    constructor(private readonly own: Incarnation, private currentView: View) {
         super();
     }
 
@@ -29,7 +29,7 @@
     }
 
     override view(): View {
-        return this.current;
+        return this.currentView;
     }
 
     override mayStart(): boolean {
@@ -42,30 +42,30 @@
     }
 
     override async propose(): Promise<never> {
-        throw new Error("nothing is proposed here");
+        throw new Error("propose is not supported in this test");
     }
 
     override noteRenewal(): void {}
 
     override async close(): Promise<void> {}
 
-    show(view: View): void {
-        this.current = view;
+    publish(view: View): void {
+        this.currentView = view;
         this.listeners.forEach(listener => listener(view));
     }
 }
 
-/** Entry daemons with their placements, joined by links that can be cut. */
+/** Entry daemons with their placements, connected by links that can be partitioned. */
 export class TestDaemons {
     readonly clock = new ManualClock(1_000);
     readonly placements = new Map<string, ScheduledPlacement>();
     readonly controls = new Map<string, TestControl>();
-    /** Daemons that no link reaches; a question to them waits for its timeout. */
-    readonly cut = new Set<string>();
+    /** Daemons that no link reaches; a request to them times out. */
+    readonly partitioned = new Set<string>();
     readonly connections = new Map<string, AbortController>();
-    readonly cancelled: string[] = [];
-    /** What engines list when a new scheduler asks, by address. */
-    readonly active = new Map<string, LoadReport>();
+    readonly cancelledAttempts: string[] = [];
+    /** Load reports that engines return when queried, by address. */
+    readonly loadReports = new Map<string, LoadReport>();
 
     constructor(names: readonly string[], private view: View) {
         names.forEach((name, position) => this.start(name, position + 1));
@@ -75,25 +75,24 @@
         return this.placements.get(name)!;
     }
 
-    /** Changes the view of every daemon that isn't cut off. */
+    /** Changes the view of every daemon that isn't partitioned. */
     change(change: (view: View) => View): void {
         this.view = { ...change(this.view), index: this.view.index + 1 };
         for (const [name, control] of this.controls) {
-            if (!this.cut.has(name)) {
-                control.show(this.view);
+            if (!this.partitioned.has(name)) {
+                control.publish(this.view);
             }
         }
     }
 
-    grant(pool: string, daemon: string): void {
+    grantLease(pool: string, daemon: string): void {
         const leases = { [schedulerLease(pool)]: { holder: incarnation(daemon), fence: this.view.index + 1 } };
         this.change(view => ({ ...view, leases }));
     }
 
-    /** The process of a daemon ends, and its connections break. */
+    /** Ends a daemon's process: its connections break, and no later message of it is delivered. */
     kill(name: string): void {
-        // A killed process says nothing more.
-        this.cut.add(name);
+        this.partitioned.add(name);
         void this.placements.get(name)?.close();
         this.placements.delete(name);
         this.connections.get(name)?.abort();
@@ -132,13 +131,13 @@
     private engine(url: string): Engine {
         return {
             load: async () => {
-                const report = this.active.get(url);
+                const report = this.loadReports.get(url);
                 return report === undefined
                     ? Left({ kind: "unknown", code: undefined, message: "silent" })
                     : Right(report);
             },
             cancel: async (attempt: string) => {
-                this.cancelled.push(attempt);
+                this.cancelledAttempts.push(attempt);
                 return Right({ released: true });
             },
             close: async () => {},
@@ -167,9 +166,9 @@
                 timeout,
                 () => resolve(Left({ kind: "timeout", message: "silent" })),
             );
-            const answered = this.pass(body);
+            const answered = this.deliver(body);
             void answered?.then(answer => {
-                if (!this.isCut()) {
+                if (!this.isPartitioned()) {
                     cancel();
                     resolve(Right(answer));
                 }
@@ -178,25 +177,25 @@
     }
 
     override send(body: unknown): void {
-        void this.pass(body);
+        void this.deliver(body);
     }
 
     override close(): void {}
 
-    private isCut(): boolean {
-        return this.daemons.cut.has(this.from) || this.daemons.cut.has(this.to);
+    private isPartitioned(): boolean {
+        return this.daemons.partitioned.has(this.from) || this.daemons.partitioned.has(this.to);
     }
 
-    private pass(body: unknown): Promise<PeerAnswer | undefined> | undefined {
+    private deliver(body: unknown): Promise<PeerAnswer | undefined> | undefined {
         const target = this.daemons.placements.get(this.to);
-        if (target === undefined || this.isCut()) {
+        if (target === undefined || this.isPartitioned()) {
             return undefined;
         }
         return target.handlePeer(body as PeerRequest, { gone: this.daemons.connections.get(this.from)!.signal });
     }
 }
 
-/** One start of a daemon. */
+/** The incarnation `i1` of a daemon. */
 export function incarnation(daemon: string): Incarnation {
     return { daemon, incarnation: "i1" };
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/choosingAlone.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/localScheduler.spec.ts
@@ -2,11 +2,11 @@
 import { demand, engine } from "../../../../../../../simulation/scheduling/samples.js";
 import type { Demand } from "../../../protocol/index.js";
 import { SeededRandomness } from "../../../utils/index.js";
-import { ChoosingAlone } from "../choosingAlone.js";
+import { ChoosingAlone } from "../localScheduler.js";
 import type { EngineEntry } from "../scheduler.js";
 
-describe("choosing alone", () => {
-    function create(engines: readonly EngineEntry[]): ChoosingAlone {
+describe("LocalScheduler", () => {
+    function createScheduler(engines: readonly EngineEntry[]): ChoosingAlone {
         const alone = ChoosingAlone.create({ randomness: SeededRandomness.create(7), divided: true });
         alone.step({ kind: "engines", engines }, 0);
         return alone;
@@ -20,9 +20,9 @@
         return decision.kind === "assigned" ? decision.decode : decision.refusal.code;
     }
 
-    // Guards against this: an engine that is leaving gets a request.
-    it("gives nothing to an engine that is leaving, gone, avoided or without the model", () => {
-        const alone = create([
+    // Guards against requests being assigned to an engine that is leaving.
+    it("assigns nothing to an engine that is leaving, gone, avoided or doesn't serve the model", () => {
+        const alone = createScheduler([
             engine("p1", "prefill"),
             engine("p2", "prefill"),
             { ...engine("d1", "decode"), state: "leaving" },
@@ -36,9 +36,13 @@
         expect(ask(alone, demand("b", { model: "other" }))).to.equal("noBackend");
     });
 
-    // Guards against this: decode engines refuse a seventh of the imports while daemons choose alone.
-    it("takes no more of the slots than its part among the open sessions", () => {
-        const alone = create([engine("p1", "prefill"), engine("p2", "prefill"), engine("d1", "decode", { slots: 8 })]);
+    // Without the share, decode engines refused a seventh of the imports while daemons placed requests locally.
+    it("uses no more of the slots than its share among the open sessions", () => {
+        const alone = createScheduler([
+            engine("p1", "prefill"),
+            engine("p2", "prefill"),
+            engine("d1", "decode", { slots: 8 }),
+        ]);
         alone.step({ kind: "sessions", open: [1, 2, 3, 4].map(n => ({ daemon: `e${n}`, incarnation: "i" })) }, 0);
         expect(["a", "b", "c", "d", "e"].map(name => ask(alone, demand(name)))).to.deep.equal([
             "d1",
@@ -53,9 +57,13 @@
         expect(alone.standing().held.get("d1")).to.equal(2);
     });
 
-    // Guards against this: nearly every first token is late for seconds after the scheduler was cut off.
-    it("takes no more of the prefill engines' time than its part, and one prompt at least", () => {
-        const alone = create([engine("p1", "prefill"), engine("p2", "prefill"), engine("d1", "decode", { slots: 40 })]);
+    // Without the limit, nearly every first token was late for seconds after the scheduler became unreachable.
+    it("uses no more of the prefill engines' time than its share, but at least one prompt", () => {
+        const alone = createScheduler([
+            engine("p1", "prefill"),
+            engine("p2", "prefill"),
+            engine("d1", "decode", { slots: 40 }),
+        ]);
         alone.step({ kind: "sessions", open: [1, 2, 3, 4].map(n => ({ daemon: `e${n}`, incarnation: "i" })) }, 0);
         const long = { promptTokens: 8_000, firstTokenWithin: 4_000 };
         expect(["a", "b", "c"].map(name => ask(alone, demand(name, long)))).to.deep.equal(["d1", "waits", "waits"]);
@@ -64,15 +72,15 @@
             return alone.step({ kind: "progress", progress }, 2).map(decision => decision.attempt);
         };
         expect(["a", "b", "c"].map(prefilled)).to.deep.equal([["b"], ["c"], []]);
-        // Two engines, 0.35 of 4 s, four daemons: 700 ms for this one. 500 and 150 fit, another 150 don't.
+        // Two engines, 0.35 of 4 s, four daemons: a share of 700 ms. Prompts of 500 and 150 ms fit; another 150 ms doesn't.
         const short = [5_000, 1_500, 1_500].map((promptTokens, index) =>
             demand(`s${index}`, { ...long, promptTokens })
         );
         expect(short.map(wanted => ask(alone, wanted))).to.deep.equal(["d1", "d1", "waits"]);
     });
 
-    it("refuses what has waited for half of its target, and holds nothing for who has gone", () => {
-        const alone = create([engine("p1", "prefill"), engine("d1", "decode", { slots: 3 })]);
+    it("refuses requests that waited for half of their target, and drops withdrawn ones", () => {
+        const alone = createScheduler([engine("p1", "prefill"), engine("d1", "decode", { slots: 3 })]);
         expect(["a", "b", "c", "d", "e"].map(name => ask(alone, demand(name)))).to.deep.equal([
             "d1",
             "d1",
@@ -87,14 +95,15 @@
         expect(alone.standing().waiting).to.equal(0);
     });
 
-    // Guards against a letter that fails for good since several daemons took the last slots that each saw free.
-    it("gives a demand that can't be tried again only slots that the other daemons can't take all, by fresh reports", () => {
+    // Guards against the final failure of a request that can't be retried, after several daemons assigned the same
+    // last free slots.
+    it("places a request that can't be retried only by fresh reports, and only if the other daemons can't take all free slots", () => {
         const open = ["a", "b", "c"].map(daemon => ({ daemon, incarnation: "i1" }));
         const outcomes = ([["x"], ["x", "y"], undefined] as const).map((active, index) => {
-            const alone = create([engine("p1", "prefill"), engine("d1", "decode", { slots: 4 })]);
+            const alone = createScheduler([engine("p1", "prefill"), engine("d1", "decode", { slots: 4 })]);
             alone.step({ kind: "sessions", open }, 0);
             const report = { id: "d1", incarnation: 1, sequence: 1, active: [...active ?? []], queuedTokens: 0 };
-            // What an engine told a second ago tells nothing of the slots that are left.
+            // A report that is a second old doesn't show which slots are free now.
             alone.step({ kind: "load", report }, active === undefined ? -1_000 : 0);
             return [ask(alone, demand(`a${index}`, { once: true })), ask(alone, demand(`b${index}`))];
         });
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
@@ -5,9 +5,9 @@
 import { demand, engine } from "../../../../../../../simulation/scheduling/samples.js";
 import type { Holding } from "../../../protocol/index.js";
 
-describe("the scheduler of a pool", () => {
-    // Guards against this: prefills are evicted before a decode slot is free.
-    it("starts no prefill whose result would find no slot, and starts it once one is free", () => {
+describe("PoolScheduler", () => {
+    // Guards against prefill results being evicted before a decode slot is free.
+    it("starts a prefill only once a decode slot is free for its result", () => {
         const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
         bench.ask(demand("a", { expectedTokens: 100, firstTokenWithin: 30_000 }));
         bench.stages("a", "prefilled", "transferred", "firstToken");
@@ -20,8 +20,8 @@
         expect(bench.outcome("b")).to.equal("p1>d1");
     });
 
-    // Guards against this: queued demands never reach an engine that has just been announced.
-    it("gives queued demands to an engine in the same step in which the view gains it", () => {
+    // Guards against queued requests never reaching an engine that was just announced.
+    it("assigns queued requests to an engine in the step that adds it to the view", () => {
         const prefills = ["p1", "p2", "p3"].map(id => engine(id, "prefill"));
         const before = [...prefills, engine("d1", "decode", { slots: 1 })];
         const bench = new Bench(before);
@@ -35,7 +35,7 @@
         expect(decodes).to.deep.equal(["d2", "d2", "d2"]);
     });
 
-    it("refuses at once, with a time to come back, what can't make its target", () => {
+    it("refuses requests that can't meet their target immediately, with a retry delay", () => {
         const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 20 })]);
         for (let count = 0; count < 20; count++) {
             bench.ask(demand(`a${count}`, { promptTokens: 5_000, firstTokenWithin: 1_500 }));
@@ -46,7 +46,7 @@
         expect(decision?.kind === "refused" ? decision.refusal.retryAfter : 0).to.be.greaterThan(100);
     });
 
-    it("serves late rather than refusing where wasted prefill weighs more, and a prompt too long for any target", () => {
+    it("serves late instead of refusing if the weighting favours prefill, or if the prompt is too long for its target on an idle pool", () => {
         const late = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 20 })], "prefill");
         for (let count = 0; count < 20; count++) {
             late.ask(demand(`a${count}`, { promptTokens: 5_000, firstTokenWithin: 1_500 }));
@@ -57,8 +57,8 @@
         expect(long.outcome("long")).to.equal("p1>d1");
     });
 
-    // Guards against this: an organisation waits behind the whole burst of another.
-    it("lets an organisation within its share go before another's burst", () => {
+    // Guards against an organisation waiting behind the whole burst of another.
+    it("serves an organisation within its share before another's burst", () => {
         const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 2 })], "prefill");
         for (let count = 0; count < 40; count++) {
             bench.ask(demand(`burst${count}`, { organisation: "loud", firstTokenWithin: 20_000 }));
@@ -72,8 +72,8 @@
         expect(bench.outcome("burst20")).to.equal("waits");
     });
 
-    // Guards against this: an organisation that used an idle pool waits behind all others for minutes.
-    it("doesn't hold against an organisation what was served already", () => {
+    // Guards against an organisation that used an idle pool waiting behind all others for minutes.
+    it("doesn't count requests already served against an organisation", () => {
         const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
         const short = { expectedTokens: 10, firstTokenWithin: 30_000 };
         bench.ask(demand("tail", { ...short, organisation: "tail", firstTokenWithin: 300_000, priority: 200 }));
@@ -92,8 +92,8 @@
         expect([bench.outcome("l6"), bench.outcome("quiet")]).to.deep.equal(["p1>d1", "waits"]);
     });
 
-    // Guards against this: a caller is refused after it has waited for its whole target.
-    it("refuses what has got out of reach while it waited, long before its target", () => {
+    // Guards against refusing a caller only after it has waited for its whole target.
+    it("refuses a queued request that can't meet its target any more, long before the target time", () => {
         const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
         bench.ask(demand("a"));
         bench.stages("a", "prefilled", "transferred", "firstToken");
@@ -104,7 +104,7 @@
         expect(bench.outcome("b")).to.equal("targetsOutOfReach");
     });
 
-    it("uses only engines that have told their load until everybody was asked what is held", () => {
+    it("uses only decode engines that have reported their load until it is warm", () => {
         const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })], "goodput", false);
         bench.ask(demand("a"));
         expect(bench.outcome("a")).to.equal("waits");
@@ -115,7 +115,7 @@
         expect(bench.outcome("a")).to.equal("p1>d1");
     });
 
-    it("sends a prompt to the engine that holds its prefix, and trusts it less after a gap", () => {
+    it("sends a prompt to the engine that has cached its prefix, and expects less reuse after a gap in cache events", () => {
         const bench = new Bench([
             engine("p1", "prefill"),
             engine("p2", "prefill"),
@@ -133,7 +133,7 @@
         expect(bench.decisions.get("b")).to.include({ prefill: "p2", expectedReuse: 384 });
     });
 
-    it("gives nothing to engines that are leaving, avoided, of another version, or failed a moment ago", () => {
+    it("assigns nothing to engines that are leaving, avoided, of another version, or in cooldown after a failure", () => {
         const leaving = { ...engine("d1", "decode", { slots: 9 }), state: "leaving" as const };
         const bench = new Bench([
             engine("p1", "prefill"),
@@ -150,7 +150,7 @@
         expect(bench.outcome("c")).to.equal("noBackend");
     });
 
-    it("frees a slot whose end got lost on the way, once the engine has stopped listing it", () => {
+    it("frees a slot once the engine stops listing the attempt, if the message of its end was lost", () => {
         const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
         bench.ask(demand("a"));
         bench.stages("a", "prefilled", "transferred");
@@ -160,8 +160,8 @@
         expect(bench.scheduler.standing().held.get("d1")).to.equal(0);
     });
 
-    // Guards against this: a pool that gets slower by the day.
-    it("never holds more than the slots, and holds nothing after all ended", () => {
+    // Guards against leaked slots, which make a pool slower from day to day.
+    it("never holds more than the slots, and holds nothing once all attempts have ended", () => {
         fc.assert(schedulingRuns(), { seed: 20_261_202, numRuns: 200 });
     });
 
@@ -173,8 +173,8 @@
         bench.step({ kind: "load", report: { id: "d1", incarnation: 1, sequence, active, queuedTokens: 0 } });
     }
 
-    // Guards against a finished prefill that is thrown away while another engine has room, or while slots come free.
-    it("gives the next free slot to an attempt whose engine proved to be full, before what is queued", () => {
+    // Guards against discarding a finished prefill while another engine has a free slot, or while slots become free.
+    it("assigns the next free slot to an attempt whose engine was full, before queued requests", () => {
         const bench = new Bench([
             engine("p1", "prefill", { slots: 9 }),
             engine("d1", "decode", { slots: 1 }),
@@ -192,7 +192,7 @@
         expect(bench.scheduler.move(holdingOf(moving, "d1"), bench.now)).to.equal("d2");
         expect([...bench.scheduler.standing().held]).to.deep.include.members([["d1", 0], ["d2", 1]]);
         expect(bench.scheduler.move(holdingOf(moving, "d1"), bench.now), "asked again").to.equal("d2");
-        // The engine that proved to be full counts as full until its reports can tell otherwise.
+        // The engine that rejected the attempt counts as full until three later reports have shown otherwise.
         bench.pass(100);
         expect(bench.outcome("queued")).to.equal("waits");
         [1, 2, 3].forEach(sequence => report(bench, sequence, []));
@@ -200,8 +200,8 @@
         expect(bench.outcome("queued")).to.equal("p1>d1");
     });
 
-    // Guards against a queue that is held up for an attempt that has gone.
-    it("keeps no slot for an attempt that doesn't ask again", () => {
+    // Guards against a queue blocked by an attempt that has ended.
+    it("reserves no slot for an attempt that doesn't ask again", () => {
         const bench = new Bench([engine("p1", "prefill", { slots: 9 }), engine("d1", "decode", { slots: 1 })]);
         bench.ask(demand("a", { firstTokenWithin: 30_000 }));
         bench.stages("a", "prefilled");
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
@@ -4,7 +4,7 @@
 import type { Decision, Holding } from "../../../protocol/index.js";
 import { incarnation, sampleView, TestDaemons } from "./fakes.js";
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 function demandOf(daemon: string, name: string, more: Parameters<typeof demand>[1] = {}) {
     return demand(`${daemon}/i1/${name}`, { owner: incarnation(daemon), firstTokenWithin: 20_000, ...more });
@@ -14,7 +14,7 @@
     return { demand: demandOf(daemon, name), prefill: "p1", decode: "d1", stage, tokens: 0 };
 }
 
-describe("the placement through a pool's scheduler", () => {
+describe("ScheduledPlacement", () => {
     let daemons: TestDaemons;
     let decisions: Map<string, Decision>;
 
@@ -22,7 +22,7 @@
         const engines = [engine("p1", "prefill", { slots: 8 }), engine("d1", "decode", { slots: 2 })];
         daemons = new TestDaemons(["a", "b", "c"], sampleView(["a", "b", "c"], engines));
         decisions = new Map();
-        daemons.grant("drafts", "a");
+        daemons.grantLease("drafts", "a");
         await daemons.clock.pass(2_000);
     });
 
@@ -31,7 +31,7 @@
     function reserve(
         daemon: string,
         name: string,
-        signal: AbortSignal = never,
+        signal: AbortSignal = neverAborted,
         more: Parameters<typeof demand>[1] = {},
     ): void {
         void daemons.placement(daemon).reserve(demandOf(daemon, name, more), signal).then(decision =>
@@ -59,7 +59,7 @@
         await daemons.clock.pass(10);
     }
 
-    it("asks the holder of the lease, and gives a slot out once", async () => {
+    it("asks the holder of the scheduler lease, and assigns each slot once", async () => {
         await ask("b", "one");
         await ask("c", "two");
         await ask("b", "three");
@@ -69,8 +69,8 @@
         expect(outcome("three")).to.equal(11);
     });
 
-    // Guards against this: queued calls never reach an engine that has just been announced.
-    it("gives what waits, here or from afar, to an engine that the view gains", async () => {
+    // Guards against queued requests never reaching an engine that was just announced.
+    it("assigns queued requests, of this and other daemons, to an engine added to the view", async () => {
         await ask("b", "one");
         await ask("c", "two");
         reserve("a", "three");
@@ -87,13 +87,13 @@
         expect(daemons.placement("a").standing().get("drafts")!.held.get("d2")).to.equal(2);
     });
 
-    // Guards against this: a third request on two slots after the scheduler moved.
-    it("learns from all open sessions what is held before a new scheduler gives out slots", async () => {
+    // Guards against a third request on two slots after the scheduler moved to another daemon.
+    it("recovers the holdings of all open sessions before a new scheduler assigns slots", async () => {
         await ask("b", "one");
         await ask("c", "two");
         daemons.kill("a");
         daemons.closeSession("a");
-        daemons.grant("drafts", "c");
+        daemons.grantLease("drafts", "c");
         await daemons.clock.pass(100);
         await ask("b", "three");
         expect(outcome("three")).to.equal("waits");
@@ -102,37 +102,37 @@
         expect(outcome("three")).to.equal(13);
     });
 
-    // Guards against this: demands hang until their deadline.
-    it("chooses alone, within its part, when the scheduler goes silent while demands wait", async () => {
+    // Guards against requests hanging until their deadline.
+    it("places requests locally, within its share, when the scheduler becomes unreachable while they are queued", async () => {
         await ask("b", "one");
         await ask("b", "two");
         await ask("c", "three");
         expect(outcome("three")).to.equal("waits");
-        daemons.cut.add("a");
+        daemons.partitioned.add("a");
         await daemons.clock.pass(500);
         expect(outcome("three")).to.equal(0);
-        daemons.cut.clear();
+        daemons.partitioned.clear();
         await daemons.clock.pass(500);
         expect(daemons.placement("a").standing().get("drafts")!.waiting).to.equal(0);
     });
 
-    // Guards against this: old demands go before new ones that could be on time.
-    it("counts the time at the scheduler when it chooses alone", async () => {
+    // Guards against serving old requests before new ones that could still meet their targets.
+    it("counts the time spent in the scheduler's queue in local placement", async () => {
         await ask("b", "one");
         await ask("c", "two");
         reserve("c", "three");
         reserve("c", "four");
         await daemons.clock.pass(10_000);
         expect([outcome("three"), outcome("four")]).to.deep.equal(["waits", "waits"]);
-        daemons.cut.add("a");
+        daemons.partitioned.add("a");
         await daemons.clock.pass(500);
         expect([outcome("three"), outcome("four")]).to.deep.equal([0, "waits"]);
         await daemons.clock.pass(5_000);
         expect(outcome("four")).to.equal("poolFull");
     });
 
-    // Guards against this: a slot is held for nobody.
-    it("frees what was reserved for a caller who went between the reservation and its use", async () => {
+    // Guards against a slot that stays held after its caller is gone.
+    it("releases the engines of a caller that disconnects between the reservation and its use", async () => {
         const caller = new AbortController();
         reserve("b", "one", caller.signal);
         caller.abort();
@@ -141,23 +141,23 @@
         expect(daemons.placement("a").standing().get("drafts")!.held.get("d1")).to.equal(0);
     });
 
-    // Guards against this: the queue fills with demands of a daemon that has died.
-    it("takes the demands of a broken connection out of the queue, and frees slots with the session", async () => {
+    // Guards against a queue full of requests of a dead daemon.
+    it("removes the requests of a broken connection from the queue, and releases slots when the session closes", async () => {
         await ask("b", "one");
         await ask("b", "two");
         await ask("b", "three");
-        const standing = () => daemons.placement("a").standing().get("drafts")!;
-        expect(standing().waiting).to.equal(1);
+        const poolStatus = () => daemons.placement("a").standing().get("drafts")!;
+        expect(poolStatus().waiting).to.equal(1);
         daemons.kill("b");
         await rest();
-        expect(standing().waiting).to.equal(0);
+        expect(poolStatus().waiting).to.equal(0);
         daemons.closeSession("b");
         await rest();
-        expect(standing().held.get("d1")).to.equal(0);
+        expect(poolStatus().held.get("d1")).to.equal(0);
     });
 
-    // Guards against this: a killed daemon's answer is decoded to its last token.
-    it("cancels at the engines what a dead daemon left, and nothing of a live one", async () => {
+    // Guards against engines decoding the answer of a killed daemon to its last token.
+    it("cancels the attempts of a dead daemon at their engines, and none of a live one", async () => {
         const report = { id: "d1", incarnation: 1, sequence: 5, active: ["b/i1/one", "c/i1/two"], queuedTokens: 0 };
         await ask("b", "one");
         await ask("c", "two");
@@ -166,12 +166,12 @@
         daemons.closeSession("b");
         daemons.closeSession("c");
         await daemons.clock.pass(4_000);
-        expect([...new Set(daemons.cancelled)]).to.deep.equal(["b/i1/one"]);
+        expect([...new Set(daemons.cancelledAttempts)]).to.deep.equal(["b/i1/one"]);
     });
 
-    // Guards against this: a stream is cut in the middle of a shutdown.
-    it("cancels nothing of a daemon that drains after its session, for as long as it is reachable", async () => {
-        const drive = async (seconds: number): Promise<void> => {
+    // Guards against streams being cut during a daemon's shutdown.
+    it("cancels nothing of a daemon that drains after its session closed, as long as it is reachable", async () => {
+        const reportFor = async (seconds: number): Promise<void> => {
             for (const end = daemons.clock.monotonic() + 1_000 * seconds; daemons.clock.monotonic() < end;) {
                 const active = ["c/i1/one"];
                 const sequence = daemons.clock.monotonic();
@@ -183,42 +183,42 @@
         await daemons.clock.pass(200);
         expect(outcome("one")).to.equal(11);
         daemons.closeSession("c");
-        await drive(60);
-        daemons.grant("drafts", "b");
-        daemons.grant("drafts", "a");
-        await drive(60);
-        expect(daemons.cancelled).to.deep.equal([]);
+        await reportFor(60);
+        daemons.grantLease("drafts", "b");
+        daemons.grantLease("drafts", "a");
+        await reportFor(60);
+        expect(daemons.cancelledAttempts).to.deep.equal([]);
         daemons.kill("c");
-        await drive(4);
-        expect([...new Set(daemons.cancelled)]).to.deep.equal(["c/i1/one"]);
+        await reportFor(4);
+        expect([...new Set(daemons.cancelledAttempts)]).to.deep.equal(["c/i1/one"]);
     });
 
-    // Guards against this: live requests are cancelled after a daemon's start.
-    it("waits for a confirmed view before it takes an unknown owner for dead", async () => {
+    // Guards against cancelling live requests after a daemon's start.
+    it("treats an unknown owner as dead only after the view was confirmed", async () => {
         const report = { id: "d1", incarnation: 1, sequence: 5, active: ["new/i1/one"], queuedTokens: 0 };
         daemons.placement("a").load("drafts", report);
         await daemons.clock.pass(2_500);
-        expect(daemons.cancelled).to.deep.equal([]);
+        expect(daemons.cancelledAttempts).to.deep.equal([]);
         await daemons.clock.pass(4_000);
-        expect([...new Set(daemons.cancelled)]).to.deep.equal(["new/i1/one"]);
+        expect([...new Set(daemons.cancelledAttempts)]).to.deep.equal(["new/i1/one"]);
     });
 
-    it("doesn't schedule by a view that isn't confirmed", async () => {
+    it("doesn't schedule while its view isn't confirmed", async () => {
         daemons.controls.get("a")!.confirmed = false;
         await ask("b", "one");
         expect(outcome("one")).to.equal(0);
     });
 
-    for (const alone of [false, true]) {
-        // Guards against a slot that two attempts were given, one of them by a daemon that chose alone.
-        it(`moves what was chosen ${alone ? "alone" : "by the scheduler"} to an engine with room once its own is full`, async () => {
-            if (alone) {
-                daemons.cut.add("a");
+    for (const local of [false, true]) {
+        // Guards against assigning one slot to two attempts, one of them placed locally.
+        it(`moves an attempt placed ${local ? "locally" : "by the scheduler"} to an engine with a free slot once its own is full`, async () => {
+            if (local) {
+                daemons.partitioned.add("a");
             }
             await ask("b", "one");
             await daemons.clock.pass(500);
-            expect(outcome("one")).to.equal(alone ? 0 : 11);
-            daemons.cut.clear();
+            expect(outcome("one")).to.equal(local ? 0 : 11);
+            daemons.partitioned.clear();
             await daemons.clock.pass(500);
             daemons.change(view => ({ ...view, backends: { ...view.backends, d2: engine("d2", "decode") } }));
             const moved = daemons.placement("b").move(holdingOf("b", "one", "prefilled"));
@@ -232,38 +232,39 @@
         });
     }
 
-    // Guards against a finished prefill that is given up since the scheduler is out of reach.
-    it("moves an attempt alone where the scheduler is out of reach", async () => {
+    // Guards against discarding a finished prefill because the scheduler is unreachable.
+    it("moves an attempt locally while the scheduler is unreachable", async () => {
         await ask("b", "one");
         daemons.change(view => ({ ...view, backends: { ...view.backends, d2: engine("d2", "decode") } }));
-        daemons.cut.add("a");
+        daemons.partitioned.add("a");
         const moved = daemons.placement("b").move(holdingOf("b", "one", "prefilled"));
         await daemons.clock.pass(500);
         expect(await moved).to.equal("d2");
     });
 
-    // Guards against a letter that is refused, or placed on a slot that is taken, though the scheduler is back.
-    it("goes back to the scheduler with what waits alone once that answers again", async () => {
-        daemons.cut.add("a");
+    // Guards against refusing a request that can't be retried, or placing it on a used slot, although the scheduler
+    // is reachable again.
+    it("returns requests that wait for local placement to the scheduler once it answers again", async () => {
+        daemons.partitioned.add("a");
         await daemons.clock.pass(500);
-        reserve("b", "letter", never, { once: true });
+        reserve("b", "once", neverAborted, { once: true });
         await daemons.clock.pass(1_000);
-        expect(outcome("letter")).to.equal("waits");
-        daemons.cut.clear();
+        expect(outcome("once")).to.equal("waits");
+        daemons.partitioned.clear();
         await daemons.clock.pass(500);
-        expect(outcome("letter")).to.equal(11);
+        expect(outcome("once")).to.equal(11);
     });
 
-    // Guards against a scheduler that was frozen and hands out what others took meanwhile.
-    it("hands nothing out after a stall before it has taken in what others took", async () => {
-        const taken = ["one", "two"].map(name => {
+    // Guards against a scheduler that was frozen and assigns slots that others took meanwhile.
+    it("assigns nothing after a stall until it has applied the local placements of other daemons", async () => {
+        const localPlacements = ["one", "two"].map(name => {
             return { kind: "taken", pool: "drafts", holding: holdingOf("b", name, "prefilling") } as const;
         });
         daemons.clock.freeze(400);
         reserve("a", "later");
         await rest();
-        for (const word of taken) {
-            await daemons.placement("a").handlePeer(word, { gone: never });
+        for (const request of localPlacements) {
+            await daemons.placement("a").handlePeer(request, { gone: neverAborted });
         }
         await daemons.clock.pass(300);
         expect(outcome("later")).to.equal("waits");
@@ -272,26 +273,27 @@
         expect(outcome("later")).to.equal(11);
     });
 
-    // Guards against a letter that fails for good since engines don't list yet what the scheduler handed out last.
-    it("places a letter alone only by loads that show what the scheduler had handed out", async () => {
+    // Guards against the final failure of a request that can't be retried, because engines don't list the scheduler's
+    // last assignments yet.
+    it("places a request that can't be retried locally only by load reports that include the scheduler's last assignments", async () => {
         daemons.change(view => ({ ...view, backends: { ...view.backends, d2: engine("d2", "decode", { slots: 8 }) } }));
-        const list = (active: readonly string[]): void => {
+        const reportLoads = (active: readonly string[]): void => {
             for (const id of ["d1", "d2"]) {
                 const sequence = daemons.clock.monotonic();
                 const report = { id, incarnation: 1, sequence, active: [...active], queuedTokens: 0 };
-                daemons.active.set(`http://127.0.0.1:1/${id}`, report);
+                daemons.loadReports.set(`http://127.0.0.1:1/${id}`, report);
             }
         };
-        list([]);
-        daemons.cut.add("a");
-        reserve("b", "letter", never, { once: true });
+        reportLoads([]);
+        daemons.partitioned.add("a");
+        reserve("b", "once", neverAborted, { once: true });
         await daemons.clock.pass(500);
-        list(["x1", "x2", "x3", "x4", "x5", "x6", "x7", "x8"]);
+        reportLoads(["x1", "x2", "x3", "x4", "x5", "x6", "x7", "x8"]);
         await daemons.clock.pass(500);
-        expect(outcome("letter")).to.equal("waits");
-        list([]);
-        reserve("c", "another letter", never, { once: true });
+        expect(outcome("once")).to.equal("waits");
+        reportLoads([]);
+        reserve("c", "another once", neverAborted, { once: true });
         await daemons.clock.pass(1_000);
-        expect(outcome("another letter")).to.equal(0);
+        expect(outcome("another once")).to.equal(0);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/scheduling/admission.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/admission.ts
@@ -1,37 +1,40 @@
 import type { Decision, Demand } from "../../protocol/index.js";
 import { fractionOf } from "../../utils/index.js";
-import type { AdmissionForecast, Ahead, CrewStanding, PartTimes } from "./admissionForecast.js";
-import type { DemandQueue, WaitingDemand } from "./demandQueue.js";
+import type { AdmissionForecast, ModelEnginesStatus, PhaseTimes, QueuedAhead } from "./admissionForecast.js";
 import type { EngineChooser } from "./engineChoice.js";
+import type { ModelEngineIndex, ModelEngines } from "./modelEngineIndex.js";
 import type { OrganisationShares } from "./organisationShares.js";
-import type { PoolPicture } from "./poolPicture.js";
 import { refuse } from "./refusals.js";
-import type { Crew, Roster } from "./roster.js";
 import type { PoolRules } from "./scheduler.js";
+import type { QueuedRequest, SchedulingQueue } from "./schedulingQueue.js";
+import type { TrackedPool } from "./trackedPool.js";
 import type { TransferTimes } from "./transferTimes.js";
 import type { Tuning } from "./tuning.js";
 
-/** Milliseconds after which a caller who found no engine should come back. */
-const noEngineRetry = 1_000;
-/** Milliseconds after which a caller who found the queue or its organisation's limit full should come back. */
-const fullRetry = 500;
-/** Most milliseconds by which the times to come back of refused callers are spread, so that they don't come back together. */
-const retrySpread = 500;
-/** Part by which a forecast may worsen while a demand waits before it is refused; without it small swings refuse. */
+/** Retry delay given to callers when no engine is available. */
+const noEngineRetryMilliseconds = 1_000;
+/** Retry delay given to callers when the queue is full or their organisation has reached its limit. */
+const fullRetryMilliseconds = 500;
+/** Upper bound of the jitter added to retry delays, so that refused callers don't all retry at the same time. */
+const retryJitterMilliseconds = 500;
+/**
+ * Factor by which the forecast may exceed the target while a request is queued; without it small fluctuations cause
+ * refusals.
+ */
 const reviewTolerance = 1.1;
-/** Milliseconds that one step of priority moves a demand in the order. */
-const priorityStep = 10;
-/** Priority of a demand whose route names none. */
-const usualPriority = 100;
-/** Puts demands that are late already behind all that aren't. */
-const lateOffset = 1e9;
-
-const nothingAhead: Ahead = { demands: 0, work: 0 };
-
-type Parts = {
-    readonly picture: PoolPicture;
-    readonly queue: DemandQueue;
-    readonly roster: Roster;
+/** Shift of a request's sort key for each step of priority. */
+const priorityStepMilliseconds = 10;
+/** Priority of requests whose route declares none. */
+const defaultPriority = 100;
+/** Added to the sort key of late requests, so that they sort after all others. */
+const lateKeyOffset = 1e9;
+
+const emptyQueueAhead: QueuedAhead = { requests: 0, work: 0 };
+
+type AdmissionParts = {
+    readonly trackedPool: TrackedPool;
+    readonly queue: SchedulingQueue;
+    readonly modelEngineIndex: ModelEngineIndex;
     readonly forecast: AdmissionForecast;
     readonly chooser: EngineChooser;
     readonly transfers: TransferTimes;
@@ -39,85 +42,88 @@
     readonly tuning: Tuning;
 };
 
-/** Decides which demands may wait, and in which order. Refuses at once what can't make its targets. */
+/** Decides which requests are queued and in which order. Refuses immediately those that can't meet their targets. */
 export class Admission {
-    private constructor(private readonly parts: Parts) {}
+    private constructor(private readonly parts: AdmissionParts) {}
 
-    static create(parts: Parts): Admission {
+    static create(parts: AdmissionParts): Admission {
         return new Admission(parts);
     }
 
-    /** Puts a demand in the queue, or gives its refusal. */
+    /** Queues a request, or returns its refusal. */
     admit(demand: Demand, rules: PoolRules | undefined, now: number): Decision | undefined {
-        const { queue, roster, shares } = this.parts;
-        const crew = roster.crew(demand);
+        const { queue, modelEngineIndex: engineIndex, shares } = this.parts;
+        const crew = engineIndex.enginesFor(demand);
         if (crew.prefill.length === 0 || crew.decode.length === 0) {
             const role = crew.prefill.length === 0 ? "prefill" : "decode";
             const message = `pool ${demand.pool} has no ready ${role} engine for ${demand.model}`;
-            return refuse(demand, "noBackend", message, noEngineRetry);
+            return refuse(demand, "noBackend", message, noEngineRetryMilliseconds);
         }
-        const limit = this.limit(demand, rules);
+        const limit = this.limitRefusal(demand, rules);
         if (limit !== undefined) {
             return limit;
         }
-        const times = this.times(demand, crew, now);
-        const onTime = this.place(demand, times, false, now);
-        const ahead = this.ahead(queue.positionOf(onTime.key));
+        const times = this.expectedTimes(demand, crew, now);
+        const onTime = this.queueEntry(demand, times, false, now);
+        const ahead = this.queuedAheadOf(queue.positionOf(onTime.key));
         const refuses = rules?.pool.weighting === "goodput";
-        const expected = this.expected(demand, crew, ahead, times, refuses, now);
+        const expected = this.expectedFirstToken(demand, crew, ahead, times, refuses, now);
         const verdict = this.verdict(onTime, expected, this.parts.tuning.admission, times, rules, now);
         if (verdict === "refuse") {
-            return this.outOfReach(demand, expected);
+            return this.targetRefusal(demand, expected);
         }
         const organisation = rules?.organisations[demand.organisation] ?? rules?.anyOrganisation;
         const shareStart = organisation === undefined
             ? 0
-            : shares.charge(demand.organisation, organisation, poolTime(demand, crew, times.work));
-        const waiting = verdict === "late" ? this.place(demand, times, true, now) : onTime;
+            : shares.charge(demand.organisation, organisation, poolMilliseconds(demand, crew, times.work));
+        const waiting = verdict === "late" ? this.queueEntry(demand, times, true, now) : onTime;
         queue.add({ ...waiting, shareStart });
         return undefined;
     }
 
-    private expected(
+    private expectedFirstToken(
         demand: Demand,
-        crew: Crew,
-        ahead: Ahead,
-        times: PartTimes,
+        crew: ModelEngines,
+        ahead: QueuedAhead,
+        times: PhaseTimes,
         refuses: boolean,
         now: number,
     ): number {
         const { forecast, shares } = this.parts;
-        const standing = forecast.standing(crew, now);
-        const next = forecast.firstTokenIn(demand, crew, standing, nothingAhead, times);
+        const standing = forecast.status(crew, now);
+        const next = forecast.firstTokenIn(demand, crew, standing, emptyQueueAhead, times);
         const queued = forecast.firstTokenIn(demand, crew, standing, ahead, times) - next;
-        // Others that are within their share will come and go before one that is ahead of its own; without this it is
-        // let in, overtaken, and refused only after it has waited.
+        // Later arrivals of organisations within their share overtake a request whose organisation is over its share.
+        // Without this the request is admitted, overtaken, and refused only after it has waited.
         const lag = refuses ? shares.lag(demand.organisation) : 0;
         const overtaking = Math.min(1, lag / Math.max(1, demand.firstTokenWithin));
         return next + queued * (1 + overtaking);
     }
 
-    /** Looks at all that wait: refuses what has got out of reach meanwhile, rather than at its deadline. */
+    /**
+     * Re-evaluates all queued requests. Refuses those that can't meet their targets any more, without waiting for their
+     * deadlines.
+     */
     review(rules: PoolRules | undefined, now: number): Decision[] {
         const refusals: Decision[] = [];
-        let demands = 0;
+        let requestsAhead = 0;
         let work = 0;
-        const standings = new Map<Crew, CrewStanding>();
+        const standings = new Map<ModelEngines, ModelEnginesStatus>();
         for (const waiting of this.parts.queue.all()) {
             const { demand } = waiting;
-            const crew = this.parts.roster.crew(demand);
-            const standing = standings.get(crew) ?? this.parts.forecast.standing(crew, now);
+            const crew = this.parts.modelEngineIndex.enginesFor(demand);
+            const standing = standings.get(crew) ?? this.parts.forecast.status(crew, now);
             standings.set(crew, standing);
             const refusal = crew.prefill.length === 0 || crew.decode.length === 0
                 ? refuse(
                     demand,
                     "noBackend",
-                    `pool ${demand.pool} has lost its engines for ${demand.model}`,
-                    noEngineRetry,
+                    `pool ${demand.pool} has no prefill or no decode engine left for ${demand.model}`,
+                    noEngineRetryMilliseconds,
                 )
-                : this.reviewOne(waiting, crew, standing, { demands, work }, rules, now);
+                : this.reviewQueued(waiting, crew, standing, { requests: requestsAhead, work }, rules, now);
             if (refusal === undefined) {
-                demands++;
+                requestsAhead++;
                 work += waiting.work;
                 continue;
             }
@@ -127,11 +133,11 @@
         return refusals;
     }
 
-    private reviewOne(
-        waiting: WaitingDemand,
-        crew: Crew,
-        standing: CrewStanding,
-        ahead: Ahead,
+    private reviewQueued(
+        waiting: QueuedRequest,
+        crew: ModelEngines,
+        standing: ModelEnginesStatus,
+        ahead: QueuedAhead,
         rules: PoolRules | undefined,
         now: number,
     ): Decision | undefined {
@@ -139,20 +145,20 @@
         const expected = this.parts.forecast.firstTokenIn(demand, crew, standing, ahead, waiting);
         const verdict = this.verdict(waiting, expected, reviewTolerance, waiting, rules, now);
         if (verdict === "refuse") {
-            return this.outOfReach(demand, expected);
+            return this.targetRefusal(demand, expected);
         }
         if (verdict === "late" && !waiting.late) {
             this.parts.queue.remove(demand.attempt);
-            this.parts.queue.add({ ...waiting, late: true, key: waiting.endsBy + lateOffset });
+            this.parts.queue.add({ ...waiting, late: true, key: waiting.endsBy + lateKeyOffset });
         }
         return undefined;
     }
 
     private verdict(
-        waiting: WaitingDemand,
+        waiting: QueuedRequest,
         expected: number,
         tolerance: number,
-        times: PartTimes,
+        times: PhaseTimes,
         rules: PoolRules | undefined,
         now: number,
     ): "onTime" | "late" | "refuse" {
@@ -163,47 +169,54 @@
             return whole ? "onTime" : "refuse";
         }
         const hopeless = times.work + times.transfer > demand.firstTokenWithin;
-        // Coming back later wouldn't help a prompt that is too long for the target on an idle pool, and a caller that
-        // has got a part of its answer is worse off with a refusal than with a pause.
+        // A retry doesn't help a prompt that is too long for the target even on an idle pool, and for a caller that has
+        // received part of its answer a refusal is worse than a pause.
         const lateIsBetter = rules?.pool.weighting === "prefill" || hopeless || demand.alreadySent > 0;
         return lateIsBetter && whole ? "late" : "refuse";
     }
 
-    private limit(demand: Demand, rules: PoolRules | undefined): Decision | undefined {
-        const { queue, picture } = this.parts;
+    private limitRefusal(demand: Demand, rules: PoolRules | undefined): Decision | undefined {
+        const { queue, trackedPool: tracked } = this.parts;
         if (rules === undefined) {
             return undefined;
         }
         const organisation = rules.organisations[demand.organisation] ?? rules.anyOrganisation;
-        if (queue.openOf(demand.organisation) + picture.openOf(demand.organisation) >= organisation.openRequests) {
+        if (
+            queue.openRequestsOf(demand.organisation) + tracked.openRequestsOf(demand.organisation)
+                >= organisation.openRequests
+        ) {
             const message =
                 `${demand.organisation} has ${organisation.openRequests} requests open in pool ${demand.pool}`;
-            return refuse(demand, "organisationLimit", message, fullRetry + spread(demand.attempt));
+            return refuse(demand, "organisationLimit", message, fullRetryMilliseconds + retryJitter(demand.attempt));
         }
         if (queue.size >= rules.pool.queueLimit) {
             const message = `${queue.size} requests wait in pool ${demand.pool}`;
-            return refuse(demand, "poolFull", message, fullRetry + spread(demand.attempt));
+            return refuse(demand, "poolFull", message, fullRetryMilliseconds + retryJitter(demand.attempt));
         }
         return undefined;
     }
 
-    private place(demand: Demand, times: PartTimes, late: boolean, now: number): WaitingDemand {
+    private queueEntry(demand: Demand, times: PhaseTimes, late: boolean, now: number): QueuedRequest {
         const firstTokenBy = now + demand.firstTokenWithin;
         const endsBy = now + demand.deadlineWithin;
-        const priority = (demand.priority - usualPriority) * priorityStep;
+        const priority = (demand.priority - defaultPriority) * priorityStepMilliseconds;
         const key = late
-            ? endsBy + lateOffset
+            ? endsBy + lateKeyOffset
             : firstTokenBy + priority + this.parts.shares.lag(demand.organisation);
         return { demand, arrivedAt: now, firstTokenBy, endsBy, key, ...times, late, shareStart: 0 };
     }
 
-    private ahead(position: number): Ahead {
+    private queuedAheadOf(position: number): QueuedAhead {
         const { queue } = this.parts;
-        return { demands: position, work: queue.size === 0 ? 0 : queue.work * position / queue.size };
+        return { requests: position, work: queue.size === 0 ? 0 : queue.work * position / queue.size };
     }
 
-    private times(demand: Demand, crew: Crew, now: number): { readonly work: number; readonly transfer: number; } {
-        const chosen = this.parts.chooser.prefill(demand, crew.prefill, now);
+    private expectedTimes(
+        demand: Demand,
+        crew: ModelEngines,
+        now: number,
+    ): { readonly work: number; readonly transfer: number; } {
+        const chosen = this.parts.chooser.choosePrefill(demand, crew.prefill, now);
         const prefill = chosen?.prefill ?? crew.prefill[0]!;
         return {
             work: chosen?.work ?? demand.promptTokens * prefill.tokenTime,
@@ -211,20 +224,20 @@
         };
     }
 
-    private outOfReach(demand: Demand, expected: number): Decision {
-        const message = `the first token would come in ${Math.round(expected)} ms`;
-        const retryAfter = Math.max(0, expected - demand.firstTokenWithin) + spread(demand.attempt);
+    private targetRefusal(demand: Demand, expected: number): Decision {
+        const message = `first token expected in ${Math.round(expected)} ms, too late for the target or deadline`;
+        const retryAfter = Math.max(0, expected - demand.firstTokenWithin) + retryJitter(demand.attempt);
         return refuse(demand, "targetsOutOfReach", message, retryAfter);
     }
 }
 
-/** Milliseconds for which the demand would fill the whole pool. */
-function poolTime(demand: Demand, crew: Crew, work: number): number {
+/** Time in milliseconds for which the request would occupy the whole pool. */
+function poolMilliseconds(demand: Demand, crew: ModelEngines, work: number): number {
     const decoding = demand.expectedTokens * crew.decode[0]!.tokenTime / crew.slots;
     return Math.max(work / crew.prefill.length, decoding);
 }
 
-/** Spreads times to come back; the same attempt always gets the same. */
-function spread(attempt: string): number {
-    return Math.floor(fractionOf(attempt) * retrySpread);
+/** Jitter in milliseconds for retry delays; deterministic for each attempt. */
+function retryJitter(attempt: string): number {
+    return Math.floor(fractionOf(attempt) * retryJitterMilliseconds);
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/admissionForecast.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/admissionForecast.ts
@@ -1,56 +1,62 @@
 import type { Demand } from "../../protocol/index.js";
-import type { EnginePicture } from "./enginePicture.js";
-import type { Assignment } from "./poolPicture.js";
-import type { Crew } from "./roster.js";
+import type { ModelEngines } from "./modelEngineIndex.js";
+import type { TrackedEngine } from "./trackedEngine.js";
+import type { Assignment } from "./trackedPool.js";
 
-/** Weight of one ended attempt in how long attempts hold a slot. */
-const residenceStep = 0.02;
+/** Weight of one finished attempt in the moving average of slot times. */
+const slotTimeWeight = 0.02;
 
-/** What waits before a demand. */
-export type Ahead = {
-    readonly demands: number;
-    /** Prefill milliseconds. */
+/** The queued requests ahead of one request. */
+export type QueuedAhead = {
+    readonly requests: number;
+    /** Prefill time in milliseconds. */
     readonly work: number;
 };
 
-/** Milliseconds that a demand's own prefill and transfer take. */
-export type PartTimes = { readonly work: number; readonly transfer: number; };
+/** Expected time in milliseconds of a request's own prefill and transfer. */
+export type PhaseTimes = { readonly work: number; readonly transfer: number; };
 
-/** How busy the engines are: prefill milliseconds handed out, and decode slots that nobody holds. */
-export type CrewStanding = { readonly work: number; readonly freeSlots: number; };
+/** Load of a model's engines: assigned prefill work in milliseconds, and free decode slots. */
+export type ModelEnginesStatus = { readonly work: number; readonly freeSlots: number; };
 
-/** Forecasts when a demand's first token would come, from what waits before it and from how fast slots have become free. */
+/** Forecasts the time to a request's first token from the queue ahead of it and from how long attempts hold their slots. */
 export class AdmissionForecast {
-    /** Milliseconds that an attempt holds its slot; learnt from those that finished. */
-    private residence: number | undefined;
+    /** Moving average of the time in milliseconds for which finished attempts held their slots. */
+    private slotTime: number | undefined;
 
     static create(): AdmissionForecast {
         return new AdmissionForecast();
     }
 
-    /** Learns from an attempt that gave its slot back. */
-    ended(assignment: Assignment, now: number): void {
+    /** Updates the average slot time with a finished attempt. */
+    recordEnd(assignment: Assignment, now: number): void {
         const held = now - assignment.assignedAt;
-        this.residence = this.residence === undefined ? held : this.residence + residenceStep * (held - this.residence);
+        this.slotTime = this.slotTime === undefined ? held : this.slotTime + slotTimeWeight * (held - this.slotTime);
     }
 
-    /** How busy the engines are now; worked out once for all demands that are looked at together. */
-    standing(crew: Crew, now: number): CrewStanding {
-        return { work: outstandingWork(crew.prefill, now), freeSlots: freeSlots(crew.decode) };
+    /** The current load of a model's engines; computed once for all requests that are reviewed together. */
+    status(crew: ModelEngines, now: number): ModelEnginesStatus {
+        return { work: pendingPrefillWork(crew.prefill, now), freeSlots: freeSlots(crew.decode) };
     }
 
-    /** Milliseconds until the first token. */
-    firstTokenIn(demand: Demand, crew: Crew, standing: CrewStanding, ahead: Ahead, times: PartTimes): number {
+    /** Expected time in milliseconds until the first token. */
+    firstTokenIn(
+        demand: Demand,
+        crew: ModelEngines,
+        standing: ModelEnginesStatus,
+        ahead: QueuedAhead,
+        times: PhaseTimes,
+    ): number {
         const prefillWait = (ahead.work + standing.work) / crew.prefill.length;
-        const slotsMissing = ahead.demands + 1 - standing.freeSlots;
+        const slotsMissing = ahead.requests + 1 - standing.freeSlots;
         const tokenTime = crew.decode[0]!.tokenTime;
-        const residence = this.residence ?? demand.expectedTokens * tokenTime;
-        const slotWait = Math.max(0, slotsMissing) * residence / crew.slots;
+        const expectedSlotTime = this.slotTime ?? demand.expectedTokens * tokenTime;
+        const slotWait = Math.max(0, slotsMissing) * expectedSlotTime / crew.slots;
         return Math.max(prefillWait + times.work, slotWait) + times.transfer + tokenTime;
     }
 }
 
-function outstandingWork(engines: readonly EnginePicture[], now: number): number {
+function pendingPrefillWork(engines: readonly TrackedEngine[], now: number): number {
     let total = 0;
     for (const engine of engines) {
         total += engine.readyAt(now) - now;
@@ -58,10 +64,10 @@
     return total;
 }
 
-function freeSlots(engines: readonly EnginePicture[]): number {
+function freeSlots(engines: readonly TrackedEngine[]): number {
     let total = 0;
     for (const engine of engines) {
-        total += Math.max(0, engine.slots - engine.taken);
+        total += Math.max(0, engine.slots - engine.usedSlots);
     }
     return total;
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/counter.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/counter.ts
@@ -1,4 +1,4 @@
-/** Counts by name; a name whose count falls to nothing takes no memory. */
+/** Counts by name; names whose count returns to zero are removed. */
 export class Counter {
     private readonly counts = new Map<string, number>();
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/displacedAttempts.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/displacedAttempts.ts
@@ -1,7 +1,10 @@
-/** Milliseconds after which an attempt that was displaced and doesn't ask again needs no slot any more. */
-const askedAgainWithin = 400;
+/** Time without another attempt to move after which a displaced attempt no longer counts as waiting for a slot. */
+const retryWindowMilliseconds = 400;
 
-/** Attempts with a finished prefill whose decode engine proved to be full. Slots that come free are theirs first. */
+/**
+ * Attempts with a finished prefill whose decode engine turned out to be full. They have priority for slots that become
+ * free.
+ */
 export class DisplacedAttempts {
     private readonly askedAt = new Map<string, number>();
 
@@ -9,7 +12,7 @@
         return new DisplacedAttempts();
     }
 
-    /** Notes that an attempt has asked and got nothing. */
+    /** Records that an attempt asked for another engine and got none. */
     add(attempt: string, now: number): void {
         this.askedAt.set(attempt, now);
     }
@@ -18,10 +21,10 @@
         this.askedAt.delete(attempt);
     }
 
-    /** How many still wait for a slot. */
+    /** Number of attempts that still wait for a slot. */
     count(now: number): number {
         for (const [attempt, askedAt] of this.askedAt) {
-            if (now - askedAt > askedAgainWithin) {
+            if (now - askedAt > retryWindowMilliseconds) {
                 this.askedAt.delete(attempt);
             }
         }
--- a/packages/basilpaddle/src/node/coordination/scheduling/engineChoice.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/engineChoice.ts
@@ -1,31 +1,31 @@
 import type { Demand } from "../../protocol/index.js";
-import type { EnginePicture } from "./enginePicture.js";
 import type { PrefixIndex } from "./prefixIndex.js";
+import type { TrackedEngine } from "./trackedEngine.js";
 import type { TransferTimes } from "./transferTimes.js";
 import type { Tuning } from "./tuning.js";
 
-/** Milliseconds that a prefill's result may wait for its link; engines evict it in under a second. */
-const mostLinkWait = 400;
-/** Milliseconds that a full decode engine counts worse than an empty one in the choice between two. */
-const fullnessWeight = 40;
+/** How long a prefill's result may wait for its link; engines evict it in under a second. */
+const maximumLinkWaitMilliseconds = 400;
+/** Penalty of a full decode engine against an empty one when decode engines are compared. */
+const fullnessPenaltyMilliseconds = 40;
 
-/** Engines for a demand, and what is expected of them. */
+/** The engines chosen for a request, with their expected times. */
 export type EngineChoice = {
-    readonly prefill: EnginePicture;
-    readonly decode: EnginePicture;
-    /** Prefill milliseconds, after what the cache saves. */
+    readonly prefill: TrackedEngine;
+    readonly decode: TrackedEngine;
+    /** Expected prefill time in milliseconds, less the time saved by cached prefixes. */
     readonly work: number;
     readonly expectedReuse: number;
-    /** When the prefill can begin, when the link gets the result, and when the first token comes. */
+    /** Expected times, in monotonic milliseconds, of the prefill's start, the end of the transfer and the first token. */
     readonly prefillAt: number;
     readonly transferredAt: number;
     readonly firstTokenAt: number;
 };
 
-/** The part of a demand's engines that is chosen first. */
+/** The prefill part of the choice, which is made first. */
 export type PrefillChoice = Pick<EngineChoice, "prefill" | "work" | "expectedReuse" | "prefillAt">;
 
-/** Chooses among the engines of one pool. */
+/** Chooses engines of one pool. */
 export class EngineChooser {
     private constructor(
         private readonly prefixes: PrefixIndex,
@@ -41,19 +41,19 @@
         return new EngineChooser(options.prefixes, options.transfers, options.tuning);
     }
 
-    /** The prefill engine that would be done first. */
-    prefill(demand: Demand, engines: readonly EnginePicture[], now: number): PrefillChoice | undefined {
+    /** The prefill engine that is expected to finish the prompt first. */
+    choosePrefill(demand: Demand, engines: readonly TrackedEngine[], now: number): PrefillChoice | undefined {
         let best: PrefillChoice | undefined;
         let bestEnd = Infinity;
         for (const prefill of engines) {
-            if (!prefill.takesWork(demand.avoid, now)) {
+            if (!prefill.acceptsWork(demand.avoid, now)) {
                 continue;
             }
             const expectedReuse = this.tuning.affinity === 0
                 ? 0
                 : Math.min(
                     demand.promptTokens,
-                    this.prefixes.expected(prefill.id, demand.prefixes, demand.blockTokens),
+                    this.prefixes.reusableTokens(prefill.id, demand.prefixes, demand.blockTokens),
                 );
             const work = (demand.promptTokens - expectedReuse * this.tuning.affinity) * prefill.tokenTime;
             const prefillAt = Math.max(prefill.readyAt(now), now);
@@ -65,11 +65,14 @@
         return best;
     }
 
-    /** The decode engine for a prefill that starts now: one with a free slot, and the first token soonest. */
-    decode(
+    /**
+     * The decode engine for a chosen prefill: one with a free slot, by the time of the first token and the engine's load.
+     * `cautious` leaves out engines that have not reported their load yet.
+     */
+    chooseDecode(
         demand: Demand,
         chosen: PrefillChoice,
-        engines: readonly EnginePicture[],
+        engines: readonly TrackedEngine[],
         cautious: boolean,
         now: number,
     ): EngineChoice | undefined {
@@ -77,16 +80,17 @@
         let best: EngineChoice | undefined;
         let bestScore = Infinity;
         for (const decode of engines) {
-            if (decode.taken >= decode.slots || !decode.takesWork(demand.avoid, now)) {
+            if (decode.usedSlots >= decode.slots || !decode.acceptsWork(demand.avoid, now)) {
                 continue;
             }
             const linkAt = Math.max(prefilledAt, chosen.prefill.linkFreeAt, decode.linkFreeAt);
             const transferredAt = linkAt + this.transfers.expected(chosen.prefill, decode, demand.promptTokens);
-            const score = transferredAt + decode.tokenTime + fullnessWeight * decode.taken / decode.slots;
-            if (score >= bestScore || linkAt - prefilledAt > mostLinkWait) {
+            const score = transferredAt + decode.tokenTime
+                + fullnessPenaltyMilliseconds * decode.usedSlots / decode.slots;
+            if (score >= bestScore || linkAt - prefilledAt > maximumLinkWaitMilliseconds) {
                 continue;
             }
-            // Before everybody was asked what is held, only the engine's own word tells which slots are taken.
+            // Until all daemons have been asked for their holdings, only the engine's own report shows which slots are used.
             if (cautious && decode.report === undefined) {
                 continue;
             }
--- a/packages/basilpaddle/src/node/coordination/scheduling/engineSurvey.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/engineSurvey.ts
@@ -2,23 +2,23 @@
 import type { Randomness } from "../../utils/index.js";
 import type { Engine } from "../engine/engine.js";
 
-/** Milliseconds for an engine to tell its load to a new scheduler. */
-const surveyTimeout = 500;
-/** Decode engines that a daemon asks for their load before it chooses alone, and milliseconds for their answers. */
-const mostAsked = 8;
-const askTimeout = 250;
+/** Timeout of an engine's load report to a new scheduler. */
+const surveyTimeoutMilliseconds = 500;
+/** Number of decode engines queried for their load before a local decision, and the timeout of each query. */
+const maximumDecodeQueries = 8;
+const queryTimeoutMilliseconds = 250;
 
-/** What a survey of engines needs of its daemon. */
+/** Dependencies of an engine survey. */
 export type EngineSurveyParts = {
     readonly view: () => View;
-    /** Makes a client for an engine; the survey closes it. */
+    /** Creates a client for an engine; the survey closes it. */
     readonly engineAt: (url: string) => Engine;
     readonly randomness: Randomness;
-    /** Is told each report. */
-    readonly heard: (pool: string, report: LoadReport) => void;
+    /** Called with each report received. */
+    readonly onReport: (pool: string, report: LoadReport) => void;
 };
 
-/** Asks engines for their load, where what they last reported by themselves isn't enough. */
+/** Queries engines for their load, for cases in which the reports that they send by themselves aren't enough. */
 export class EngineSurvey {
     private constructor(private readonly parts: EngineSurveyParts) {}
 
@@ -26,20 +26,25 @@
         return new EngineSurvey(parts);
     }
 
-    /** Asks all engines of a pool. */
-    askAll(pool: string): Promise<LoadReport | undefined>[] {
+    /** Queries all engines of a pool. */
+    queryPool(pool: string): Promise<LoadReport | undefined>[] {
         return this.enginesOf(pool)
             .filter(({ state }) => state !== "gone")
-            .map(({ announcement }) => this.ask(announcement, surveyTimeout));
+            .map(({ announcement }) => this.query(announcement, surveyTimeoutMilliseconds));
     }
 
-    /** Asks some decode engines of a pool: they report to one daemon at a time, what this one last heard may be seconds old. */
-    async askDecodes(pool: string): Promise<readonly LoadReport[]> {
+    /**
+     * Queries some decode engines of a pool. Engines report to one daemon at a time, so the last reports that this daemon
+     * received may be seconds old.
+     */
+    async queryDecodeEngines(pool: string): Promise<readonly LoadReport[]> {
         const ready = this.enginesOf(pool)
             .filter(({ announcement, state }) => announcement.role === "decode" && state === "ready");
         const first = ready.length === 0 ? 0 : this.parts.randomness.integer(0, ready.length - 1);
-        const asked = [...ready.slice(first), ...ready.slice(0, first)].slice(0, mostAsked);
-        const reports = await Promise.all(asked.map(({ announcement }) => this.ask(announcement, askTimeout)));
+        const queried = [...ready.slice(first), ...ready.slice(0, first)].slice(0, maximumDecodeQueries);
+        const reports = await Promise.all(
+            queried.map(({ announcement }) => this.query(announcement, queryTimeoutMilliseconds)),
+        );
         return reports.filter(report => report !== undefined);
     }
 
@@ -48,12 +53,12 @@
             .filter(({ announcement }) => announcement.pool === pool && announcement.role !== "service");
     }
 
-    private async ask({ url, pool }: Announcement, timeout: number): Promise<LoadReport | undefined> {
+    private async query({ url, pool }: Announcement, timeout: number): Promise<LoadReport | undefined> {
         const engine = this.parts.engineAt(url);
         try {
             const report = (await engine.load(timeout)).toMaybe().extract();
             if (report !== undefined && pool !== undefined) {
-                this.parts.heard(pool, report);
+                this.parts.onReport(pool, report);
             }
             return report;
         }
--- a/packages/basilpaddle/src/node/coordination/scheduling/index.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/index.ts
@@ -1,5 +1,5 @@
-export * from "./alonePlacement.js";
-export * from "./choosingAlone.js";
+export * from "./localPlacement.js";
+export * from "./localScheduler.js";
 export * from "./poolScheduler.js";
 export * from "./scheduledPlacement.js";
 export * from "./scheduler.js";
--- /dev/null
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localHoldings.ts
@@ -0,0 +1,42 @@
+import type { Demand, Holding, Progress } from "../../protocol/index.js";
+
+/** Engines held by this daemon's attempts, for schedulers that ask for them. */
+export class LocalHoldings {
+    private readonly byAttempt = new Map<string, Holding>();
+
+    static create(): LocalHoldings {
+        return new LocalHoldings();
+    }
+
+    /** Records the engines assigned to an attempt. */
+    add(demand: Demand, prefill: string, decode: string): void {
+        this.byAttempt.set(demand.attempt, { demand, prefill, decode, stage: "prefilling", tokens: 0 });
+    }
+
+    /** Records that an attempt was moved to another decode engine. */
+    move(attempt: string, decode: string): void {
+        const holding = this.byAttempt.get(attempt);
+        if (holding !== undefined) {
+            this.byAttempt.set(attempt, { ...holding, decode });
+        }
+    }
+
+    /** Updates an attempt's holding with its progress; final stages remove it. */
+    progress(progress: Progress): void {
+        const holding = this.byAttempt.get(progress.attempt);
+        if (holding === undefined) {
+            return;
+        }
+        if (progress.stage === "finished" || progress.stage === "cancelled" || progress.stage === "failed") {
+            this.byAttempt.delete(progress.attempt);
+            return;
+        }
+        const tokens = Math.max(holding.tokens, progress.tokens);
+        this.byAttempt.set(progress.attempt, { ...holding, stage: progress.stage, tokens });
+    }
+
+    /** The holdings in a pool. */
+    ofPool(pool: string): Holding[] {
+        return [...this.byAttempt.values()].filter(holding => holding.demand.pool === pool);
+    }
+}
--- a/packages/basilpaddle/src/node/coordination/scheduling/alonePlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
@@ -2,12 +2,12 @@
 import type { Clock, Randomness } from "../../utils/index.js";
 import type { ControlClient } from "../controlClient.js";
 import { Placement } from "../placement.js";
-import { ChoosingAlone } from "./choosingAlone.js";
+import { ChoosingAlone } from "./localScheduler.js";
 import { refuse } from "./refusals.js";
 import { SchedulerHost } from "./schedulerHost.js";
 
-/** Finds engines by what this daemon alone knows, within its part of the slots. */
-export class AlonePlacement extends Placement {
+/** Reserves engines without the pool's scheduler, from what this daemon knows itself and within its share of the slots. */
+export class LocalPlacement extends Placement {
     private readonly pools = new Map<string, SchedulerHost>();
     private readonly stopFollowing: () => void;
 
@@ -25,8 +25,8 @@
         readonly control: ControlClient;
         readonly clock: Clock;
         readonly randomness: Randomness;
-    }): AlonePlacement {
-        return new AlonePlacement(options.control, options.clock, options.randomness);
+    }): LocalPlacement {
+        return new LocalPlacement(options.control, options.clock, options.randomness);
     }
 
     override async reserve(demand: Demand, signal: AbortSignal): Promise<Decision> {
--- /dev/null
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
@@ -0,0 +1,226 @@
+import type { Decision, Demand, Holding } from "../../protocol/index.js";
+import type { Randomness } from "../../utils/index.js";
+import { refuse } from "./refusals.js";
+import { Scheduler, type SchedulerEvent } from "./scheduler.js";
+import type { TrackedEngine } from "./trackedEngine.js";
+import { TrackedPool } from "./trackedPool.js";
+
+/** Retry delays given to callers when no engine is available, and when all are full. */
+const noEngineRetryMilliseconds = 1_000;
+const fullRetryMilliseconds = 500;
+/** Maximum age of a load report used to place a request that can't be retried after a wrong decision. */
+const freshReportMilliseconds = 500;
+/** Fraction of the time to the first token's target for which a request may wait for a slot. */
+const waitingFraction = 0.5;
+/** Fraction of the time to the first token's target for which a daemon may keep its share of the prefill engines busy. */
+const prefillFraction = 0.35;
+
+type WaitingRequest = { readonly demand: Demand; readonly until: number; };
+
+/**
+ * Scheduler of one entry daemon's own attempts. Picks the less loaded of two random engines, counting its own
+ * assignments since their last reports.
+ */
+export class ChoosingAlone extends Scheduler {
+    private readonly trackedPool = TrackedPool.create();
+    private readonly waiting = new Map<string, WaitingRequest>();
+    private sessionCount = 1;
+
+    private constructor(private readonly randomness: Randomness, private readonly divided: boolean) {
+        super();
+    }
+
+    /**
+     * `divided`: limits this daemon to its share, among all open sessions, of the slots and of the prefill engines'
+     * time.
+     */
+    static create(options: { readonly randomness: Randomness; readonly divided: boolean; }): ChoosingAlone {
+        return new ChoosingAlone(options.randomness, options.divided);
+    }
+
+    override step(event: SchedulerEvent, now: number): readonly Decision[] {
+        const decisions = this.applyEvent(event, now);
+        for (const { demand } of this.waiting.values()) {
+            const choice = this.choose(demand, now);
+            if (choice === "full") {
+                break;
+            }
+            this.waiting.delete(demand.attempt);
+            decisions.push(choice);
+        }
+        return decisions;
+    }
+
+    override move(holding: Holding, now: number): string | undefined {
+        const { demand } = holding;
+        this.trackedPool.restore(holding, now);
+        const assignment = this.trackedPool.assignments.get(demand.attempt);
+        if (assignment === undefined) {
+            return undefined;
+        }
+        this.trackedPool.engines.get(holding.decode)?.recordFull(demand.attempt);
+        const free = this.enginesFor(demand, "decode", now).filter(engine => engine.usedSlots < engine.slots);
+        const decode = this.lessLoadedOfTwo(free, engine => engine.usedSlots / engine.slots);
+        if (decode !== undefined) {
+            this.trackedPool.move(assignment, decode);
+        }
+        return decode?.id;
+    }
+
+    override wakeAt(): number | undefined {
+        let first = Infinity;
+        for (const assignment of this.trackedPool.assignments.values()) {
+            first = Math.min(first, assignment.endsBy);
+        }
+        for (const { until } of this.waiting.values()) {
+            first = Math.min(first, until);
+        }
+        return first === Infinity ? undefined : first;
+    }
+
+    override standing(): ReturnType<Scheduler["standing"]> {
+        return { held: this.trackedPool.heldByEngine(), waiting: this.waiting.size };
+    }
+
+    private applyEvent(event: SchedulerEvent, now: number): Decision[] {
+        switch (event.kind) {
+            case "demand":
+                return this.demand(event.demand, now);
+            case "withdraw":
+                this.waiting.delete(event.attempt);
+                this.trackedPool.release(event.attempt, now);
+                return [];
+            case "progress":
+                this.trackedPool.progress(event.progress, now);
+                return [];
+            case "load":
+                this.trackedPool.applyReport(event.report, now);
+                return [];
+            case "engines":
+                this.trackedPool.setEngines(event.engines, now);
+                return [];
+            case "sessions":
+                this.sessionCount = Math.max(1, event.open.length);
+                return [];
+            case "holding":
+                this.trackedPool.restore(event.holding, now);
+                return [];
+            case "tick":
+                this.trackedPool.releaseWhere(assignment => assignment.endsBy <= now, now);
+                return this.expire(now);
+            case "rules":
+            case "warm":
+            case "stalled":
+                return [];
+        }
+    }
+
+    private demand(demand: Demand, now: number): Decision[] {
+        const choice = this.choose(demand, now);
+        if (choice !== "full") {
+            return [choice];
+        }
+        if (this.waiting.size >= this.queueLimit(demand, now)) {
+            return [fullRefusal(demand)];
+        }
+        this.waiting.set(demand.attempt, { demand, until: now + waitingFraction * demand.firstTokenWithin });
+        return [];
+    }
+
+    private expire(now: number): Decision[] {
+        const expired = [...this.waiting.values()].filter(({ until }) => until <= now);
+        expired.forEach(({ demand }) => this.waiting.delete(demand.attempt));
+        return expired.map(({ demand }) => fullRefusal(demand));
+    }
+
+    private choose(demand: Demand, now: number): Decision | "full" {
+        const prefills = this.enginesFor(demand, "prefill", now);
+        const decodes = this.enginesFor(demand, "decode", now);
+        if (prefills.length === 0 || decodes.length === 0) {
+            const role = prefills.length === 0 ? "prefill" : "decode";
+            const message = `pool ${demand.pool} has no ready ${role} engine for ${demand.model}`;
+            return refuse(demand, "noBackend", message, noEngineRetryMilliseconds);
+        }
+        const reporting = demand.once
+            ? decodes.filter(engine => now - engine.reportedAt <= freshReportMilliseconds)
+            : decodes;
+        const free = reporting.filter(engine =>
+            engine.usedSlots < engine.slots && engine.heldAttempts.size < this.slotShare(engine)
+        );
+        if (demand.once && this.mayBeContended(reporting, decodes.length)) {
+            return "full";
+        }
+        if (this.exceedsPrefillShare(demand, prefills, now)) {
+            return "full";
+        }
+        const decode = this.lessLoadedOfTwo(free, engine => engine.usedSlots / engine.slots);
+        const prefill = this.lessLoadedOfTwo(prefills, engine => backlog(engine));
+        if (decode === undefined || prefill === undefined) {
+            return "full";
+        }
+        this.trackedPool.assign(demand, { prefill, decode, work: demand.promptTokens * prefill.tokenTime }, now);
+        const { attempt } = demand;
+        return { kind: "assigned", attempt, prefill: prefill.id, decode: decode.id, fence: 0, expectedReuse: 0 };
+    }
+
+    /**
+     * Whether the other daemons could take all slots that the reporting engines show as free, if each of them placed one
+     * request somewhere among all engines.
+     */
+    private mayBeContended(known: readonly TrackedEngine[], engines: number): boolean {
+        const free = known.reduce((sum, engine) => sum + Math.max(0, engine.slots - engine.usedSlots), 0);
+        return this.divided && free < this.sessionCount * known.length / engines;
+    }
+
+    /**
+     * When the pool's scheduler is lost, its whole queue returns to the daemons at once, and their slots together admit
+     * dozens of prompts. Without this limit the prefill engines are busy for longer than the target, and every first token
+     * is late for a while.
+     */
+    private exceedsPrefillShare(demand: Demand, prefills: readonly TrackedEngine[], now: number): boolean {
+        const assignedWork = prefills.reduce((sum, engine) => sum + engine.readyAt(now) - now, 0);
+        if (!this.divided || assignedWork === 0) {
+            return false;
+        }
+        const work = demand.promptTokens * prefills[0]!.tokenTime;
+        const share = prefillFraction * demand.firstTokenWithin * prefills.length / this.sessionCount;
+        return assignedWork + work > share;
+    }
+
+    private queueLimit(demand: Demand, now: number): number {
+        // As many requests may wait as this daemon has slots: each slot becomes free within the time of one answer.
+        return this.enginesFor(demand, "decode", now).reduce((sum, engine) => sum + this.slotShare(engine), 0);
+    }
+
+    private enginesFor(demand: Demand, role: "prefill" | "decode", now: number): TrackedEngine[] {
+        return [...this.trackedPool.engines.values()].filter(engine =>
+            engine.announcement.role === role
+            && engine.acceptsWork(demand.avoid, now)
+            && engine.serves(demand.model, demand.adapter, demand.version)
+        );
+    }
+
+    private slotShare(engine: TrackedEngine): number {
+        return this.divided ? Math.max(1, Math.floor(engine.slots / this.sessionCount)) : engine.slots;
+    }
+
+    private lessLoadedOfTwo(
+        engines: readonly TrackedEngine[],
+        load: (engine: TrackedEngine) => number,
+    ): TrackedEngine | undefined {
+        if (engines.length === 0) {
+            return undefined;
+        }
+        const one = engines[this.randomness.integer(0, engines.length - 1)]!;
+        const other = engines[this.randomness.integer(0, engines.length - 1)]!;
+        return load(one) <= load(other) ? one : other;
+    }
+}
+
+function fullRefusal(demand: Demand): Decision {
+    return refuse(demand, "poolFull", `pool ${demand.pool} has no free engines for this daemon`, fullRetryMilliseconds);
+}
+
+function backlog(engine: TrackedEngine): number {
+    return (engine.report?.queuedTokens ?? 0) * engine.tokenTime + engine.unreportedPrefillWork;
+}
--- a/packages/basilpaddle/src/node/coordination/scheduling/organisationShares.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/organisationShares.ts
@@ -1,17 +1,17 @@
 import { LRUCache } from "lru-cache";
 import type { Organisation } from "../../protocol/index.js";
 
-/** Organisations whose use is remembered; more than wait at one pool at once. */
-const organisationsKept = 24_000;
+/** Upper bound of the accounts kept; more organisations than have requests queued at one pool at once. */
+const accountLimit = 24_000;
 
 /**
- * How far each organisation's waiting demands are ahead of its share, by start-time fair queueing: virtual time stands at
- * the last demand that was served, and each demand moves its organisation's account on by its cost over the share. An
- * organisation that asks for less than its share is never ahead; one that asks for more is ahead by what waits of it.
+ * How far each organisation's queued requests are ahead of its share, by start-time fair queueing: virtual time is the
+ * start of the last request served, and each request advances its organisation's account by its cost divided by the share.
+ * An organisation that uses less than its share is never ahead; one that uses more is ahead by its queued requests.
  */
 export class OrganisationShares {
-    /** Virtual time at which the next demand of each organisation starts. */
-    private readonly accounts = new LRUCache<string, number>({ max: organisationsKept });
+    /** Virtual start time of each organisation's next request. */
+    private readonly accounts = new LRUCache<string, number>({ max: accountLimit });
     private virtualTime = 0;
 
     private constructor(private readonly mostLag: number) {}
@@ -20,35 +20,35 @@
         return new OrganisationShares(mostLag);
     }
 
-    /** Milliseconds by which the next demand of the organisation would be ahead of its share. */
+    /** Time in milliseconds by which the organisation's next request would be ahead of its share, up to the limit. */
     lag(organisation: string): number {
-        return Math.min(this.mostLag, this.start(organisation) - this.virtualTime);
+        return Math.min(this.mostLag, this.nextStart(organisation) - this.virtualTime);
     }
 
-    /** Notes a demand that will use the whole pool for so many milliseconds. Gives the virtual time of its start. */
+    /** Charges a request that would occupy the whole pool for this many milliseconds. Returns its virtual start time. */
     charge(organisation: string, rules: Organisation, poolMilliseconds: number): number {
-        const start = this.start(organisation);
+        const start = this.nextStart(organisation);
         this.accounts.set(organisation, start + poolMilliseconds / rules.share);
         return start;
     }
 
-    /** Notes that a demand is served. */
-    served(start: number): void {
+    /** Advances virtual time to the start of a served request. */
+    recordServed(start: number): void {
         this.virtualTime = Math.max(this.virtualTime, start);
     }
 
-    /** Forgets everything once nothing waits: nobody is ahead of anybody then. */
+    /** Clears all accounts. Used when the queue is empty, as no organisation is ahead of another then. */
     reset(): void {
         this.accounts.clear();
         this.virtualTime = 0;
     }
 
-    /** Organisations that have an account now. */
+    /** Number of organisations that have an account. */
     get size(): number {
         return this.accounts.size;
     }
 
-    private start(organisation: string): number {
+    private nextStart(organisation: string): number {
         return Math.max(this.virtualTime, this.accounts.get(organisation) ?? 0);
     }
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/orphanSweep.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/orphanSweep.ts
@@ -3,58 +3,59 @@
 import type { Clock, Logger } from "../../utils/index.js";
 import type { Engine } from "../engine/engine.js";
 
-/** Milliseconds between two sweeps. */
-const sweepInterval = 1_000;
-/** Milliseconds for an engine to confirm a cancel; the next sweep repeats it otherwise. */
-const cancelTimeout = 2_000;
-/** Sessions that have closed, and attempts without a session, that are remembered. */
-const remembered = 4_096;
+/** Time between two sweeps. */
+const sweepIntervalMilliseconds = 1_000;
+/** Timeout of a cancel call to an engine; an unconfirmed cancel is retried by the next sweep. */
+const cancelTimeoutMilliseconds = 2_000;
+/** Upper bound of the session addresses, and of the attempts without a known session, that are kept. */
+const cacheLimit = 4_096;
 
 type Address = { readonly host: string; readonly port: number; };
 
-/** What a sweep needs of its daemon. */
+/** Dependencies of an orphan sweep. */
 export type OrphanSweepParts = {
     readonly clock: Clock;
     readonly logger: Logger;
     readonly view: () => View;
-    /** Whether the view is confirmed now. */
+    /** Whether the view is currently confirmed. */
     readonly mayStart: () => boolean;
-    /** Milliseconds for which a confirmation of the view holds. */
+    /** Time in milliseconds for which a confirmation of the view is valid. */
     readonly viewLease: number;
-    /** Whether the pool's scheduler is here. */
+    /** Whether this daemon runs the pool's scheduler. */
     readonly isScheduler: (pool: string) => boolean;
-    /** Makes a client for an engine; the sweep closes it. */
+    /** Creates a client for an engine; the sweep closes it. */
     readonly engineAt: (url: string) => Engine;
-    /** Attempts that the daemon at the address says it drives in the pool; undefined where none answers. */
-    readonly drivenAt: (address: Address, pool: string) => Promise<ReadonlySet<string> | undefined>;
+    /** Attempts that the daemon at the address reports as its own in the pool; undefined if it doesn't answer. */
+    readonly attemptsAt: (address: Address, pool: string) => Promise<ReadonlySet<string> | undefined>;
 };
 
 /**
- * Cancels at engines what a dead daemon left there. Without it an attempt of a killed daemon would decode to its last
- * token for nobody. After the session has closed it takes at most one load report, one sweep and one question.
+ * Cancels attempts of dead daemons at their engines. Without it the engine would decode an attempt of a killed daemon to
+ * the last token although nobody reads it. Once the daemon's session is closed, cancellation takes at most one load report,
+ * one sweep and one query to the daemon's address.
  */
 export class OrphanSweep {
     private readonly reports = new Map<string, { readonly pool: string; readonly report: LoadReport; }>();
-    private readonly addresses = new LRUCache<string, Address>({ max: remembered });
-    private readonly firstSeen = new LRUCache<string, number>({ max: remembered });
+    private readonly addresses = new LRUCache<string, Address>({ max: cacheLimit });
+    private readonly firstSeen = new LRUCache<string, number>({ max: cacheLimit });
     private cancelTimer: (() => void) | undefined;
     private closed = false;
 
     private constructor(private readonly parts: OrphanSweepParts) {
         this.follow(parts.view());
-        this.plan();
+        this.scheduleSweep();
     }
 
     static create(parts: OrphanSweepParts): OrphanSweep {
         return new OrphanSweep(parts);
     }
 
-    /** Takes in a load report of an engine. */
-    load(pool: string, report: LoadReport): void {
+    /** Records the latest load report of an engine. */
+    recordReport(pool: string, report: LoadReport): void {
         this.reports.set(report.id, { pool, report });
     }
 
-    /** Remembers who has a session, and where. */
+    /** Records the addresses of daemons with an open session, and drops reports of engines that left the view. */
     follow(view: View): void {
         for (const { session, peers } of Object.values(view.sessions)) {
             this.addresses.set(`${session.daemon}/${session.incarnation}`, peers);
@@ -71,8 +72,8 @@
         this.cancelTimer?.();
     }
 
-    private plan(): void {
-        this.cancelTimer = this.parts.clock.after(sweepInterval, () => void this.sweep());
+    private scheduleSweep(): void {
+        this.cancelTimer = this.parts.clock.after(sweepIntervalMilliseconds, () => void this.sweep());
     }
 
     private async sweep(): Promise<void> {
@@ -86,7 +87,7 @@
             await Promise.allSettled(sweeps);
         }
         if (!this.closed) {
-            this.plan();
+            this.scheduleSweep();
         }
     }
 
@@ -116,8 +117,8 @@
         if (this.addresses.has(owner)) {
             return true;
         }
-        // A session may be open that this view doesn't show yet. Once the view was confirmed after the attempt was
-        // first seen, it shows every session that could have started it.
+        // The owner's session may be missing only because this view is old. A view confirmed after the attempt was first
+        // seen contains every session that could have started it.
         const { clock, viewLease } = this.parts;
         const seenAt = this.firstSeen.get(attempt) ?? clock.monotonic();
         this.firstSeen.set(attempt, seenAt);
@@ -126,19 +127,19 @@
 
     private async cancel(engine: Engine, pool: string, attempt: string): Promise<void> {
         const address = this.addresses.get(ownerOf(attempt)!);
-        const driven = address === undefined ? undefined : await this.parts.drivenAt(address, pool);
+        const driven = address === undefined ? undefined : await this.parts.attemptsAt(address, pool);
         if (driven?.has(attempt) === true) {
             return;
         }
-        const cancelled = await engine.cancel(attempt, cancelTimeout);
-        this.parts.logger.info("cancelled an attempt whose daemon is gone", {
+        const cancelled = await engine.cancel(attempt, cancelTimeoutMilliseconds);
+        this.parts.logger.info("sent cancel for an orphaned attempt", {
             attempt,
             confirmed: cancelled.isRight(),
         });
     }
 }
 
-/** Daemon and incarnation, from the start of an attempt's identifier. */
+/** Daemon and incarnation from the prefix of an attempt's identifier; undefined if it has another form. */
 function ownerOf(attempt: string): string | undefined {
     const [daemon, incarnation, rest] = attempt.split("/");
     return rest === undefined ? undefined : `${daemon}/${incarnation}`;
--- a/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
@@ -2,32 +2,38 @@
 import type { Link } from "../../transport/index.js";
 import type { Clock } from "../../utils/index.js";
 
-/** Milliseconds between two messages to a scheduler while it owes something, so that its loss is noticed. */
-const probeInterval = 100;
-/** Milliseconds for the answer to one of them. */
-const probeTimeout = 250;
-/** Milliseconds for which progress is gathered before it is sent. */
-const gatherTime = 2;
-/** Progress that may wait for a scheduler out of reach; older is dropped, and load reports make up for it. */
-const progressLimit = 10_000;
-/** Milliseconds beyond the deadline of a demand for which its answer is awaited. */
-const answerGrace = 1_000;
-
-/** What a scheduler on another daemon made of a demand. */
+/** Time between two probes of a scheduler, sent to detect its loss while an answer or unsent progress is outstanding. */
+const probeIntervalMilliseconds = 100;
+/** Timeout of a probe, a withdrawal or a move. */
+const probeTimeoutMilliseconds = 250;
+/** Time for which progress is batched before it is sent. */
+const batchDelayMilliseconds = 2;
+/**
+ * Upper bound of the progress, and of the withdrawals, buffered for an unreachable scheduler. Older progress is dropped;
+ * load reports correct the scheduler's state.
+ */
+const unsentLimit = 10_000;
+/** Time beyond a request's deadline for which its decision is awaited. */
+const answerGraceMilliseconds = 1_000;
+
+/** Result of a scheduling request to another daemon. */
 export type RemoteDecision = Decision | "unreachable" | "notScheduler";
 
-/** Another decode engine, if one has a free slot. */
+/** Result of a move at another daemon's scheduler: the new decode engine, undefined if none has a free slot. */
 export type RemoteMove = { readonly decode: string | undefined; } | "unreachable";
 
 type PoolProgress = { readonly pool: string; readonly progress: Progress; };
 
-/** The way to one other daemon's schedulers. Tells soon when they are out of reach, though a demand may wait there for long. */
+/**
+ * Client for the schedulers of one other daemon. Probes it, so that its loss is detected even while requests are queued
+ * there for long.
+ */
 export class PeerLink {
     private readonly pending = new Map<string, (decision: RemoteDecision) => void>();
     private unsent: PoolProgress[] = [];
-    /** Demands handed back whose return wasn't confirmed yet. */
-    private readonly owed = new Set<string>();
-    private readonly waitingForAnswer = new Set<() => void>();
+    /** Attempts whose withdrawal wasn't confirmed yet. */
+    private readonly unconfirmedWithdrawals = new Set<string>();
+    private readonly reachableCallbacks = new Set<() => void>();
     private reachable = true;
     private probing = false;
     private closed = false;
@@ -44,18 +50,18 @@
         return this.reachable;
     }
 
-    /** Asks for engines. What is assigned after the answer was given up is handed back. */
+    /** Requests engines. An assignment that arrives after the request was abandoned is withdrawn. */
     async reserve(demand: Demand, signal: AbortSignal): Promise<RemoteDecision> {
         if (!this.reachable) {
-            this.schedule(0);
+            this.scheduleProbe(0);
             return "unreachable";
         }
         const { attempt } = demand;
         const given = new Promise<RemoteDecision>(resolve => this.pending.set(attempt, resolve));
         const giveUp = (): void => this.pending.get(attempt)?.("unreachable");
         signal.addEventListener("abort", giveUp);
-        void this.ask(demand);
-        this.schedule(probeInterval);
+        void this.requestDecision(demand);
+        this.scheduleProbe(probeIntervalMilliseconds);
         const decision = await given;
         signal.removeEventListener("abort", giveUp);
         this.pending.delete(attempt);
@@ -65,49 +71,49 @@
         return decision;
     }
 
-    /** Hands a demand back, wherever it has got to; tries again until it was answered. */
+    /** Withdraws a request, queued or assigned; retries until the scheduler answers. */
     withdraw(attempt: string): void {
-        if (this.owed.size < progressLimit) {
-            this.owed.add(attempt);
+        if (this.unconfirmedWithdrawals.size < unsentLimit) {
+            this.unconfirmedWithdrawals.add(attempt);
         }
         void this.sendWithdrawal(attempt);
     }
 
-    /** Asks for another decode engine for a holding whose engine is full. */
+    /** Requests another decode engine for a holding whose engine is full. */
     async move(holding: Holding): Promise<RemoteMove> {
         const request: PeerRequest = { kind: "move", pool: holding.demand.pool, holding };
-        const answer = await this.link.request(request, probeTimeout);
+        const answer = await this.link.request(request, probeTimeoutMilliseconds);
         const body = answer.extract() as PeerAnswer;
         return answer.isRight() && body.kind === "moved" ? { decode: body.decode } : "unreachable";
     }
 
-    /** Passes progress on; tries again until it was answered. */
+    /** Sends progress; retries until the scheduler answers. */
     progress(pool: string, progress: Progress): void {
         this.unsent.push({ pool, progress });
-        if (this.unsent.length > progressLimit) {
+        if (this.unsent.length > unsentLimit) {
             this.unsent.shift();
         }
-        this.schedule(gatherTime);
+        this.scheduleProbe(batchDelayMilliseconds);
     }
 
-    /** Passes a load report on; it may get lost, the next one makes up for it. */
+    /** Forwards a load report without confirmation; a lost one is superseded by the next. */
     load(pool: string, report: LoadReport): void {
         this.link.send({ kind: "load", pool, reports: [report] } satisfies PeerRequest);
     }
 
-    /** Tells a scheduler what was taken without it; it may get lost, load reports make up for it. */
-    taken(holding: Holding): void {
+    /** Reports a local placement to the scheduler without confirmation; if it is lost, load reports show the used slot. */
+    reportLocalHolding(holding: Holding): void {
         this.link.send({ kind: "taken", pool: holding.demand.pool, holding } satisfies PeerRequest);
     }
 
-    /** Calls back once, when the daemon has answered again; the returned function takes that back. */
+    /** Calls back once after the next answered probe; the returned function unsubscribes. */
     onReachable(callback: () => void): () => void {
-        this.waitingForAnswer.add(callback);
-        this.schedule(probeInterval);
-        return () => this.waitingForAnswer.delete(callback);
+        this.reachableCallbacks.add(callback);
+        this.scheduleProbe(probeIntervalMilliseconds);
+        return () => this.reachableCallbacks.delete(callback);
     }
 
-    /** What the daemon holds in a pool; undefined without an answer. */
+    /** The holdings of the daemon's attempts in a pool; undefined without an answer. */
     async holdings(pool: string, fence: number, timeout: number) {
         const answer = await this.link.request({ kind: "holdings", pool, fence } satisfies PeerRequest, timeout);
         const body = answer.extract() as PeerAnswer;
@@ -117,18 +123,18 @@
     close(): void {
         this.closed = true;
         this.cancelTimer?.();
-        this.fail();
+        this.failPending();
         this.link.close();
     }
 
-    private async ask(demand: Demand): Promise<void> {
+    private async requestDecision(demand: Demand): Promise<void> {
         const request: PeerRequest = { kind: "reserve", demand };
-        const answer = await this.link.request(request, demand.deadlineWithin + answerGrace);
+        const answer = await this.link.request(request, demand.deadlineWithin + answerGraceMilliseconds);
         const waiting = this.pending.get(demand.attempt);
         const body = answer.extract() as PeerAnswer;
         const decision = answer.isRight() && body.kind === "decision" ? body.decision : undefined;
         if (waiting === undefined) {
-            // Nobody uses it any more; unreturned it would hold its engines until the owner's session ends.
+            // The caller gave up; unless withdrawn, the assignment would hold its engines until this daemon's session ends.
             if (decision?.kind === "assigned") {
                 this.withdraw(demand.attempt);
             }
@@ -138,7 +144,7 @@
         waiting(decision ?? (isElsewhere ? "notScheduler" : "unreachable"));
     }
 
-    private schedule(milliseconds: number): void {
+    private scheduleProbe(milliseconds: number): void {
         if (this.closed || this.probing || this.cancelTimer !== undefined) {
             return;
         }
@@ -159,30 +165,33 @@
         }
         this.reachable = answered;
         if (answered) {
-            const waiting = [...this.waitingForAnswer];
-            this.waitingForAnswer.clear();
+            const waiting = [...this.reachableCallbacks];
+            this.reachableCallbacks.clear();
             waiting.forEach(callback => callback());
-            [...this.owed].forEach(attempt => void this.sendWithdrawal(attempt));
+            [...this.unconfirmedWithdrawals].forEach(attempt => void this.sendWithdrawal(attempt));
         }
         else {
-            this.unsent = [...sending, ...this.unsent].slice(-progressLimit);
-            this.fail();
+            this.unsent = [...sending, ...this.unsent].slice(-unsentLimit);
+            this.failPending();
         }
         if (this.unsent.length > 0 && answered) {
-            this.schedule(gatherTime);
+            this.scheduleProbe(batchDelayMilliseconds);
         }
         else if (this.unsent.length > 0 || this.pending.size > 0 || !answered) {
-            this.schedule(probeInterval);
+            this.scheduleProbe(probeIntervalMilliseconds);
         }
     }
 
     private async sendWithdrawal(attempt: string): Promise<void> {
-        const answer = await this.link.request({ kind: "withdraw", attempt } satisfies PeerRequest, probeTimeout);
+        const answer = await this.link.request(
+            { kind: "withdraw", attempt } satisfies PeerRequest,
+            probeTimeoutMilliseconds,
+        );
         if (answer.isRight()) {
-            this.owed.delete(attempt);
+            this.unconfirmedWithdrawals.delete(attempt);
         }
         else {
-            this.schedule(probeInterval);
+            this.scheduleProbe(probeIntervalMilliseconds);
         }
     }
 
@@ -199,10 +208,10 @@
 
     private async sendBatch(pool: string, progress: Progress[]): Promise<boolean> {
         const request: PeerRequest = { kind: "progress", pool, progress };
-        return (await this.link.request(request, probeTimeout)).isRight();
+        return (await this.link.request(request, probeTimeoutMilliseconds)).isRight();
     }
 
-    private fail(): void {
+    private failPending(): void {
         for (const giveUp of [...this.pending.values()]) {
             giveUp("unreachable");
         }
--- a/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
@@ -1,35 +1,41 @@
 import type { Decision, Demand, Holding, Progress } from "../../protocol/index.js";
 import { Admission } from "./admission.js";
 import { AdmissionForecast } from "./admissionForecast.js";
-import { DemandQueue, type WaitingDemand } from "./demandQueue.js";
 import { DisplacedAttempts } from "./displacedAttempts.js";
 import { type EngineChoice, EngineChooser } from "./engineChoice.js";
-import type { EnginePicture } from "./enginePicture.js";
+import { ModelEngineIndex } from "./modelEngineIndex.js";
 import { OrganisationShares } from "./organisationShares.js";
-import { type Assignment, PoolPicture } from "./poolPicture.js";
 import { PrefixIndex } from "./prefixIndex.js";
-import { Roster } from "./roster.js";
 import { type PoolRules, Scheduler, type SchedulerEvent } from "./scheduler.js";
+import { type QueuedRequest, SchedulingQueue } from "./schedulingQueue.js";
+import type { TrackedEngine } from "./trackedEngine.js";
+import { type Assignment, TrackedPool } from "./trackedPool.js";
 import { TransferTimes } from "./transferTimes.js";
 import { type Tuning, usualTuning } from "./tuning.js";
 
-/** Milliseconds between two ticks while demands wait. */
-const tickInterval = 20;
-/** Milliseconds between two ticks while attempts hold engines. */
-const idleTickInterval = 1_000;
-/** Milliseconds after a stall in which nothing is handed out: what others took meanwhile has arrived, and is taken in first. */
-const settlingTime = 30;
-/** Demands behind one that can't start that are looked at for engines that it can't use. */
+/** Time between two ticks while requests are queued. */
+const tickIntervalMilliseconds = 20;
+/** Time between two ticks while the queue is empty and attempts hold engines. */
+const idleTickIntervalMilliseconds = 1_000;
+/** Time after a stall without new assignments, so that messages about placements made during the stall are applied first. */
+const settlingMilliseconds = 30;
+/**
+ * Number of queued requests examined per dispatch, so that one that can't start doesn't block those that can use other
+ * engines.
+ */
 const lookahead = 32;
 
-/** The scheduler of one pool: reserves prefill, link and decode together, and starts a prefill when a decode slot is free for its result. */
+/**
+ * The scheduler of one pool. Reserves prefill, link and decode together, and starts a prefill only when a decode slot
+ * is free for its result.
+ */
 export class PoolScheduler extends Scheduler {
-    private readonly picture = PoolPicture.create();
-    private readonly queue = DemandQueue.create();
+    private readonly pool = TrackedPool.create();
+    private readonly queue = SchedulingQueue.create();
     private readonly prefixes = PrefixIndex.create();
     private readonly transfers = TransferTimes.create();
     private readonly forecast = AdmissionForecast.create();
-    private readonly roster = Roster.create(this.picture);
+    private readonly engineIndex = ModelEngineIndex.create(this.pool);
     private readonly displaced = DisplacedAttempts.create();
     private readonly shares: OrganisationShares;
     private readonly chooser: EngineChooser;
@@ -41,12 +47,12 @@
     private constructor(private readonly fence: number, private warm: boolean, private readonly tuning: Tuning) {
         super();
         this.shares = OrganisationShares.create(tuning.mostLag);
-        const { picture, prefixes, transfers } = this;
+        const { pool: tracked, prefixes, transfers } = this;
         this.chooser = EngineChooser.create({ prefixes, transfers, tuning });
         this.admission = Admission.create({
-            picture,
+            trackedPool: tracked,
             queue: this.queue,
-            roster: this.roster,
+            modelEngineIndex: this.engineIndex,
             forecast: this.forecast,
             chooser: this.chooser,
             transfers,
@@ -55,7 +61,10 @@
         });
     }
 
-    /** `warm`: whether nothing can have been handed out before; otherwise only engines that have reported their load are used until the event `warm`. */
+    /**
+     * `warm`: whether nothing can have been assigned before; otherwise only decode engines that have reported their
+     * load are used until the event `warm`.
+     */
     static create(options: {
         readonly fence: number;
         readonly warm: boolean;
@@ -65,7 +74,7 @@
     }
 
     override step(event: SchedulerEvent, now: number): readonly Decision[] {
-        const decisions = this.takeIn(event, now);
+        const decisions = this.applyEvent(event, now);
         if (mayFreeEngines(event) && now >= this.settledAt) {
             this.dispatch(decisions, now);
         }
@@ -75,54 +84,60 @@
     override move(holding: Holding, now: number): string | undefined {
         const { demand } = holding;
         this.queue.remove(demand.attempt);
-        this.picture.restore(holding, now);
-        const assignment = this.picture.assignments.get(demand.attempt);
-        const prefill = this.picture.engines.get(holding.prefill);
+        this.pool.restore(holding, now);
+        const assignment = this.pool.assignments.get(demand.attempt);
+        const prefill = this.pool.engines.get(holding.prefill);
         if (assignment === undefined || prefill === undefined) {
             return undefined;
         }
         if (assignment.decode !== holding.decode) {
-            // It was moved before, and the answer got lost.
+            // A previous call moved it, and its answer was lost.
             return assignment.decode;
         }
-        this.picture.engines.get(holding.decode)?.provedFull(demand.attempt);
-        const read = { prefill, work: 0, expectedReuse: 0, prefillAt: now };
-        const choice = this.chooser.decode(demand, read, this.roster.crew(demand).decode, !this.warm, now);
+        this.pool.engines.get(holding.decode)?.recordFull(demand.attempt);
+        const finishedPrefill = { prefill, work: 0, expectedReuse: 0, prefillAt: now };
+        const choice = this.chooser.chooseDecode(
+            demand,
+            finishedPrefill,
+            this.engineIndex.enginesFor(demand).decode,
+            !this.warm,
+            now,
+        );
         if (choice === undefined) {
             this.displaced.add(demand.attempt, now);
             return undefined;
         }
         this.displaced.remove(demand.attempt);
-        this.picture.move(assignment, choice.decode);
-        choice.decode.sent(now);
+        this.pool.move(assignment, choice.decode);
+        choice.decode.recordDispatch(now);
         return choice.decode.id;
     }
 
     override wakeAt(): number | undefined {
         if (this.queue.size > 0) {
-            return this.lastTick + tickInterval;
+            return this.lastTick + tickIntervalMilliseconds;
         }
-        return this.picture.assignments.size > 0 ? this.lastTick + idleTickInterval : undefined;
+        return this.pool.assignments.size > 0 ? this.lastTick + idleTickIntervalMilliseconds : undefined;
     }
 
     override standing(): ReturnType<Scheduler["standing"]> {
-        return { held: this.picture.held(), waiting: this.queue.size };
+        return { held: this.pool.heldByEngine(), waiting: this.queue.size };
     }
 
-    private takeIn(event: SchedulerEvent, now: number): Decision[] {
+    private applyEvent(event: SchedulerEvent, now: number): Decision[] {
         switch (event.kind) {
             case "demand":
                 return this.demand(event.demand, now);
             case "withdraw":
                 if (this.queue.remove(event.attempt) === undefined) {
-                    this.picture.release(event.attempt, now);
+                    this.pool.release(event.attempt, now);
                 }
                 return [];
             case "progress":
                 this.progress(event.progress, now);
                 return [];
             case "load":
-                this.load(event.report, now);
+                this.applyReport(event.report, now);
                 return [];
             case "engines":
                 this.setEngines(event.engines, now);
@@ -131,17 +146,17 @@
                 this.rules = event.rules;
                 return [];
             case "sessions":
-                this.dropClosed(event.open, now);
+                this.releaseClosedSessions(event.open, now);
                 return [];
             case "holding":
                 this.queue.remove(event.holding.demand.attempt);
-                this.picture.restore(event.holding, now);
+                this.pool.restore(event.holding, now);
                 return [];
             case "warm":
                 this.warm = true;
                 return [];
             case "stalled":
-                this.settledAt = now + settlingTime;
+                this.settledAt = now + settlingMilliseconds;
                 return [];
             case "tick":
                 return this.tick(now);
@@ -152,72 +167,72 @@
         if (this.queue.has(demand.attempt)) {
             return [];
         }
-        const held = this.picture.assignments.get(demand.attempt);
+        const held = this.pool.assignments.get(demand.attempt);
         if (held !== undefined) {
-            return [this.assigned(demand, held.prefill, held.decode, 0)];
+            return [this.assignedDecision(demand, held.prefill, held.decode, 0)];
         }
         const refusal = this.admission.admit(demand, this.rules, now);
         return refusal === undefined ? [] : [refusal];
     }
 
     private progress(progress: Progress, now: number): void {
-        const before = this.picture.assignments.get(progress.attempt);
+        const before = this.pool.assignments.get(progress.attempt);
         if (before === undefined) {
             return;
         }
         this.displaced.remove(progress.attempt);
         this.learn(before, progress, now);
-        this.picture.progress(progress, now);
+        this.pool.progress(progress, now);
         if (progress.failedEngine !== undefined) {
-            this.picture.engines.get(progress.failedEngine)?.failed(now);
+            this.pool.engines.get(progress.failedEngine)?.recordFailure(now);
         }
     }
 
     private learn(assignment: Assignment, progress: Progress, now: number): void {
         const { demand } = assignment;
         if (progress.stage === "finished") {
-            this.forecast.ended(assignment, now);
+            this.forecast.recordEnd(assignment, now);
             return;
         }
-        const prefill = this.picture.engines.get(assignment.prefill);
-        const decode = this.picture.engines.get(assignment.decode);
+        const prefill = this.pool.engines.get(assignment.prefill);
+        const decode = this.pool.engines.get(assignment.decode);
         if (progress.stage === "prefilled") {
-            prefill?.succeeded();
+            prefill?.recordSuccess();
         }
         if (progress.stage === "transferred") {
-            decode?.succeeded();
+            decode?.recordSuccess();
         }
         if (progress.stage === "prefilled" && progress.reusedTokens !== undefined && prefill !== undefined) {
-            const believed = assignment.believedBlocks * demand.blockTokens;
-            this.prefixes.reused(prefill.id, believed, progress.reusedTokens);
+            const expectedTokens = assignment.expectedCachedBlocks * demand.blockTokens;
+            this.prefixes.recordReuse(prefill.id, expectedTokens, progress.reusedTokens);
         }
-        const alone = assignment.linkWait === 0 && assignment.stage === "prefilled";
-        if (progress.stage === "transferred" && alone && prefill !== undefined && decode !== undefined) {
-            this.transfers.seen(prefill, decode, demand.promptTokens, now - assignment.stageAt);
+        const hadLinkToItself = assignment.expectedLinkWait === 0 && assignment.stage === "prefilled";
+        if (progress.stage === "transferred" && hadLinkToItself && prefill !== undefined && decode !== undefined) {
+            this.transfers.recordTransfer(prefill, decode, demand.promptTokens, now - assignment.stageAt);
         }
     }
 
-    private load(report: Extract<SchedulerEvent, { kind: "load"; }>["report"], now: number): void {
-        const engine = this.picture.load(report, now);
+    private applyReport(report: Extract<SchedulerEvent, { kind: "load"; }>["report"], now: number): void {
+        const engine = this.pool.applyReport(report, now);
         if (engine !== undefined && report.cache !== undefined) {
-            this.prefixes.take(engine.id, report.cache);
+            this.prefixes.applyEvents(engine.id, report.cache);
         }
     }
 
     private setEngines(engines: Extract<SchedulerEvent, { kind: "engines"; }>["engines"], now: number): void {
         for (const { announcement, state } of engines) {
-            const known = this.picture.engines.get(announcement.id);
+            const known = this.pool.engines.get(announcement.id);
             if (
                 known !== undefined && (state === "gone" || announcement.incarnation > known.announcement.incarnation)
             ) {
-                this.prefixes.forget(announcement.id);
+                this.prefixes.removeEngine(announcement.id);
             }
         }
-        this.picture.setEngines(engines, now);
-        this.roster.clear();
+        this.pool.setEngines(engines, now);
+        this.engineIndex.clear();
     }
 
-    private dropClosed(open: Extract<SchedulerEvent, { kind: "sessions"; }>["open"], now: number): void {
+    private releaseClosedSessions(open: Extract<SchedulerEvent, { kind: "sessions"; }>["open"], now: number): void {
         const names = new Set(open.map(session => `${session.daemon}/${session.incarnation}`));
         const closed = (demand: Demand): boolean => !names.has(`${demand.owner.daemon}/${demand.owner.incarnation}`);
         for (const { demand } of this.queue.all()) {
@@ -225,12 +240,12 @@
                 this.queue.remove(demand.attempt);
             }
         }
-        this.picture.releaseWhere(assignment => closed(assignment.demand), now);
+        this.pool.releaseWhere(assignment => closed(assignment.demand), now);
     }
 
     private tick(now: number): Decision[] {
         this.lastTick = now;
-        this.picture.releaseWhere(assignment => assignment.endsBy <= now, now);
+        this.pool.releaseWhere(assignment => assignment.endsBy <= now, now);
         if (this.queue.size === 0) {
             this.shares.reset();
         }
@@ -257,53 +272,60 @@
                 position++;
                 continue;
             }
-            decisions.push(this.start(waiting, choice, now));
+            decisions.push(this.assign(waiting, choice, now));
         }
     }
 
     private choose(demand: Demand, now: number): EngineChoice | "full" | "wait" {
-        const crew = this.roster.crew(demand);
-        const prefill = this.chooser.prefill(demand, crew.prefill, now);
+        const modelEngines = this.engineIndex.enginesFor(demand);
+        const prefill = this.chooser.choosePrefill(demand, modelEngines.prefill, now);
         if (prefill === undefined || prefill.prefillAt - now > this.tuning.lead) {
             return "wait";
         }
-        if (this.areSlotsOwed(crew.decode, now)) {
+        if (this.areFreeSlotsReserved(modelEngines.decode, now)) {
             return "full";
         }
-        return this.chooser.decode(demand, prefill, crew.decode, !this.warm, now) ?? "full";
+        return this.chooser.chooseDecode(demand, prefill, modelEngines.decode, !this.warm, now) ?? "full";
     }
 
-    /** Whether all free slots are for attempts whose prompts were read and whose engines proved to be full. */
-    private areSlotsOwed(decodes: readonly EnginePicture[], now: number): boolean {
+    /**
+     * Whether all free slots are reserved for displaced attempts, whose prefill is done and whose decode engine was
+     * full.
+     */
+    private areFreeSlotsReserved(decodes: readonly TrackedEngine[], now: number): boolean {
         const owed = this.displaced.count(now);
-        return owed > 0 && owed >= decodes.reduce((sum, engine) => sum + Math.max(0, engine.slots - engine.taken), 0);
+        return owed > 0
+            && owed >= decodes.reduce((sum, engine) => sum + Math.max(0, engine.slots - engine.usedSlots), 0);
     }
 
-    private start(waiting: WaitingDemand, choice: EngineChoice, now: number): Decision {
+    private assign(waiting: QueuedRequest, choice: EngineChoice, now: number): Decision {
         const { demand } = waiting;
         const { prefill, decode } = choice;
         this.queue.remove(demand.attempt);
-        this.shares.served(waiting.shareStart);
-        const assignment = this.picture.assign(demand, choice, now);
-        assignment.believedBlocks = this.prefixes.matched(prefill.id, demand.prefixes);
-        assignment.linkWait = Math.max(
+        this.shares.recordServed(waiting.shareStart);
+        const assignment = this.pool.assign(demand, choice, now);
+        assignment.expectedCachedBlocks = this.prefixes.matched(prefill.id, demand.prefixes);
+        assignment.expectedLinkWait = Math.max(
             0,
             Math.max(prefill.linkFreeAt, decode.linkFreeAt) - choice.prefillAt - choice.work,
         );
-        prefill.sent(now);
-        decode.sent(now);
+        prefill.recordDispatch(now);
+        decode.recordDispatch(now);
         prefill.linkFreeAt = choice.transferredAt;
         decode.linkFreeAt = choice.transferredAt;
-        this.prefixes.sent(prefill.id, demand.prefixes);
-        return this.assigned(demand, prefill.id, decode.id, choice.expectedReuse);
+        this.prefixes.recordDispatch(prefill.id, demand.prefixes);
+        return this.assignedDecision(demand, prefill.id, decode.id, choice.expectedReuse);
     }
 
-    private assigned(demand: Demand, prefill: string, decode: string, expectedReuse: number): Decision {
+    private assignedDecision(demand: Demand, prefill: string, decode: string, expectedReuse: number): Decision {
         return { kind: "assigned", attempt: demand.attempt, prefill, decode, fence: this.fence, expectedReuse };
     }
 }
 
-/** A transfer that has ended and a first token free nothing; looking through the queue for them doubled the work of a request. */
+/**
+ * Whether an event may free engines. A finished transfer and a first token don't; dispatching on them doubled the work
+ * per request.
+ */
 function mayFreeEngines(event: SchedulerEvent): boolean {
     return event.kind !== "progress"
         || (event.progress.stage !== "transferred" && event.progress.stage !== "firstToken");
--- a/packages/basilpaddle/src/node/coordination/scheduling/prefixIndex.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/prefixIndex.ts
@@ -1,35 +1,38 @@
 import { LRUCache } from "lru-cache";
 import type { LoadReport } from "../../protocol/index.js";
 
-/** Prefix blocks remembered for one engine. */
-const blocksPerEngine = 8_192;
-/** What is left of the trust in a picture of a cache after some of its events were lost. */
-const trustAfterGap = 0.5;
-/** Weight of one report of reuse in the trust. */
-const trustStep = 0.2;
+/** Upper bound of the prefix blocks kept for one engine. */
+const blockLimitPerEngine = 8_192;
+/** Factor applied to the trust in a tracked cache when some of its events were lost. */
+const gapTrustFactor = 0.5;
+/** Weight of one reuse report in the trust. */
+const trustWeight = 0.2;
 
-type CachePicture = {
+type TrackedCache = {
     readonly blocks: LRUCache<string, true>;
     nextSequence: number | undefined;
-    /** From 0 to 1: how much of the expected reuse lately came true. */
+    /** From 0 to 1: the recent ratio of reported to expected reuse. */
     trust: number;
 };
 
-/** Which prefix blocks each prefill engine likely holds, from late and lossy cache events and from what was sent there. */
+/**
+ * Estimates which prefix blocks each prefill engine has cached, from delayed and lossy cache events and from the
+ * prompts sent there.
+ */
 export class PrefixIndex {
-    private readonly caches = new Map<string, CachePicture>();
+    private readonly caches = new Map<string, TrackedCache>();
 
     static create(): PrefixIndex {
         return new PrefixIndex();
     }
 
-    /** Blocks of the chain that the engine likely holds. */
+    /** Number of leading blocks of the chain that the engine is likely to have cached. */
     matched(engine: string, prefixes: readonly string[]): number {
         const cache = this.caches.get(engine);
         if (cache === undefined || prefixes.length === 0 || !cache.blocks.has(prefixes[0]!)) {
             return 0;
         }
-        // A block of a chain is of use only with all blocks before it, so the held part is a start of the chain.
+        // A block is usable only together with all blocks before it, so the cached part is a prefix of the chain.
         let held = 1;
         let missing = prefixes.length + 1;
         while (missing - held > 1) {
@@ -44,26 +47,26 @@
         return held;
     }
 
-    /** Prompt tokens that the engine is expected to find in its cache. */
-    expected(engine: string, prefixes: readonly string[], blockTokens: number): number {
+    /** Number of prompt tokens that the engine is expected to find in its cache. */
+    reusableTokens(engine: string, prefixes: readonly string[], blockTokens: number): number {
         const trust = this.caches.get(engine)?.trust ?? 0;
         return Math.floor(this.matched(engine, prefixes) * blockTokens * trust);
     }
 
-    /** Notes that the engine computes this prompt, before its cache event comes. */
-    sent(engine: string, prefixes: readonly string[]): void {
-        const cache = this.cache(engine);
+    /** Adds the blocks of a prompt sent to the engine, before its cache events arrive. */
+    recordDispatch(engine: string, prefixes: readonly string[]): void {
+        const cache = this.trackedCache(engine);
         for (const prefix of prefixes) {
             cache.blocks.set(prefix, true);
         }
     }
 
-    /** Takes the cache events of a load report. */
-    take(engine: string, events: NonNullable<LoadReport["cache"]>): void {
-        const cache = this.cache(engine);
-        // Lost events are most likely evictions of blocks still believed held; each makes a prefill dearer than planned.
+    /** Applies the cache events of a load report. */
+    applyEvents(engine: string, events: NonNullable<LoadReport["cache"]>): void {
+        const cache = this.trackedCache(engine);
+        // Lost events are most likely evictions of blocks that still count as cached; each makes a prefill slower than planned.
         if (cache.nextSequence !== undefined && events.firstSequence > cache.nextSequence) {
-            cache.trust *= trustAfterGap;
+            cache.trust *= gapTrustFactor;
         }
         cache.nextSequence = events.firstSequence + events.events.length;
         for (const event of events.events) {
@@ -81,27 +84,27 @@
         }
     }
 
-    /** Corrects the trust by what the engine reports it reused of what its picture held. */
-    reused(engine: string, believedTokens: number, reusedTokens: number): void {
-        if (believedTokens > 0) {
-            const cache = this.cache(engine);
-            const kept = Math.min(1, reusedTokens / believedTokens);
-            cache.trust += trustStep * (kept - cache.trust);
+    /** Updates the trust with the ratio of reused to expected tokens that an engine reported. */
+    recordReuse(engine: string, expectedTokens: number, reusedTokens: number): void {
+        if (expectedTokens > 0) {
+            const cache = this.trackedCache(engine);
+            const kept = Math.min(1, reusedTokens / expectedTokens);
+            cache.trust += trustWeight * (kept - cache.trust);
         }
     }
 
-    /** Forgets an engine that restarted or left. */
-    forget(engine: string): void {
+    /** Removes an engine that restarted or left. */
+    removeEngine(engine: string): void {
         this.caches.delete(engine);
     }
 
-    private cache(engine: string): CachePicture {
+    private trackedCache(engine: string): TrackedCache {
         const known = this.caches.get(engine);
         if (known !== undefined) {
             return known;
         }
-        const created: CachePicture = {
-            blocks: new LRUCache({ max: blocksPerEngine }),
+        const created: TrackedCache = {
+            blocks: new LRUCache({ max: blockLimitPerEngine }),
             nextSequence: undefined,
             trust: 1,
         };
--- a/packages/basilpaddle/src/node/coordination/scheduling/refusals.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/refusals.ts
@@ -1,6 +1,6 @@
 import type { Decision, Demand, RefusalCode } from "../../protocol/index.js";
 
-/** Refuses a demand before anything was started for it. */
+/** Creates the refusal of a scheduling request for which nothing was started. `retryAfter` is in milliseconds. */
 export function refuse(
     demand: Demand,
     code: RefusalCode,
--- a/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
@@ -15,54 +15,57 @@
 import type { Engine } from "../engine/engine.js";
 import { Placement } from "../placement.js";
 import { pause } from "../request/scope.js";
-import { AlonePlacement } from "./alonePlacement.js";
 import { EngineSurvey } from "./engineSurvey.js";
-import { HeldAttempts } from "./heldAttempts.js";
+import { LocalHoldings } from "./localHoldings.js";
+import { LocalPlacement } from "./localPlacement.js";
 import { OrphanSweep } from "./orphanSweep.js";
 import { PeerLink, type RemoteDecision } from "./peerLink.js";
 import { PoolScheduler } from "./poolScheduler.js";
 import { refuse } from "./refusals.js";
 import { SchedulerHost } from "./schedulerHost.js";
 
-/** Milliseconds for a daemon to tell what it holds to a new scheduler. */
-const surveyTimeout = 500;
-/** Milliseconds by which reports may lag: what a scheduler handed out until it fell silent isn't in them before. */
-const reportLag = 300;
-/** Times that a demand follows its pool's scheduler from daemon to daemon before this daemon chooses alone. */
-const moves = 3;
+/** Timeout of a daemon's answer when it is asked for its holdings. */
+const surveyTimeoutMilliseconds = 500;
+/** Time after which load reports include everything that a scheduler assigned before it became unreachable. */
+const reportLagMilliseconds = 300;
+/** Number of times that a request follows its pool's scheduler to another daemon before it is placed locally. */
+const moveLimit = 3;
 
-/** What a placement needs of its daemon. */
+/** Dependencies of a placement. */
 export type ScheduledPlacementParts = {
     readonly control: ControlClient;
     readonly network: Network;
-    /** Makes a client for an engine; whoever asks for it closes it. */
+    /** Creates a client for an engine; the caller closes it. */
     readonly engineAt: (url: string) => Engine;
-    /** Milliseconds for which a confirmation of the view holds. */
+    /** Time in milliseconds for which a confirmation of the view is valid. */
     readonly viewLease: number;
     readonly clock: Clock;
     readonly randomness: Randomness;
     readonly logger: Logger;
 };
 
-type Holder = { readonly here: boolean; readonly name: string; readonly fence: number; };
+type SchedulerLeaseHolder = { readonly here: boolean; readonly name: string; readonly fence: number; };
 
-/** Finds engines through the scheduler of the pool, here or on the daemon that holds its lease; alone where neither is within reach. */
+/**
+ * Reserves engines through the pool's scheduler, here or on the daemon that holds its lease; falls back to local
+ * placement if it is unreachable.
+ */
 export class ScheduledPlacement extends Placement {
     private readonly store = DisposableStore.create();
-    private readonly alone: AlonePlacement;
-    private readonly held = HeldAttempts.create();
+    private readonly localPlacement: LocalPlacement;
+    private readonly localHoldings = LocalHoldings.create();
     private readonly hosts = new Map<string, SchedulerHost>();
     private readonly links = new Map<string, PeerLink>();
-    /** Highest fencing number by which a scheduler of the pool has asked for holdings. */
-    private readonly fences = new Map<string, number>();
-    private readonly orphans: OrphanSweep;
-    private readonly engines: EngineSurvey;
+    /** Highest fence with which a scheduler of each pool has asked for holdings. */
+    private readonly highestFences = new Map<string, number>();
+    private readonly orphanSweep: OrphanSweep;
+    private readonly engineSurvey: EngineSurvey;
 
     private constructor(private readonly parts: ScheduledPlacementParts) {
         super();
         const { control, clock, logger, viewLease, engineAt } = parts;
-        this.alone = AlonePlacement.create(parts);
-        this.orphans = OrphanSweep.create({
+        this.localPlacement = LocalPlacement.create(parts);
+        this.orphanSweep = OrphanSweep.create({
             clock,
             logger,
             viewLease,
@@ -70,16 +73,16 @@
             view: () => control.view(),
             mayStart: () => control.mayStart(),
             isScheduler: pool => this.hosts.has(pool),
-            drivenAt: (address, pool) => this.drivenAt(address, pool),
+            attemptsAt: (address, pool) => this.queryAttemptsAt(address, pool),
         });
-        this.engines = EngineSurvey.create({
+        this.engineSurvey = EngineSurvey.create({
             view: () => control.view(),
             engineAt,
             randomness: parts.randomness,
-            heard: (pool, report) => this.orphans.load(pool, report),
+            onReport: (pool, report) => this.orphanSweep.recordReport(pool, report),
         });
-        this.store.add(() => this.alone.close());
-        this.store.add(() => this.orphans.close());
+        this.store.add(() => this.localPlacement.close());
+        this.store.add(() => this.orphanSweep.close());
         this.store.add(control.onView(view => this.follow(view)));
         this.follow(control.view());
     }
@@ -90,85 +93,85 @@
 
     override async reserve(demand: Demand, signal: AbortSignal): Promise<Decision> {
         const since = this.parts.clock.monotonic();
-        for (let move = 0; move < moves && !signal.aborted; move++) {
-            let current = this.leftOf(demand, since);
-            let decision = await this.ask(current, signal);
+        for (let move = 0; move < moveLimit && !signal.aborted; move++) {
+            let current = this.withRemainingTime(demand, since);
+            let decision = await this.requestDecision(current, signal);
             if (decision === "alone") {
-                current = this.leftOf(demand, since);
-                decision = await this.reserveAlone(current, signal);
+                current = this.withRemainingTime(demand, since);
+                decision = await this.reserveLocally(current, signal);
             }
             if (decision !== "moved") {
-                return this.noted(current, decision, since, signal);
+                return this.recordDecision(current, decision, since, signal);
             }
         }
-        const current = this.leftOf(demand, since);
-        return this.noted(current, await this.alone.reserve(current, signal), since, signal);
+        const current = this.withRemainingTime(demand, since);
+        return this.recordDecision(current, await this.localPlacement.reserve(current, signal), since, signal);
     }
 
     /**
-     * The demand has the times that are left of it: chosen for as if it had just come, one that has waited long would take
-     * engines from those that can be on time. It goes back to the scheduler as soon as that answers again.
+     * Places a request locally within its remaining time: treated as new, a request that has waited long would take engines
+     * from those that can still meet their targets. The request returns to the scheduler as soon as that answers again.
      */
-    private async reserveAlone(demand: Demand, signal: AbortSignal): Promise<Decision | "moved"> {
+    private async reserveLocally(demand: Demand, signal: AbortSignal): Promise<Decision | "moved"> {
         const back = new AbortController();
-        const link = this.remote(demand.pool);
+        const link = this.remoteLink(demand.pool);
         const forget = link?.onReachable(() => back.abort());
         if (demand.once) {
-            await pause(this.parts.clock, reportLag, AbortSignal.any([signal, back.signal]));
-            const reports = await this.engines.askDecodes(demand.pool);
-            reports.forEach(report => this.alone.load(demand.pool, report));
+            await pause(this.parts.clock, reportLagMilliseconds, AbortSignal.any([signal, back.signal]));
+            const reports = await this.engineSurvey.queryDecodeEngines(demand.pool);
+            reports.forEach(report => this.localPlacement.load(demand.pool, report));
         }
-        const decision = await this.alone.reserve(demand, AbortSignal.any([signal, back.signal]));
+        const decision = await this.localPlacement.reserve(demand, AbortSignal.any([signal, back.signal]));
         forget?.();
         if (back.signal.aborted && !signal.aborted && decision.kind === "refused") {
             return "moved";
         }
         if (decision.kind === "assigned") {
             const { prefill, decode } = decision;
-            link?.taken({ demand, prefill, decode, stage: "prefilling", tokens: 0 });
+            link?.reportLocalHolding({ demand, prefill, decode, stage: "prefilling", tokens: 0 });
         }
         return decision;
     }
 
     override async move(holding: Holding): Promise<string | undefined> {
         const { demand: { attempt, pool }, prefill, decode: full } = holding;
-        const decode = await this.askMove(holding);
-        this.parts.logger.info("a decode engine proved to be full", { pool, attempt, prefill, full, movedTo: decode });
+        const decode = await this.requestMove(holding);
+        this.parts.logger.info("decode engine is full", { pool, attempt, prefill, full, movedTo: decode });
         if (decode !== undefined) {
-            this.held.move(attempt, decode);
+            this.localHoldings.move(attempt, decode);
         }
         return decode;
     }
 
     override progress(pool: string, progress: Progress): void {
-        this.held.progress(progress);
-        this.alone.progress(pool, progress);
+        this.localHoldings.progress(progress);
+        this.localPlacement.progress(pool, progress);
         const host = this.hosts.get(pool);
         if (host !== undefined) {
             host.progress([progress]);
             return;
         }
-        this.remote(pool)?.progress(pool, progress);
+        this.remoteLink(pool)?.progress(pool, progress);
     }
 
     override load(pool: string, report: LoadReport): void {
-        this.alone.load(pool, report);
+        this.localPlacement.load(pool, report);
         const host = this.hosts.get(pool);
         if (host !== undefined) {
-            this.orphans.load(pool, report);
+            this.orphanSweep.recordReport(pool, report);
             host.load([report]);
             return;
         }
-        this.remote(pool)?.load(pool, report);
+        this.remoteLink(pool)?.load(pool, report);
     }
 
-    /** Serves a request of another daemon; undefined where it is none of the scheduler's. */
+    /** Handles a request of another daemon; undefined if it isn't a scheduling request. */
     async handlePeer(request: PeerRequest, context: LinkContext): Promise<PeerAnswer | undefined> {
         switch (request.kind) {
             case "reserve":
-                return this.serve(request.demand, context);
+                return this.serveReserve(request.demand, context);
             case "taken":
-                this.hosts.get(request.pool)?.taken(request.holding);
+                this.hosts.get(request.pool)?.applyHolding(request.holding);
                 return { kind: "received" };
             case "move":
                 return this.serveMove(request.pool, request.holding);
@@ -180,21 +183,24 @@
                 return { kind: "received" };
             case "load":
                 for (const report of request.reports) {
-                    this.orphans.load(request.pool, report);
+                    this.orphanSweep.recordReport(request.pool, report);
                 }
                 this.hosts.get(request.pool)?.load(request.reports);
                 return { kind: "received" };
             case "holdings":
-                this.fences.set(request.pool, Math.max(request.fence, this.fences.get(request.pool) ?? 0));
-                return { kind: "held", holdings: this.held.ofPool(request.pool) };
+                this.highestFences.set(
+                    request.pool,
+                    Math.max(request.fence, this.highestFences.get(request.pool) ?? 0),
+                );
+                return { kind: "held", holdings: this.localHoldings.ofPool(request.pool) };
             default:
                 return undefined;
         }
     }
 
-    /** Slots held and demands waiting at the schedulers that are here, by pool. */
-    standing(): ReadonlyMap<string, ReturnType<SchedulerHost["standing"]>> {
-        return new Map([...this.hosts].map(([pool, host]) => [pool, host.standing()]));
+    /** Slots held and requests queued at the schedulers of this daemon, by pool. */
+    standing(): ReadonlyMap<string, ReturnType<SchedulerHost["schedulerStatus"]>> {
+        return new Map([...this.hosts].map(([pool, host]) => [pool, host.schedulerStatus()]));
     }
 
     override async close(): Promise<void> {
@@ -205,8 +211,8 @@
         await this.store.dispose();
     }
 
-    /** The demand with the times that are left of it. */
-    private leftOf(demand: Demand, since: number): Demand {
+    /** The request with the time already spent subtracted from its limits. */
+    private withRemainingTime(demand: Demand, since: number): Demand {
         const passed = this.parts.clock.monotonic() - since;
         return {
             ...demand,
@@ -215,30 +221,30 @@
         };
     }
 
-    private async ask(demand: Demand, signal: AbortSignal): Promise<Decision | "moved" | "alone"> {
+    private async requestDecision(demand: Demand, signal: AbortSignal): Promise<Decision | "moved" | "alone"> {
         const { pool } = demand;
         const host = this.hosts.get(pool);
         if (host !== undefined) {
             return await host.reserve(demand, signal) ?? "moved";
         }
-        const before = this.holder(pool);
-        const link = this.remote(pool);
+        const before = this.leaseHolder(pool);
+        const link = this.remoteLink(pool);
         if (link === undefined) {
             return "alone";
         }
         const decision: RemoteDecision = await link.reserve(demand, signal);
         if (decision === "unreachable" || decision === "notScheduler") {
-            return this.holder(pool)?.fence === before?.fence ? "alone" : "moved";
+            return this.leaseHolder(pool)?.fence === before?.fence ? "alone" : "moved";
         }
-        if (decision.kind === "assigned" && decision.fence < (this.fences.get(pool) ?? 0)) {
-            // A newer scheduler has asked what is held here and wasn't told of this; it would hand the slot out again.
+        if (decision.kind === "assigned" && decision.fence < (this.highestFences.get(pool) ?? 0)) {
+            // A newer scheduler has asked for holdings before this one existed, and could assign the slot a second time.
             link.withdraw(demand.attempt);
             return "moved";
         }
         return decision;
     }
 
-    private noted(demand: Demand, decision: Decision, since: number, signal: AbortSignal): Decision {
+    private recordDecision(demand: Demand, decision: Decision, since: number, signal: AbortSignal): Decision {
         if (signal.aborted) {
             if (decision.kind === "assigned") {
                 this.progress(demand.pool, { attempt: demand.attempt, stage: "cancelled", tokens: 0 });
@@ -246,10 +252,10 @@
             return refuse(demand, "callerGone", "the caller has gone", undefined);
         }
         if (decision.kind === "assigned") {
-            this.held.add(demand, decision.prefill, decision.decode);
+            this.localHoldings.add(demand, decision.prefill, decision.decode);
             const { attempt, prefill, decode, fence } = decision;
             const waited = Math.round(this.parts.clock.monotonic() - since);
-            this.parts.logger.info("engines are assigned", {
+            this.parts.logger.info("engines assigned", {
                 attempt,
                 prefill,
                 decode,
@@ -261,9 +267,9 @@
         return decision;
     }
 
-    private async serve(demand: Demand, context: LinkContext): Promise<PeerAnswer> {
+    private async serveReserve(demand: Demand, context: LinkContext): Promise<PeerAnswer> {
         const host = this.hosts.get(demand.pool);
-        // After a freeze the lease may be another's; the view can't tell until it is confirmed again.
+        // After a freeze another daemon may hold the lease; the view doesn't show it until it is confirmed again.
         const decision = host === undefined || !this.parts.control.mayStart()
             ? undefined
             : await host.reserve(demand, context.gone);
@@ -272,15 +278,15 @@
             : { kind: "decision", decision };
     }
 
-    /** The pool's scheduler is asked also for what was chosen alone, of which it may not know yet. */
-    private async askMove(holding: Holding): Promise<string | undefined> {
+    /** Asks the pool's scheduler also for local placements, which it may not know yet. */
+    private async requestMove(holding: Holding): Promise<string | undefined> {
         const { pool } = holding.demand;
         const host = this.hosts.get(pool);
         if (host !== undefined) {
             return host.move(holding);
         }
-        const answer = await this.remote(pool)?.move(holding) ?? "unreachable";
-        return answer === "unreachable" ? this.alone.move(holding) : answer.decode;
+        const answer = await this.remoteLink(pool)?.move(holding) ?? "unreachable";
+        return answer === "unreachable" ? this.localPlacement.move(holding) : answer.decode;
     }
 
     private serveMove(pool: string, holding: Holding): PeerAnswer {
@@ -290,7 +296,7 @@
             : { kind: "moved", decode: host.move(holding) };
     }
 
-    private holder(pool: string): Holder | undefined {
+    private leaseHolder(pool: string): SchedulerLeaseHolder | undefined {
         const { control } = this.parts;
         const view = control.view();
         const lease = view.leases[schedulerLease(pool)];
@@ -302,13 +308,13 @@
         return { here, name: `${lease.holder.daemon}/${lease.holder.incarnation}`, fence: lease.fence };
     }
 
-    private remote(pool: string): PeerLink | undefined {
-        const holder = this.holder(pool);
+    private remoteLink(pool: string): PeerLink | undefined {
+        const holder = this.leaseHolder(pool);
         return holder === undefined || holder.here ? undefined : this.links.get(holder.name);
     }
 
     private follow(view: View): void {
-        this.orphans.follow(view);
+        this.orphanSweep.follow(view);
         this.followSessions(view);
         for (const pool of Object.keys(view.configuration.declaration.pools)) {
             this.followPool(view, pool);
@@ -340,7 +346,7 @@
     }
 
     private followPool(view: View, pool: string): void {
-        const holder = this.holder(pool);
+        const holder = this.leaseHolder(pool);
         const known = this.hosts.get(pool);
         if (known !== undefined && (holder?.here !== true || holder.fence !== known.fence)) {
             known.close();
@@ -354,10 +360,10 @@
             host.follow(view);
             return;
         }
-        this.parts.logger.info("schedules a pool", { pool, fence: holder.fence });
+        this.parts.logger.info("scheduler of the pool started", { pool, fence: holder.fence });
         const survey = {
-            holdings: () => this.askHoldings(pool, holder.fence),
-            reports: () => this.engines.askAll(pool),
+            holdings: () => this.requestHoldings(pool, holder.fence),
+            reports: () => this.engineSurvey.queryPool(pool),
         };
         const { clock, logger } = this.parts;
         const { fence } = holder;
@@ -365,17 +371,17 @@
         this.hosts.set(pool, SchedulerHost.create({ pool, fence, view, clock, scheduler, survey, logger }));
     }
 
-    private askHoldings(pool: string, fence: number) {
+    private requestHoldings(pool: string, fence: number) {
         const others = [...this.links.values()].map(async link =>
-            await link.holdings(pool, fence, surveyTimeout) ?? []
+            await link.holdings(pool, fence, surveyTimeoutMilliseconds) ?? []
         );
-        return [Promise.resolve(this.held.ofPool(pool)), ...others];
+        return [Promise.resolve(this.localHoldings.ofPool(pool)), ...others];
     }
 
-    private async drivenAt(address: { readonly host: string; readonly port: number; }, pool: string) {
+    private async queryAttemptsAt(address: { readonly host: string; readonly port: number; }, pool: string) {
         const link = PeerLink.create(this.parts.network.link(address), this.parts.clock);
         try {
-            const holdings = await link.holdings(pool, 0, surveyTimeout);
+            const holdings = await link.holdings(pool, 0, surveyTimeoutMilliseconds);
             return holdings === undefined ? undefined : new Set(holdings.map(holding => holding.demand.attempt));
         }
         finally {
--- a/packages/basilpaddle/src/node/coordination/scheduling/schedulerHost.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/schedulerHost.ts
@@ -1,33 +1,33 @@
 import type { Decision, Demand, Holding, LoadReport, Progress, View } from "../../protocol/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
+import { enginesOf, rulesOf } from "./poolView.js";
 import type { Scheduler, SchedulerEvent } from "./scheduler.js";
-import { enginesOf, rulesOf } from "./viewOfPool.js";
 
-/** Milliseconds after which a new scheduler trusts its picture, whoever hasn't answered by then. */
-const warmLimit = 1_500;
+/** Time after which a new scheduler counts as warm, even if some daemons or engines haven't answered. */
+const warmUpTimeoutMilliseconds = 1_500;
 
-/** Milliseconds between two beats, and beyond them without one after which other daemons have begun to choose alone. */
-const beatInterval = 100;
-const stallLimit = 150;
+/** Interval of the stall check, and the delay beyond it after which other daemons have begun to place requests locally. */
+const stallCheckIntervalMilliseconds = 100;
+const stallLimitMilliseconds = 150;
 
-type Waiting = {
+type PendingReservation = {
     readonly settle: (decision: Decision | undefined) => void;
 };
 
-/** Asks everybody who may hold something in the pool. */
-export type Survey = {
+/** Queries daemons for their holdings in the pool, and engines for their load. */
+export type PoolSurvey = {
     readonly holdings: () => Promise<readonly Holding[]>[];
     readonly reports: () => Promise<LoadReport | undefined>[];
 };
 
-/** Runs a scheduler of a pool: sets its ticks, and hands its decisions to those who wait. */
+/** Runs a scheduler of a pool: sets its timers, and resolves pending reservations with its decisions. */
 export class SchedulerHost {
-    private readonly waiting = new Map<string, Waiting>();
+    private readonly pending = new Map<string, PendingReservation>();
     private cancelTick: (() => void) | undefined;
     private tickAt = Infinity;
     private closed = false;
-    private beatAt: number;
-    private cancelBeat: (() => void) | undefined;
+    private lastStallCheckAt: number;
+    private cancelStallCheck: (() => void) | undefined;
 
     private constructor(
         readonly pool: string,
@@ -36,8 +36,8 @@
         private readonly scheduler: Scheduler,
         private readonly logger: Logger | undefined,
     ) {
-        this.beatAt = clock.monotonic();
-        this.beatLater();
+        this.lastStallCheckAt = clock.monotonic();
+        this.scheduleStallCheck();
     }
 
     static create(options: {
@@ -46,8 +46,8 @@
         readonly view: View;
         readonly clock: Clock;
         readonly scheduler: Scheduler;
-        /** Left out where nothing of the time before is to be learnt. */
-        readonly survey?: Survey;
+        /** Omitted if no earlier assignments have to be recovered. */
+        readonly survey?: PoolSurvey;
         readonly logger?: Logger;
     }): SchedulerHost {
         const { pool, fence, clock, scheduler, logger } = options;
@@ -59,7 +59,7 @@
         return host;
     }
 
-    /** Waits for the decision; undefined when this host stops first or the signal aborts. */
+    /** Waits for the decision; resolves to undefined when this host closes first or the signal aborts. */
     reserve(demand: Demand, signal: AbortSignal): Promise<Decision | undefined> {
         const { attempt } = demand;
         if (this.closed || signal.aborted) {
@@ -68,29 +68,29 @@
         return new Promise(resolve => {
             const withdraw = (): void => this.withdraw(attempt);
             const settle = (decision: Decision | undefined): void => {
-                this.waiting.delete(attempt);
+                this.pending.delete(attempt);
                 signal.removeEventListener("abort", withdraw);
                 resolve(decision);
             };
-            this.waiting.get(attempt)?.settle(undefined);
-            this.waiting.set(attempt, { settle });
+            this.pending.get(attempt)?.settle(undefined);
+            this.pending.set(attempt, { settle });
             signal.addEventListener("abort", withdraw);
             this.step({ kind: "demand", demand });
         });
     }
 
-    /** Takes a demand back, or frees what it was given. */
+    /** Withdraws a queued request, or releases its assignment. */
     withdraw(attempt: string): void {
         this.step({ kind: "withdraw", attempt });
-        this.waiting.get(attempt)?.settle(undefined);
+        this.pending.get(attempt)?.settle(undefined);
     }
 
-    /** Takes in what a daemon took without this scheduler. */
-    taken(holding: Holding): void {
+    /** Applies a holding that a daemon placed locally. */
+    applyHolding(holding: Holding): void {
         this.step({ kind: "holding", holding });
     }
 
-    /** Finds another decode engine for an attempt whose engine has proved that it is full. */
+    /** Finds another decode engine for an attempt that its engine rejected as full. */
     move(holding: Holding): string | undefined {
         return this.closed ? undefined : this.scheduler.move(holding, this.clock.monotonic());
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Takes in the newest view. */
+    /** Applies the newest view. */
     follow(view: View): void {
         if (view.configuration.declaration.pools[this.pool] === undefined) {
             return;
@@ -117,25 +117,25 @@
         this.step({ kind: "sessions", open: Object.values(view.sessions).map(open => open.session) });
     }
 
-    /** Slots held and demands waiting, by the scheduler's own account. */
-    standing(): ReturnType<Scheduler["standing"]> {
+    /** Slots held and requests queued, as tracked by the scheduler. */
+    schedulerStatus(): ReturnType<Scheduler["standing"]> {
         return this.scheduler.standing();
     }
 
-    /** Stops; those who wait are told that this is not the scheduler any more. */
+    /** Stops the scheduler; pending reservations resolve to undefined. */
     close(): void {
         this.closed = true;
         this.cancelTick?.();
-        this.cancelBeat?.();
-        for (const waiting of [...this.waiting.values()]) {
+        this.cancelStallCheck?.();
+        for (const waiting of [...this.pending.values()]) {
             waiting.settle(undefined);
         }
     }
 
-    private async warmUp(survey: Survey): Promise<void> {
+    private async warmUp(survey: PoolSurvey): Promise<void> {
         let cancelLimit = (): void => {};
         const limit = new Promise<void>(resolve => {
-            cancelLimit = this.clock.after(warmLimit, resolve);
+            cancelLimit = this.clock.after(warmUpTimeoutMilliseconds, resolve);
         });
         const since = this.clock.monotonic();
         const known = { holdings: 0, reports: 0 };
@@ -153,7 +153,7 @@
         await Promise.race([Promise.allSettled([...holdings, ...reports]), limit]);
         cancelLimit();
         this.step({ kind: "warm" });
-        this.logger?.info("knows what a pool's attempts hold", {
+        this.logger?.info("scheduler of the pool is warm", {
             pool: this.pool,
             fence: this.fence,
             ...known,
@@ -161,23 +161,26 @@
         });
     }
 
-    private beatLater(): void {
-        this.cancelBeat = this.clock.after(beatInterval, () => {
-            this.noteStall();
-            this.beatAt = this.clock.monotonic();
-            this.beatLater();
+    private scheduleStallCheck(): void {
+        this.cancelStallCheck = this.clock.after(stallCheckIntervalMilliseconds, () => {
+            this.detectStall();
+            this.lastStallCheckAt = this.clock.monotonic();
+            this.scheduleStallCheck();
         });
     }
 
-    /** A host that was frozen or overloaded goes on as if no time had passed, and would hand out what others took meanwhile. */
-    private noteStall(): void {
+    /**
+     * A host that was frozen or overloaded continues as if no time had passed, and would assign slots that others took
+     * meanwhile.
+     */
+    private detectStall(): void {
         const now = this.clock.monotonic();
-        const silent = now - this.beatAt;
-        if (silent <= beatInterval + stallLimit) {
+        const elapsed = now - this.lastStallCheckAt;
+        if (elapsed <= stallCheckIntervalMilliseconds + stallLimitMilliseconds) {
             return;
         }
-        this.beatAt = now;
-        this.logger?.warn("the scheduler stood still", { pool: this.pool, milliseconds: Math.round(silent) });
+        this.lastStallCheckAt = now;
+        this.logger?.warn("scheduler stalled", { pool: this.pool, milliseconds: Math.round(elapsed) });
         this.scheduler.step({ kind: "stalled" }, now);
     }
 
@@ -185,20 +188,20 @@
         if (this.closed) {
             return;
         }
-        this.noteStall();
+        this.detectStall();
         for (const decision of this.scheduler.step(event, this.clock.monotonic())) {
-            const waiting = this.waiting.get(decision.attempt);
+            const waiting = this.pending.get(decision.attempt);
             if (waiting === undefined && decision.kind === "assigned") {
-                // Nobody waits for it: without this its engines would stay reserved until the session ends.
+                // No reservation is pending for it; unless withdrawn, its engines would stay reserved until the session ends.
                 this.step({ kind: "withdraw", attempt: decision.attempt });
                 continue;
             }
             waiting?.settle(decision);
         }
-        this.plan();
+        this.scheduleTick();
     }
 
-    private plan(): void {
+    private scheduleTick(): void {
         const wakeAt = this.scheduler.wakeAt() ?? Infinity;
         if (wakeAt >= this.tickAt || this.closed) {
             return;
--- /dev/null
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedEngine.ts
@@ -0,0 +1,180 @@
+import type { Announcement, LoadReport } from "../../protocol/index.js";
+import type { EngineEntry } from "./scheduler.js";
+
+/** Prefill time of one prompt token, until an engine reports its own. */
+const defaultPrefillTokenMilliseconds = 0.1;
+/** Time between two tokens of an answer, until an engine reports its own. */
+const defaultDecodeTokenMilliseconds = 30;
+
+/** Cooldown without new work after a first failure, and its upper bound; it doubles with each failure. */
+const firstCooldownMilliseconds = 1_000;
+const maximumCooldownMilliseconds = 16_000;
+/** Time that a single trial attempt has to show that an engine works again. */
+const trialMilliseconds = 3_000;
+
+/** After an engine rejected an attempt as full, load reports before this many may still show the earlier state. */
+const staleReportCount = 3;
+
+/** Estimated state of one engine: its entry in the view, its last load report, and what was assigned to it since. */
+export class TrackedEngine {
+    announcement: Announcement;
+    state: EngineEntry["state"];
+    report: LoadReport | undefined;
+    reportedAt = -Infinity;
+    /** Attempts to which this scheduler assigned a slot there. */
+    readonly heldAttempts = new Set<string>();
+    /** Number of attempts in the last report that this scheduler doesn't know. */
+    foreignAttempts = 0;
+    /**
+     * Slots that unknown attempts must have held when the engine last rejected an attempt as full, and reports received
+     * since.
+     */
+    private provenForeignAttempts = 0;
+    private reportsSinceProof = 0;
+    /** Expected time at which its link has completed all transfers assigned so far. */
+    linkFreeAt = 0;
+    /** Failures since the last success, and the end of the resulting cooldown. */
+    private failures = 0;
+    private cooldownUntil = 0;
+    /** Assigned prefill work in milliseconds that isn't reported as done, by attempt. */
+    private readonly prefillWork = new Map<string, number>();
+    private prefillWorkTotal = 0;
+    private prefillWorkSince = 0;
+
+    private constructor(entry: EngineEntry) {
+        this.announcement = entry.announcement;
+        this.state = entry.state;
+    }
+
+    static create(entry: EngineEntry): TrackedEngine {
+        return new TrackedEngine(entry);
+    }
+
+    get id(): string {
+        return this.announcement.id;
+    }
+
+    get slots(): number {
+        return this.announcement.slots;
+    }
+
+    /** Time in milliseconds of one prompt token (prefill), or between two tokens of an answer (decode). */
+    get tokenTime(): number {
+        const reported = this.report?.tokenTime ?? 0;
+        if (reported > 0) {
+            return reported;
+        }
+        return this.announcement.role === "prefill" ? defaultPrefillTokenMilliseconds : defaultDecodeTokenMilliseconds;
+    }
+
+    /** Slots in use by any attempt, as far as known. */
+    get usedSlots(): number {
+        return this.heldAttempts.size + Math.max(this.foreignAttempts, this.provenForeignAttempts);
+    }
+
+    /** Records that the engine rejected an attempt as full although this scheduler had assigned it a slot there. */
+    recordFull(attempt: string): void {
+        const ours = this.heldAttempts.size - (this.heldAttempts.has(attempt) ? 1 : 0);
+        this.provenForeignAttempts = Math.max(0, this.slots - ours);
+        this.reportsSinceProof = 0;
+    }
+
+    /** Whether it serves the model in this version, with the adapter. */
+    serves(model: string, adapter: string | undefined, version: string | undefined): boolean {
+        return this.announcement.models.some(carried =>
+            carried.name === model
+            && (version === undefined || carried.version === version)
+            && (adapter === undefined || carried.adapters.includes(adapter))
+        );
+    }
+
+    /** Whether new work may be assigned to it. */
+    acceptsWork(avoid: readonly string[], now: number): boolean {
+        return this.state === "ready" && now >= this.cooldownUntil && !avoid.includes(this.id);
+    }
+
+    /**
+     * Records that an attempt failed there. An engine whose link is stalled still reports a light load; without the
+     * cooldown it would be assigned, and waste, one prefill after another.
+     */
+    recordFailure(now: number): void {
+        if (now >= this.cooldownUntil) {
+            this.cooldownUntil = now
+                + Math.min(maximumCooldownMilliseconds, firstCooldownMilliseconds * 2 ** this.failures);
+            this.failures++;
+        }
+    }
+
+    /** Records that an attempt is sent there. After a failure only one at a time is sent, until one succeeds. */
+    recordDispatch(now: number): void {
+        if (this.failures > 0) {
+            this.cooldownUntil = now + trialMilliseconds;
+        }
+    }
+
+    /** Records that an attempt succeeded there, which ends the cooldown. */
+    recordSuccess(): void {
+        this.failures = 0;
+        this.cooldownUntil = 0;
+    }
+
+    /**
+     * Applies a load report, unless it is of another incarnation or not newer than the last one. Returns whether it was
+     * applied.
+     */
+    applyReport(report: LoadReport, now: number): boolean {
+        if (report.incarnation !== this.announcement.incarnation) {
+            return false;
+        }
+        if (this.report !== undefined && report.sequence <= this.report.sequence) {
+            return false;
+        }
+        this.report = report;
+        this.reportedAt = now;
+        this.reportsSinceProof++;
+        if (this.reportsSinceProof >= staleReportCount) {
+            this.provenForeignAttempts = 0;
+        }
+        return true;
+    }
+
+    /** Records assigned prefill work. */
+    addPrefillWork(attempt: string, milliseconds: number, now: number): void {
+        if (this.prefillWork.size === 0) {
+            this.prefillWorkSince = now;
+        }
+        this.prefillWork.set(attempt, milliseconds);
+        this.prefillWorkTotal += milliseconds;
+    }
+
+    /** Removes prefill work that is done or cancelled. */
+    removePrefillWork(attempt: string, now: number): void {
+        const milliseconds = this.prefillWork.get(attempt);
+        if (milliseconds === undefined) {
+            return;
+        }
+        this.prefillWork.delete(attempt);
+        this.prefillWorkTotal = this.prefillWork.size === 0 ? 0 : this.prefillWorkTotal - milliseconds;
+        this.prefillWorkSince = now;
+    }
+
+    /** Number of attempts whose prefill is assigned here and not reported as done. */
+    get pendingPrefills(): number {
+        return this.prefillWork.size;
+    }
+
+    /** Expected end of the prefill work assigned so far. */
+    readyAt(now: number): number {
+        return this.prefillWork.size === 0 ? now : Math.max(now, this.prefillWorkSince + this.prefillWorkTotal);
+    }
+
+    /** Assigned prefill work, in milliseconds, of attempts that the last report doesn't list. */
+    get unreportedPrefillWork(): number {
+        const known = new Set(this.report?.active ?? []);
+        let total = 0;
+        for (const [attempt, milliseconds] of this.prefillWork) {
+            total += known.has(attempt) ? 0 : milliseconds;
+        }
+        return total;
+    }
+}
--- /dev/null
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
@@ -0,0 +1,265 @@
+import { LRUCache } from "lru-cache";
+import type { Demand, Holding, LoadReport, Progress } from "../../protocol/index.js";
+import { Counter } from "./counter.js";
+import type { EngineEntry } from "./scheduler.js";
+import { TrackedEngine } from "./trackedEngine.js";
+
+/** Upper bound of the ended attempts kept, so that a late load report doesn't count them again. */
+const endedAttemptLimit = 4_096;
+/** Time for which reports may still list an ended attempt; one listed longer does hold its slot. */
+const endedGraceMilliseconds = 3_000;
+/** Consecutive reports without a previously listed attempt after which the message of its end is assumed lost. */
+const missedReportLimit = 3;
+
+/** Engines assigned to one attempt. */
+export type Assignment = {
+    readonly demand: Demand;
+    readonly prefill: string;
+    decode: string;
+    readonly assignedAt: number;
+    /** Deadline of its answer, in monotonic milliseconds; its engines are released after it. */
+    readonly endsBy: number;
+    stage: Progress["stage"] | "assigned";
+    stageAt: number;
+    tokens: number;
+    /** Blocks of the prompt expected in the prefill engine's cache. */
+    expectedCachedBlocks: number;
+    /** Time in milliseconds that its transfer was expected to wait for the link. */
+    expectedLinkWait: number;
+    /** Whether the decode engine's reports have listed it, and the number of consecutive reports without it since. */
+    listed: boolean;
+    missedReports: number;
+};
+
+/** Estimated state of all engines of a pool and of the attempts that hold them. */
+export class TrackedPool {
+    readonly engines = new Map<string, TrackedEngine>();
+    readonly assignments = new Map<string, Assignment>();
+    private readonly openRequestsByOrganisation = Counter.create();
+    private readonly endedAttempts = new LRUCache<string, number>({ max: endedAttemptLimit });
+
+    static create(): TrackedPool {
+        return new TrackedPool();
+    }
+
+    /** Applies the engines of the view. What attempts held at a restarted or gone engine is released. */
+    setEngines(entries: readonly EngineEntry[], now: number): void {
+        const named = new Set<string>();
+        for (const entry of entries) {
+            named.add(entry.announcement.id);
+            this.setEngine(entry, now);
+        }
+        for (const id of this.engines.keys()) {
+            if (!named.has(id)) {
+                this.removeEngine(id, now);
+            }
+        }
+    }
+
+    /** Assigns engines to a request. */
+    assign(
+        demand: Demand,
+        choice: { readonly prefill: TrackedEngine; readonly decode: TrackedEngine; readonly work: number; },
+        now: number,
+    ): Assignment {
+        const assignment = this.addAssignment(demand, choice.prefill.id, choice.decode.id, "assigned", now);
+        choice.prefill.addPrefillWork(demand.attempt, choice.work, now);
+        return assignment;
+    }
+
+    /** Adds a holding that was assigned elsewhere, by an earlier scheduler or a local one. */
+    restore(holding: Holding, now: number): void {
+        const { demand } = holding;
+        if (
+            this.assignments.has(demand.attempt) || this.endedAttempts.has(demand.attempt)
+            || isFinalStage(holding.stage)
+        ) {
+            return;
+        }
+        const assignment = this.addAssignment(demand, holding.prefill, holding.decode, holding.stage, now);
+        assignment.tokens = holding.tokens;
+        const prefill = this.engines.get(holding.prefill);
+        if (holding.stage === "prefilling" && prefill !== undefined) {
+            prefill.addPrefillWork(demand.attempt, demand.promptTokens * prefill.tokenTime, now);
+        }
+        this.recountForeignAttempts(now);
+    }
+
+    /** Applies the progress of an attempt; final stages release it. Returns its assignment, if known. */
+    progress(progress: Progress, now: number): Assignment | undefined {
+        const assignment = this.assignments.get(progress.attempt);
+        if (assignment === undefined) {
+            return undefined;
+        }
+        if (isFinalStage(progress.stage)) {
+            this.release(progress.attempt, now);
+            return assignment;
+        }
+        assignment.tokens = Math.max(assignment.tokens, progress.tokens);
+        if (assignment.stage !== progress.stage) {
+            assignment.stage = progress.stage;
+            assignment.stageAt = now;
+        }
+        if (progress.stage !== "prefilling") {
+            this.engines.get(assignment.prefill)?.removePrefillWork(progress.attempt, now);
+        }
+        return assignment;
+    }
+
+    /** Moves an attempt's slot to another decode engine. */
+    move(assignment: Assignment, decode: TrackedEngine): void {
+        const { attempt } = assignment.demand;
+        this.engines.get(assignment.decode)?.heldAttempts.delete(attempt);
+        decode.heldAttempts.add(attempt);
+        assignment.decode = decode.id;
+        assignment.listed = false;
+        assignment.missedReports = 0;
+    }
+
+    /** Releases what an attempt holds. Returns whether the attempt was known. */
+    release(attempt: string, now: number): boolean {
+        const known = this.removeAssignment(attempt, now);
+        if (known) {
+            this.endedAttempts.set(attempt, now);
+        }
+        return known;
+    }
+
+    private removeAssignment(attempt: string, now: number): boolean {
+        const assignment = this.assignments.get(attempt);
+        if (assignment === undefined) {
+            return false;
+        }
+        this.assignments.delete(attempt);
+        this.openRequestsByOrganisation.remove(assignment.demand.organisation);
+        this.engines.get(assignment.prefill)?.removePrefillWork(attempt, now);
+        this.engines.get(assignment.decode)?.heldAttempts.delete(attempt);
+        return true;
+    }
+
+    /**
+     * Applies a load report, and releases attempts whose end was lost in transit. Returns the engine if the report was
+     * new.
+     */
+    applyReport(report: LoadReport, now: number): TrackedEngine | undefined {
+        const engine = this.engines.get(report.id);
+        if (engine === undefined || !engine.applyReport(report, now)) {
+            return undefined;
+        }
+        this.countForeignAttempts(engine, now);
+        this.releaseUnlisted(engine, now);
+        return engine;
+    }
+
+    /** Removes assignments whose end nobody can report any more. Those that engines still list count as foreign. */
+    releaseWhere(gone: (assignment: Assignment) => boolean, now: number): void {
+        let found = false;
+        for (const [attempt, assignment] of this.assignments) {
+            if (gone(assignment)) {
+                this.removeAssignment(attempt, now);
+                found = true;
+            }
+        }
+        if (found) {
+            this.recountForeignAttempts(now);
+        }
+    }
+
+    /** Number of attempts that hold a slot, by engine identifier. */
+    heldByEngine(): ReadonlyMap<string, number> {
+        return new Map([...this.engines.values()].map(engine => [engine.id, engine.heldAttempts.size]));
+    }
+
+    /** Number of attempts of an organisation that hold engines. */
+    openRequestsOf(organisation: string): number {
+        return this.openRequestsByOrganisation.of(organisation);
+    }
+
+    private addAssignment(
+        demand: Demand,
+        prefill: string,
+        decode: string,
+        stage: Assignment["stage"],
+        now: number,
+    ): Assignment {
+        const assignment: Assignment = {
+            demand,
+            prefill,
+            decode,
+            assignedAt: now,
+            endsBy: now + demand.deadlineWithin,
+            stage,
+            stageAt: now,
+            tokens: 0,
+            expectedCachedBlocks: 0,
+            expectedLinkWait: 0,
+            listed: false,
+            missedReports: 0,
+        };
+        this.assignments.set(demand.attempt, assignment);
+        this.openRequestsByOrganisation.add(demand.organisation);
+        this.engines.get(decode)?.heldAttempts.add(demand.attempt);
+        return assignment;
+    }
+
+    private setEngine(entry: EngineEntry, now: number): void {
+        const { id, incarnation } = entry.announcement;
+        const known = this.engines.get(id);
+        if (known !== undefined && known.announcement.incarnation > incarnation) {
+            return;
+        }
+        if (known !== undefined && known.announcement.incarnation === incarnation && entry.state !== "gone") {
+            known.announcement = entry.announcement;
+            known.state = entry.state;
+            return;
+        }
+        this.removeEngine(id, now);
+        this.engines.set(id, TrackedEngine.create(entry));
+    }
+
+    private removeEngine(id: string, now: number): void {
+        if (this.engines.delete(id)) {
+            this.releaseWhere(assignment => assignment.decode === id, now);
+        }
+    }
+
+    private recountForeignAttempts(now: number): void {
+        for (const engine of this.engines.values()) {
+            this.countForeignAttempts(engine, now);
+        }
+    }
+
+    private countForeignAttempts(engine: TrackedEngine, now: number): void {
+        let foreign = 0;
+        for (const attempt of engine.report?.active ?? []) {
+            const endedAt = this.endedAttempts.get(attempt);
+            const ours = this.assignments.has(attempt)
+                || (endedAt !== undefined && now - endedAt < endedGraceMilliseconds);
+            foreign += ours ? 0 : 1;
+        }
+        engine.foreignAttempts = foreign;
+    }
+
+    /**
+     * The message of an attempt's end may be lost. Without this its slot would stay held until the deadline, and an engine
+     * that reports itself idle would get no work.
+     */
+    private releaseUnlisted(engine: TrackedEngine, now: number): void {
+        const active = new Set(engine.report?.active ?? []);
+        for (const attempt of engine.heldAttempts) {
+            const assignment = this.assignments.get(attempt);
+            if (assignment === undefined) {
+                continue;
+            }
+            assignment.listed ||= active.has(attempt);
+            assignment.missedReports = active.has(attempt) || !assignment.listed ? 0 : assignment.missedReports + 1;
+            if (assignment.missedReports >= missedReportLimit) {
+                this.release(attempt, now);
+            }
+        }
+    }
+}
+
+function isFinalStage(stage: Progress["stage"]): boolean {
+    return stage === "finished" || stage === "cancelled" || stage === "failed";
+}
--- a/packages/basilpaddle/src/node/coordination/scheduling/transferTimes.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/transferTimes.ts
@@ -1,41 +1,41 @@
-import type { EnginePicture } from "./enginePicture.js";
+import type { TrackedEngine } from "./trackedEngine.js";
 
-/** Milliseconds to move the KV cache of one prompt token, until a transfer was seen. */
-const usualTokenTime = 0.03;
-/** Weight of one transfer in what is expected of the next. */
-const step = 0.1;
-/** A transfer that took more than this many times the expected was stalled, and says nothing of the link's rate. */
+/** Transfer time of the KV cache of one prompt token, until a transfer was observed. */
+const defaultTokenMilliseconds = 0.03;
+/** Weight of one transfer in the moving average. */
+const sampleWeight = 0.1;
+/** A transfer that took more than this multiple of the expected time was stalled, and isn't a sample of the link's rate. */
 const stalledFactor = 8;
 
-/** How long KV caches take from engine to engine, learnt from transfers within a failure domain and across. */
+/** Moving averages of KV cache transfer times between engines, within a failure domain and across failure domains. */
 export class TransferTimes {
-    private within = usualTokenTime;
-    private across = usualTokenTime;
+    private withinTokenTime = defaultTokenMilliseconds;
+    private acrossTokenTime = defaultTokenMilliseconds;
 
     static create(): TransferTimes {
         return new TransferTimes();
     }
 
-    /** Milliseconds for a prompt of so many tokens. */
-    expected(prefill: EnginePicture, decode: EnginePicture, tokens: number): number {
-        return tokens * (isWithin(prefill, decode) ? this.within : this.across);
+    /** Expected transfer time in milliseconds of a prompt with this many tokens. */
+    expected(prefill: TrackedEngine, decode: TrackedEngine, tokens: number): number {
+        return tokens * (shareFailureDomain(prefill, decode) ? this.withinTokenTime : this.acrossTokenTime);
     }
 
-    /** Takes in how long a transfer took that had the link to itself. */
-    seen(prefill: EnginePicture, decode: EnginePicture, tokens: number, milliseconds: number): void {
+    /** Records the duration in milliseconds of a transfer that had the link to itself. */
+    recordTransfer(prefill: TrackedEngine, decode: TrackedEngine, tokens: number, milliseconds: number): void {
         if (tokens === 0 || milliseconds > stalledFactor * this.expected(prefill, decode, tokens) + 50) {
             return;
         }
         const tokenTime = milliseconds / tokens;
-        if (isWithin(prefill, decode)) {
-            this.within += step * (tokenTime - this.within);
+        if (shareFailureDomain(prefill, decode)) {
+            this.withinTokenTime += sampleWeight * (tokenTime - this.withinTokenTime);
         }
         else {
-            this.across += step * (tokenTime - this.across);
+            this.acrossTokenTime += sampleWeight * (tokenTime - this.acrossTokenTime);
         }
     }
 }
 
-function isWithin(prefill: EnginePicture, decode: EnginePicture): boolean {
+function shareFailureDomain(prefill: TrackedEngine, decode: TrackedEngine): boolean {
     return prefill.announcement.failureDomain === decode.announcement.failureDomain;
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/tuning.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/tuning.ts
@@ -1,16 +1,16 @@
-/** Numbers that steer the pool's scheduler; docs/measurements/decision.md has the runs behind them. */
+/** Parameters of the pool's scheduler; docs/measurements/decision.md lists the runs behind their defaults. */
 export type Tuning = {
-    /** Milliseconds before a prefill engine is free from which on it may get its next prompt. */
+    /** Time in milliseconds before a prefill engine becomes free at which it may be assigned its next prompt. */
     readonly lead: number;
-    /** Part of a prefill's milliseconds saved by a cached prefix that counts in the choice of the engine; 0 ignores caches. */
+    /** Fraction of the prefill time saved by a cached prefix that counts in the choice of the engine; 0 ignores caches. */
     readonly affinity: number;
-    /** Part of the time left to the first token's target that the forecast may use up. */
+    /** Fraction of the time left to the first token's target that the forecast may use. */
     readonly admission: number;
-    /** Milliseconds that an organisation can fall behind for having taken more than its share; 0 keeps no shares. */
+    /** Maximum delay in milliseconds of an organisation that exceeded its share; 0 disables shares. */
     readonly mostLag: number;
 };
 
-/** The tuning that the measurements chose. */
+/** Default parameters, from the measured runs. */
 export const usualTuning: Tuning = Object.freeze({
     lead: 20,
     affinity: 1,
