--- a/packages/basilpaddle/src/node/coordination/request/__tests__/driver.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/driver.spec.ts
@@ -3,12 +3,12 @@
 import { Rig } from "../../../../../../../simulation/requests/rig.js";
 import { assertConditions, outcomeOf, requestRuns, stages } from "../../../../../../../simulation/requests/runs.js";
 
-describe("a request's driver", () => {
+describe("the request driver", () => {
     for (const stage of stages) {
         for (const fault of ["refuse", "fail", "loseAfter"] as const) {
-            it(`runs an idempotent request elsewhere when its ${stage} meets ${fault}`, async () => {
-                // Symptom: a request was lost though another engine could answer it.
-                // Events: an engine refuses, fails or breaks off at this stage. Cause: no second attempt.
+            it(`retries an idempotent request on another engine when its ${stage} meets ${fault}`, async () => {
+                // Guards against losing a request that another engine could answer: an engine refuses, fails or drops the
+                // connection at this stage, and there was no second attempt.
                 const rig = Rig.create();
                 rig.engine(stage === "prefill" ? "p1" : "d1").faults[stage].push(fault);
                 const end = await rig.drive({});
@@ -19,9 +19,8 @@
             });
 
             it(`runs a non-idempotent request at most once when its ${stage} meets ${fault}`, async () => {
-                // Symptom: a recall notice was written twice, under two numbers.
-                // Events: the first attempt fails where it isn't proved that nothing ran; a second one is made.
-                // Cause: a broken connection was taken for a request that was not run.
+                // Guards against running a request twice: the first attempt fails without proof that nothing ran, and a
+                // second one is made. A broken connection was treated as a request that was not run.
                 const rig = Rig.create();
                 rig.engine(stage === "prefill" ? "p1" : "d1").faults[stage].push(fault);
                 const end = await rig.drive({ run: { key: "o/letter/k", digest: "d" } });
@@ -35,9 +34,9 @@
         }
     }
 
-    it("resumes a broken stream at its offset on the same engine, also of a non-idempotent request", async () => {
-        // Symptom: a caller got tokens twice, or a long draft was lost, after a short break of a connection.
-        // Events: the stream breaks after two tokens. Cause: it was begun anew in place of resumed.
+    it("resumes a broken stream at its offset on the same engine, also for a non-idempotent request", async () => {
+        // Guards against duplicate tokens or a lost answer after a brief connection failure: the stream breaks after two
+        // tokens, and was restarted instead of resumed.
         const rig = Rig.create();
         rig.engine("d1").faults.decode.push("cut", "cut");
         const end = await rig.drive({ run: { key: "k", digest: "d" } });
@@ -46,10 +45,10 @@
         expect(rig.ran().filter(ran => ran.startsWith("prefill"))).to.have.length(1);
     });
 
-    it("goes on elsewhere, without what the caller has, where an engine can't resume", async () => {
-        // Symptom: the caller saw the first words twice. Events: the stream breaks, a second engine decodes.
-        // Cause: what the second attempt repeats was handed on. Or the answer was lost: the second engine was asked for
-        // the missing rest, which it never began.
+    it("retries on another engine, skipping tokens that the caller has, if an engine can't resume", async () => {
+        // Guards against two faults after the stream breaks and a second engine decodes: the caller got the first tokens
+        // twice, as those repeated by the second attempt were passed on; or the answer was lost, as the second engine was
+        // asked to resume a stream that it had never started.
         const rig = Rig.create({ abilities: { resume: false } });
         rig.engine("d1").faults.decode.push("cut");
         const end = await rig.drive({});
@@ -60,10 +59,9 @@
     });
 
     for (const [fault, attempts] of [["gap", 1], ["repeat", 1], ["short", 1], ["early", 2]] as const) {
-        it(`hands on no ${fault} in an engine's stream`, async () => {
-            // Symptom: an answer lacked a word, had one twice, or ended early, and looked whole.
-            // Events: the engine's stream has a gap or a repetition, or ends under the tokens it had.
-            // Cause: lines were handed on without a look at their offsets.
+        it(`gives the caller a whole answer despite the fault "${fault}" in an engine's stream`, async () => {
+            // Guards against an answer that looks complete but lacks a token, repeats one or ends early: the engine's stream
+            // has a gap or a repetition, or ends below the tokens it had sent. Lines were passed on without checking offsets.
             const rig = Rig.create();
             rig.engine("d1").faults.decode.push(fault);
             const end = await rig.drive({});
@@ -74,9 +72,9 @@
         });
     }
 
-    it("gives nothing to an engine that says it leaves while it is being reserved", async () => {
-        // Symptom: a leaving engine got new work. Events: the scheduler assigns an engine that left since.
-        // Cause: the mark was looked at only before the reservation.
+    it("sends nothing to an engine that announces it is leaving while it is being reserved", async () => {
+        // Guards against new work for a leaving engine: the scheduler assigns an engine that was marked as leaving meanwhile,
+        // and the mark was checked only before the reservation.
         const rig = Rig.create();
         rig.placement.queue = () => {
             rig.parts.marks.markLeaving("d1", 1);
@@ -90,10 +88,10 @@
         expect(rig.placement.demands.at(-1)?.avoid).to.deep.equal(["d1", "p1"]);
     });
 
-    it("waits for an engine that the scheduler's view has before its own", async () => {
-        // Symptom: a new engine stayed idle for seconds, and requests used up their second attempts.
-        // Events: the engine announces itself; the scheduler's daemon hears of it and assigns it; this daemon's view
-        // comes a view interval later. Cause: what the view didn't name yet was taken for an engine that failed.
+    it("waits for an engine that the scheduler's view contains before its own", async () => {
+        // Guards against a new engine that stays idle for seconds while requests use up their retries: the engine announces
+        // itself, the scheduler assigns it, and this daemon's view is updated a view interval later. An engine that the view
+        // didn't contain yet was treated as failed.
         const rig = Rig.create();
         const whole = rig.control.view();
         const { d1, ...others } = whole.backends;
@@ -108,9 +106,9 @@
         expect(rig.engine("d1").ran).to.not.deep.equal([]);
     });
 
-    it("doesn't blame an engine that it sent nothing to", async () => {
-        // Symptom: a healthy engine got no work from anybody for seconds. Events: this daemon's view stays behind, or is
-        // ahead and has the engine gone; the scheduler is told that the engine failed. Cause: no word was sent to it.
+    it("doesn't report an engine as failed that it sent nothing to", async () => {
+        // Guards against a healthy engine that gets no work from any daemon for seconds: this daemon's view lags, or is ahead
+        // and shows the engine as gone, and the engine was reported to the scheduler as failed though nothing was sent to it.
         const rig = Rig.create();
         const whole = rig.control.view();
         const others = Object.entries(whole.backends).filter(([id]) => id !== "d1");
@@ -122,9 +120,9 @@
         expect(rig.placement.reserved.size).to.equal(0);
     });
 
-    it("answers at its deadline though an engine's client never settles", async () => {
-        // Symptom: a caller was held past its deadline. Events: the client of an engine ignores the abort.
-        // Cause: the driver waited for the call and not for the signal.
+    it("ends the request at its deadline even if the engine client never settles", async () => {
+        // Guards against a caller waiting past its deadline: the engine client ignores the abort, and the driver waited for
+        // the call instead of the signal.
         const rig = Rig.create();
         rig.engine("p1").prefill = () => new Promise(() => undefined);
         const end = await rig.drive({ deadlineAt: rig.parts.clock.monotonic() + 1_000 });
@@ -133,9 +131,8 @@
         await rig.settled();
     });
 
-    it("gives no more second attempts than its budget allows", async () => {
-        // Symptom: a fault of some engines took down the others. Events: every request is tried again at once.
-        // Cause: retries without a bound double the load.
+    it("makes no more retries than its budget allows", async () => {
+        // Guards against a failure of some engines overloading the others: retrying every request at once doubles the load.
         const rig = Rig.create();
         let failed = 0;
         for (let request = 0; request < 40; request++) {
@@ -145,9 +142,9 @@
         expect(failed).to.be.at.least(24);
     });
 
-    it("asks again whether work may start, right before the first byte to an engine", async () => {
-        // Symptom: a daemon that woke from a freeze gave work to an engine that had long been leaving.
-        // Events: the view expires while the request waits for its reservation. Cause: it was asked only before.
+    it("checks again that work may start, right before the first byte to an engine", async () => {
+        // Guards against a daemon that resumes from a freeze sending work to an engine that started to leave long before: the
+        // view expires while the request waits for its reservation, and was checked only before it.
         const rig = Rig.create();
         rig.placement.queue = () => {
             rig.control.confirmed = false;
@@ -161,9 +158,9 @@
         expect(rig.held()).to.deep.equal([]);
     });
 
-    it("sends nothing while the record of a run is undecided, and takes it back", async () => {
-        // Symptom: a letter ran twice. Events: the record is held by a quorum, but its answer is lost; the caller is
-        // told "not run" and tries again elsewhere. Cause: dispatch without a decided record.
+    it("sends nothing while the record of a run is undecided, and releases it", async () => {
+        // Guards against running a request twice: a quorum commits the record but the reply is lost; the caller gets the
+        // outcome "not run" and retries elsewhere. The request had been dispatched without a decided record.
         const rig = Rig.create();
         rig.control.lost.push("after", "before");
         const end = await rig.drive({ run: { key: "k", digest: "d" } });
@@ -174,7 +171,7 @@
         expect(rig.control.runs.size).to.equal(0);
     });
 
-    it("refuses another body under the same key, and a key whose outcome is unknown", async () => {
+    it("refuses a different body under the same key, and a key whose outcome is unknown", async () => {
         const rig = Rig.create();
         await rig.drive({ run: { key: "k", digest: "d" } });
         expect(await rig.drive({ run: { key: "k", digest: "e" } })).to.have.nested.property(
@@ -188,9 +185,9 @@
         expect(outcomeOf(again)).to.equal("unknown");
     });
 
-    it("repeats a cancel until the engine confirms it", async () => {
-        // Symptom: a decode slot stayed held for a caller who had gone. Events: the caller goes while the answer
-        // runs, and the cancel gets lost. Cause: a cancel was sent once.
+    it("retries a cancel until the engine confirms it", async () => {
+        // Guards against a leaked decode slot: the caller disconnects during the answer, and the cancel, which was sent only
+        // once, is lost.
         const rig = Rig.create();
         rig.engine("d1").faults.decode.push("hang");
         rig.engine("d1").lostCancels = 2;
@@ -201,7 +198,7 @@
         expect(rig.held()).to.deep.equal([]);
     });
 
-    it("gives up a cancel once the view says that the engine is gone", async () => {
+    it("stops retrying a cancel once the engine is gone from the view", async () => {
         const rig = Rig.create();
         rig.engine("d1").faults.decode.push("hang");
         rig.engine("d1").lostCancels = Infinity;
@@ -212,9 +209,9 @@
         expect(rig.parts.cancellations.outstanding).to.equal(0);
     });
 
-    it("leaves an engine that the view calls gone, though its connection stays silent", async () => {
-        // Symptom: a request waited until its deadline for a frozen engine. Events: the engine stops without closing
-        // its connections. Cause: only a broken connection counted.
+    it("abandons a call to an engine that is gone from the view, though its connection stays silent", async () => {
+        // Guards against a request that waits for a frozen engine until its deadline: the engine stops without closing its
+        // connections, and only a broken connection was detected.
         const rig = Rig.create();
         rig.engine("p1").faults.prefill.push("hang");
         rig.engine("p1").begun = () => setImmediate(() => rig.mark("p1", "gone"));
@@ -223,7 +220,7 @@
         assertConditions(rig, end);
     });
 
-    it("holds the conditions under random faults, stops and lost proposals", async function() {
+    it("keeps its invariants under random faults, stops and lost proposals", async function() {
         this.timeout(60_000);
         await fc.assert(requestRuns(), { seed: 20_261_202, numRuns: 300 });
     });
--- a/packages/basilpaddle/src/node/coordination/request/__tests__/fullEngine.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/fullEngine.spec.ts
@@ -1,21 +1,21 @@
 import { expect } from "chai";
 import { Rig } from "../../../../../../../simulation/requests/rig.js";
 import { SeededRandomness } from "../../../utils/index.js";
-import { ImportTries } from "../importTries.js";
+import { ImportBackoff } from "../importBackoff.js";
 
-const letter = { key: "o/letter/k", digest: "d" };
-/** More refusals than there are tries. */
-const always = Array.from({ length: 20 }, () => "full" as const);
+const nonIdempotentRun = { key: "o/letter/k", digest: "d" };
+/** More refusals than a bounded backoff retries. */
+const persistentlyFull = Array.from({ length: 20 }, () => "full" as const);
 
 function prefills(rig: Rig): string[] {
     return rig.ran().filter(ran => ran.startsWith("prefill"));
 }
 
-describe("a decode engine that is only full", () => {
-    for (const run of [undefined, letter]) {
+describe("a decode engine that rejects an import because it is full", () => {
+    for (const run of [undefined, nonIdempotentRun]) {
         const name = run === undefined ? "an idempotent" : "a non-idempotent";
-        it(`is asked again for ${name} request while the prefill's result is kept`, async () => {
-            // Guards against this: a long prompt was computed twice, and a letter ended as failedAfterStarting with no word written.
+        it(`is retried for ${name} request while the prefill's result is retained`, async () => {
+            // Guards against computing a long prompt twice, and a non-idempotent request failing after its prefill.
             const rig = Rig.create();
             rig.engine("d1").faults.import.push("full", "full");
             expect((await rig.drive({ run })).kind).to.equal("finished");
@@ -26,21 +26,21 @@
         });
     }
 
-    it("isn't called failed when it stays full", async () => {
-        // Guards against this: a healthy engine got no work from anybody for seconds.
+    it("isn't reported as failed when it stays full", async () => {
+        // Guards against a healthy engine that gets no work from any daemon for seconds.
         const rig = Rig.create();
-        rig.engine("d1").faults.import.push(...always);
+        rig.engine("d1").faults.import.push(...persistentlyFull);
         expect((await rig.drive({})).kind).to.equal("finished");
         expect(rig.placement.demands.at(-1)?.avoid).to.deep.equal(["d1"]);
         const failed = rig.placement.told.filter(({ stage }) => stage === "failed");
         expect(failed.map(({ failedEngine }) => failedEngine)).to.deep.equal([undefined]);
-        expect(rig.engine("d1").faults.import.length, "tries without a bound").to.be.at.least(always.length - 5);
+        expect(rig.engine("d1").faults.import.length, "unbounded retries").to.be.at.least(persistentlyFull.length - 5);
         await rig.settled();
         expect(rig.held()).to.deep.equal([]);
     });
 
-    it("is still called failed when it refuses for another reason", async () => {
-        // Guards against this: an engine that refuses all work kept getting it.
+    it("is still reported as failed when it refuses for another reason", async () => {
+        // Guards against an engine that refuses all work and continues to get it.
         const rig = Rig.create();
         rig.engine("d1").faults.import.push("full", "refuse");
         await rig.drive({});
@@ -48,26 +48,26 @@
         expect(failed.map(({ failedEngine }) => failedEngine)).to.deep.equal(["d1"]);
     });
 
-    for (const run of [undefined, letter]) {
-        it(`holds nothing once the caller has gone, ${run === undefined ? "idempotent" : "non-idempotent"}`, async () => {
-            // Guards against this: a finished prefill stayed in the memory of its engine for a caller who had gone.
+    for (const run of [undefined, nonIdempotentRun]) {
+        it(`holds nothing after the caller disconnects, ${run === undefined ? "idempotent" : "non-idempotent"}`, async () => {
+            // Guards against a finished prefill that stays in its engine's memory after the caller disconnected.
             const rig = Rig.create();
-            rig.engine("d1").faults.import.push(...always);
+            rig.engine("d1").faults.import.push(...persistentlyFull);
             rig.engine("d1").begun = () => setImmediate(() => rig.scope.stop("callerGone"));
-            // Pauses last until the caller has gone, as they end only by the signal.
+            // Without timers, delays end only by the signal, when the caller disconnects.
             rig.parts.clock.after = () => () => undefined;
             expect(await rig.drive({ run })).to.have.nested.property("refusal.code", "callerGone");
-            expect(rig.engine("d1").faults.import).to.have.length(always.length - 1);
+            expect(rig.engine("d1").faults.import).to.have.length(persistentlyFull.length - 1);
             expect(rig.engine("p1").holds.size === 0 || rig.parts.cancellations.outstanding > 0).to.equal(true);
             await rig.settled();
             expect(rig.held()).to.deep.equal([]);
-            expect(rig.control.runs.get(letter.key)?.state).to.equal(run && "failedAfterStarting");
+            expect(rig.control.runs.get(nonIdempotentRun.key)?.state).to.equal(run && "failedAfterStarting");
         });
     }
 
     for (const state of ["leaving", "gone"] as const) {
-        it(`gets no import once the view says that it is ${state}`, async () => {
-            // Guards against this: a leaving engine got new work.
+        it(`gets no import once it is ${state} in the view`, async () => {
+            // Guards against new work for a leaving engine.
             const rig = Rig.create();
             rig.engine("d1").faults.import.push("full");
             rig.engine("d1").begun = () => rig.mark("d1", state);
@@ -77,7 +77,7 @@
     }
 
     it("gets no import once this daemon's view has expired", async () => {
-        // Guards against this: a daemon that woke from a freeze took a slot that its successor knew nothing of.
+        // Guards against a daemon that resumes from a freeze and takes a slot that its successor doesn't know about.
         const rig = Rig.create();
         rig.engine("d1").faults.import.push("full");
         rig.engine("d1").begun = () => {
@@ -89,12 +89,12 @@
         expect(rig.held()).to.deep.equal([]);
     });
 
-    it("is asked four times more at most, within half a second and never past the latest time", () => {
+    it("is retried at most four times, within half a second and never past the latest time", () => {
         for (const [latest, end] of [[Infinity, 500], [120, 120], [0, 0]] as const) {
-            const tries = ImportTries.create(0, latest, SeededRandomness.create(7));
+            const backoff = ImportBackoff.create(0, latest, SeededRandomness.create(7));
             let now = 0;
             let count = 0;
-            for (let wait = tries.next(now); wait !== undefined; wait = tries.next(now)) {
+            for (let wait = backoff.nextDelay(now); wait !== undefined; wait = backoff.nextDelay(now)) {
                 now += wait;
                 count++;
             }
@@ -104,10 +104,10 @@
         }
     });
 
-    it("is asked again past the first token's target only where no second attempt is possible", async () => {
-        // Guards against this: an answer that was late already took the slot of one that wasn't.
+    it("is retried past the first token's target only if no second attempt is possible", async () => {
+        // Guards against an answer that is already late taking the slot of one that isn't.
         const targets = { firstToken: 0, perToken: 37 };
-        for (const [run, count] of [[undefined, 2], [letter, 1]] as const) {
+        for (const [run, count] of [[undefined, 2], [nonIdempotentRun, 1]] as const) {
             const rig = Rig.create();
             rig.engine("d1").faults.import.push("full");
             expect((await rig.drive({ run, targets })).kind).to.equal("finished");
@@ -115,11 +115,11 @@
         }
     });
 
-    for (const run of [undefined, letter]) {
-        // Guards against a prompt that is read in vain, or a letter that fails for good, while another engine has room.
-        it(`hands ${run === undefined ? "an idempotent" : "a non-idempotent"} request over to an engine with room`, async () => {
+    for (const run of [undefined, nonIdempotentRun]) {
+        // Guards against a wasted prefill, or a permanently failed non-idempotent request, while another engine has a free slot.
+        it(`is replaced by one with a free slot, ${run === undefined ? "idempotent" : "non-idempotent"} request`, async () => {
             const rig = Rig.create();
-            rig.engine("d1").faults.import.push(...always);
+            rig.engine("d1").faults.import.push(...persistentlyFull);
             rig.placement.spare = "d2";
             expect((await rig.drive({ run })).kind).to.equal("finished");
             expect(rig.ran().map(ran => ran.split(" ")[0])).to.deep.equal(["prefill", "import", "decode"]);
@@ -130,36 +130,40 @@
         });
     }
 
-    // Guards against a letter that fails for good half a second after its prompt was read, however long its result is kept.
-    it("is asked for a letter until the prefill's result is evicted", async () => {
+    // Guards against a non-idempotent request that fails permanently half a second after its prefill, however long the result
+    // is retained.
+    it("is retried for a non-idempotent request until the prefill's result is evicted", async () => {
         const rig = Rig.create();
-        rig.engine("d1").faults.import.push(...always);
-        expect((await rig.drive({ run: letter })).kind).to.equal("finished");
+        rig.engine("d1").faults.import.push(...persistentlyFull);
+        expect((await rig.drive({ run: nonIdempotentRun })).kind).to.equal("finished");
         expect(rig.ran().map(ran => ran.split(" ")[0])).to.deep.equal(["prefill", "import", "decode"]);
-        const late = Rig.create();
-        late.engine("d1").faults.import.push(...always.slice(0, 9), "evicted");
-        const end = await late.drive({ run: letter });
+        const evicted = Rig.create();
+        evicted.engine("d1").faults.import.push(...persistentlyFull.slice(0, 9), "evicted");
+        const end = await evicted.drive({ run: nonIdempotentRun });
         expect(end).to.have.nested.property("refusal.outcome", "failedAfterStarting");
-        expect(late.placement.full).to.have.length(9);
-        const failed = late.placement.told.filter(({ stage }) => stage === "failed");
-        expect(failed.map(({ failedEngine }) => failedEngine), "the engine isn't blamed").to.deep.equal([undefined]);
-        await late.settled();
-        expect(late.held()).to.deep.equal([]);
+        expect(evicted.placement.full).to.have.length(9);
+        const failed = evicted.placement.told.filter(({ stage }) => stage === "failed");
+        expect(failed.map(({ failedEngine }) => failedEngine), "the engine isn't reported as failed").to.deep.equal([
+            undefined,
+        ]);
+        await evicted.settled();
+        expect(evicted.held()).to.deep.equal([]);
     });
 
-    // Guards against a slot taken at an engine that has begun to leave.
-    it("is left for no engine that takes no work any more", async () => {
+    // Guards against taking a slot at an engine that has started to leave.
+    it("isn't replaced by an engine that accepts no more work", async () => {
         const rig = Rig.create();
         rig.engine("d1").faults.import.push("full");
         rig.engine("d1").begun = () => rig.mark("d2", "leaving");
         rig.placement.spare = "d2";
-        expect((await rig.drive({ run: letter })).kind).to.equal("finished");
+        expect((await rig.drive({ run: nonIdempotentRun })).kind).to.equal("finished");
         expect(rig.engine("d2").ran).to.deep.equal([]);
     });
 
-    // Guards against a letter that fails for good since control daemons elect a leader just when its prompt has been read.
-    for (const [name, milliseconds] of [["comes back", 30], ["stays away", undefined]] as const) {
-        it(`is waited for while a letter's prompt has been read and the view's confirmation ${name}`, async () => {
+    // Guards against a non-idempotent request that fails permanently because control daemons elect a leader right after its
+    // prefill.
+    for (const [name, milliseconds] of [["returns", 30], ["doesn't return", undefined]] as const) {
+        it(`gets no import of a non-idempotent request while the view is unconfirmed; confirmation ${name}`, async () => {
             const rig = Rig.create();
             rig.engine("p1").begun = () => {
                 rig.control.confirmed = false;
@@ -167,7 +171,7 @@
                     setTimeout(() => (rig.control.confirmed = true), milliseconds);
                 }
             };
-            const end = await rig.drive({ run: letter });
+            const end = await rig.drive({ run: nonIdempotentRun });
             expect(end.kind === "refused" ? [end.refusal.code, end.refusal.outcome] : end.kind).to.deep.equal(
                 milliseconds === undefined ? ["viewExpired", "failedAfterStarting"] : "finished",
             );
--- a/packages/basilpaddle/src/node/coordination/request/__tests__/localMarks.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/localMarks.spec.ts
@@ -3,11 +3,11 @@
 import { ViewState } from "../../../state/index.js";
 import { LocalMarks } from "../localMarks.js";
 
-describe("a daemon's own marks", () => {
-    it("outlast a drain that an order began and took back", () => {
-        // Symptom: an engine that said it leaves gets new work. Sequence: its word reaches this daemon while no quorum
-        // decides; the view shows it draining for a change of role, then ready again. Cause: the mark was dropped as
-        // soon as the view no longer called the engine ready, whatever the reason.
+describe("local marks of leaving backend servers", () => {
+    it("are kept while an order drains the backend server and makes it ready again", () => {
+        // Guards against new work for an engine that announced it is leaving. The announcement reaches this daemon while there
+        // is no quorum; the view shows the engine draining for a change of role, then ready again. The mark was removed as
+        // soon as the engine's state in the view was no longer ready, whatever the reason.
         const state = ViewState.create();
         state.apply(1, commands.announce("decode-1", 1));
         const marks = LocalMarks.create();
--- a/packages/basilpaddle/src/node/coordination/request/answer.ts
+++ b/packages/basilpaddle/src/node/coordination/request/answer.ts
@@ -3,17 +3,17 @@
 /** Why an answer ended. */
 export type EndReason = "stop" | "length";
 
-/** What is known once the last token came. */
+/** Summary of an answer, known after its last token. */
 export type AnswerEnd = { readonly reason: EndReason; readonly tokens: number; readonly promptTokens: number; };
 
-/** The caller's side of a request. Only the request's driver writes to it. */
+/** Writes the answer to the caller. Only the request's driver uses it. */
 export abstract class Answer {
-    /** Takes the next token. A promise asks the driver to read nothing more from the engine until it settles. */
+    /** Writes the next token. If it returns a promise, the driver reads no more from the engine until the promise settles. */
     abstract token(text: string): Promise<void> | undefined;
 
-    /** The whole answer in the form in which a second arrival gets it again. */
+    /** The whole answer in the form in which it is stored, to be replayed to a retry of the request. */
     abstract kept(end: AnswerEnd): KeptAnswer;
 
-    /** Writes the end. */
+    /** Writes the end of the answer. */
     abstract finish(end: AnswerEnd): void;
 }
--- a/packages/basilpaddle/src/node/coordination/request/attempt.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attempt.ts
@@ -1,28 +1,29 @@
 import type { Announcement, PrefillAnswer, Progress, RefusalCode, View } from "../../protocol/index.js";
 import type { EngineFailure } from "../engine/engine.js";
 import type { AttemptContext, AttemptEnd } from "./attemptContext.js";
-import { demandOf } from "./attemptDemand.js";
-import { DecodeStream } from "./decodeStream.js";
-import { ImportTries } from "./importTries.js";
+import { schedulingRequestOf } from "./attemptSchedulingRequest.js";
+import { DecodeReader } from "./decodeReader.js";
+import { ImportBackoff } from "./importBackoff.js";
 import { AttemptScope, pause, untilAborted } from "./scope.js";
 import { untilEnginesKnown, untilViewConfirmed } from "./viewWaits.js";
 
-/** Milliseconds beyond the expected time of a transfer after which it counts as stalled. */
-const transferGrace = 3_000;
-const transferFactor = 4;
+/** A transfer times out after its expected duration, size by link rate, times `transferTimeoutFactor`, plus this grace. */
+const transferGraceMilliseconds = 3_000;
+const transferTimeoutFactor = 4;
 
-type Held = { readonly backend: Announcement; inFlight: boolean; };
+/** What the attempt may hold at a backend server. `inFlight`: a call was sent there and isn't answered. */
+type BackendAllocation = { readonly backend: Announcement; inFlight: boolean; };
 
-const abandoned: EngineFailure = { kind: "unknown", code: undefined, message: "given up while under way" };
+const abandonedCall: EngineFailure = { kind: "unknown", code: undefined, message: "abandoned before it was answered" };
 
-/** One try to answer a request: its own identifier, its own engines, and the duty to free what it held. */
+/** One attempt to answer a request, with its own id and engines. It releases everything that it held at them. */
 export class Attempt {
     private readonly id: string;
     private readonly scope: AttemptScope;
-    private readonly held: Held[] = [];
-    private readonly borrowed: string[] = [];
-    private working: Announcement | undefined;
-    private prefilled: { readonly answer: PrefillAnswer; readonly milliseconds: number; } | undefined;
+    private readonly allocations: BackendAllocation[] = [];
+    private readonly acquiredUrls: string[] = [];
+    private activeBackend: Announcement | undefined;
+    private completedPrefill: { readonly answer: PrefillAnswer; readonly milliseconds: number; } | undefined;
 
     private constructor(private readonly context: AttemptContext, private readonly avoid: readonly string[]) {
         this.id = context.parts.attempts.begin();
@@ -47,7 +48,7 @@
         }
         lifecycle.send("reserve");
         const decision = await parts.placement.reserve(
-            demandOf(this.context, this.id, this.avoid),
+            schedulingRequestOf(this.context, this.id, this.avoid),
             this.context.scope.signal,
         );
         if (decision.kind === "refused") {
@@ -57,41 +58,41 @@
         }
         lifecycle.send("assign");
         let end: AttemptEnd | undefined;
-        const unfollow = parts.control.onView(view => this.follow(view));
+        const unsubscribe = parts.control.onView(view => this.checkActiveBackend(view));
         try {
-            end = await this.carryOut(decision.prefill, decision.decode);
+            end = await this.runOnEngines(decision.prefill, decision.decode);
         }
         finally {
-            unfollow();
+            unsubscribe();
             this.release(end);
         }
         return end;
     }
 
-    private async carryOut(prefillId: string, decodeId: string): Promise<AttemptEnd> {
+    private async runOnEngines(prefillId: string, decodeId: string): Promise<AttemptEnd> {
         await untilEnginesKnown(this.context.parts, [prefillId, decodeId], this.scope.signal);
-        const prefill = this.ready(prefillId);
-        const decode = this.ready(decodeId);
+        const prefill = this.readyBackend(prefillId);
+        const decode = this.readyBackend(decodeId);
         if (prefill === undefined || decode === undefined) {
             const missing = prefill === undefined ? prefillId : decodeId;
-            return failed("noBackend", `${missing} takes no new work`, missing);
+            return failed("noBackend", `${missing} accepts no new work`, missing);
         }
-        this.borrow(prefill);
-        this.borrow(decode);
+        this.acquireEngine(prefill);
+        this.acquireEngine(decode);
         try {
-            return await this.compute(prefill, decode);
+            return await this.generateAnswer(prefill, decode);
         }
         finally {
-            this.borrowed.forEach(url => this.context.parts.engines.giveBack(url));
+            this.acquiredUrls.forEach(url => this.context.parts.engines.giveBack(url));
         }
     }
 
-    private borrow(backend: Announcement): void {
+    private acquireEngine(backend: Announcement): void {
         this.context.parts.engines.borrow(backend.url);
-        this.borrowed.push(backend.url);
+        this.acquiredUrls.push(backend.url);
     }
 
-    private async compute(prefill: Announcement, decode: Announcement): Promise<AttemptEnd> {
+    private async generateAnswer(prefill: Announcement, decode: Announcement): Promise<AttemptEnd> {
         const prompt = await this.prefill(prefill);
         if ("kind" in prompt) {
             return prompt;
@@ -101,7 +102,7 @@
     }
 
     private async prefill(backend: Announcement): Promise<PrefillAnswer | AttemptEnd> {
-        const { parts, work, lifecycle, trace, scope } = this.context;
+        const { parts, work, lifecycle, outcomeTracker, scope } = this.context;
         if (scope.stopped !== undefined) {
             return { kind: "stopped" };
         }
@@ -111,53 +112,53 @@
         lifecycle.send("prefill");
         this.progress({ attempt: this.id, stage: "prefilling", tokens: 0 });
         const since = parts.clock.monotonic();
-        const held = this.hold(backend);
-        trace.sending();
+        const allocation = this.recordAllocation(backend);
+        outcomeTracker.recordCallStart();
         const call = this.engine(backend).prefill(this.id, work.generation, this.scope.signal);
-        const result = await untilAborted(call.then(answer => answer.extract()), this.scope.signal, abandoned);
+        const result = await untilAborted(call.then(answer => answer.extract()), this.scope.signal, abandonedCall);
         if ("kind" in result) {
-            return this.callFailed(held, result, "prefill");
+            return this.callFailed(allocation, result, "prefill");
         }
-        trace.ran();
-        held.inFlight = false;
+        outcomeTracker.recordExecution();
+        allocation.inFlight = false;
         const milliseconds = parts.clock.monotonic() - since;
-        this.prefilled = { answer: result, milliseconds };
+        this.completedPrefill = { answer: result, milliseconds };
         this.context.written.promptTokens = result.promptTokens;
         parts.metrics.observe("basilpaddle_prefill_milliseconds", milliseconds, { pool: work.pool });
         this.progress({ attempt: this.id, stage: "prefilled", tokens: 0, reusedTokens: result.reusedTokens });
         return scope.stopped === undefined ? result : { kind: "stopped" };
     }
 
-    /** Gives the decode engine that has the prefill's result. */
+    /** Transfers the prefill's result to a decode engine. Returns that engine, or how the attempt ended. */
     private async transfer(
         source: Announcement,
         reserved: Announcement,
         prompt: PrefillAnswer,
     ): Promise<Announcement | AttemptEnd> {
         const { parts, work, lifecycle, scope } = this.context;
-        // A process that wakes from a freeze here would take a decode slot that its successor knows nothing of.
+        // A process that resumes from a freeze here would take a decode slot that its successor doesn't know about.
         if (!await this.mayTransfer()) {
             return scope.stopped === undefined ? viewExpired : { kind: "stopped" };
         }
         lifecycle.send("transfer");
-        const tries = this.importTries();
+        const backoff = this.createImportBackoff();
         let backend = reserved;
         for (;;) {
             const end = await this.import(source, backend, prompt);
             if (end === undefined) {
                 return backend;
             }
-            if (end.kind !== "failed" || end.proof !== "full") {
+            if (end.kind !== "failed" || end.benignRefusal !== "full") {
                 return end;
             }
-            // Ended here, the finished prefill would be thrown away, and a non-idempotent request fail for good.
-            const wait = tries.next(parts.clock.monotonic());
-            if (wait === undefined) {
+            // Failing here would discard the finished prefill, and a non-idempotent request would fail permanently.
+            const delay = backoff.nextDelay(parts.clock.monotonic());
+            if (delay === undefined) {
                 return end;
             }
-            const other = await this.move(source, backend);
+            const other = await this.moveDecode(source, backend);
             if (other === undefined) {
-                await pause(parts.clock, wait, this.scope.signal);
+                await pause(parts.clock, delay, this.scope.signal);
             }
             backend = other ?? backend;
             const isConfirmed = await this.mayTransfer();
@@ -167,8 +168,8 @@
             if (!isConfirmed) {
                 return viewExpired;
             }
-            // It may have begun to leave, or have restarted, while it was waited for.
-            if (this.scope.signal.aborted || this.ready(backend.id)?.incarnation !== backend.incarnation) {
+            // The engine may have started to leave, or have restarted, during the delay.
+            if (this.scope.signal.aborted || this.readyBackend(backend.id)?.incarnation !== backend.incarnation) {
                 return end;
             }
             parts.metrics.count("basilpaddle_import_retries_total", { pool: work.pool });
@@ -180,30 +181,32 @@
         backend: Announcement,
         prompt: PrefillAnswer,
     ): Promise<AttemptEnd | undefined> {
-        const { work, trace, scope } = this.context;
-        const held = this.hold(backend);
+        const { work, outcomeTracker, scope } = this.context;
+        const allocation = this.recordAllocation(backend);
         const rate = Math.min(source.linkRate ?? Infinity, backend.linkRate ?? Infinity);
-        this.scope.arm(transferGrace + transferFactor * 1_000 * prompt.bytes / rate);
-        trace.sending();
+        this.scope.arm(transferGraceMilliseconds + transferTimeoutFactor * 1_000 * prompt.bytes / rate);
+        outcomeTracker.recordCallStart();
         const from = { url: source.url, handle: prompt.handle };
         const call = this.engine(backend).import(this.id, from, work.generation, this.scope.signal);
-        const result = await untilAborted(call.then(answer => answer.extract()), this.scope.signal, abandoned);
+        const result = await untilAborted(call.then(answer => answer.extract()), this.scope.signal, abandonedCall);
         if ("kind" in result) {
-            const end = this.callFailed(held, result, "transfer");
-            const proof = result.kind === "notRun" ? proofOf(result.code) : undefined;
-            return end.kind === "failed" && proof !== undefined ? { ...end, proof } : end;
+            const end = this.callFailed(allocation, result, "transfer");
+            const refusalReason = result.kind === "notRun" ? benignRefusalOf(result.code) : undefined;
+            return end.kind === "failed" && refusalReason !== undefined
+                ? { ...end, benignRefusal: refusalReason }
+                : end;
         }
-        trace.ran();
-        held.inFlight = false;
-        // The prefill engine has handed its result over, and evicts it by itself.
-        this.held.splice(0, this.held.length, held);
+        outcomeTracker.recordExecution();
+        allocation.inFlight = false;
+        // The prefill engine has transferred its result and evicts it by itself.
+        this.allocations.splice(0, this.allocations.length, allocation);
         this.progress({ attempt: this.id, stage: "transferred", tokens: 0 });
         return scope.stopped === undefined ? undefined : { kind: "stopped" };
     }
 
     /**
-     * Whether this daemon's view is confirmed. What may not be tried again waits for that: an election of control daemons
-     * would end it for good otherwise.
+     * Whether this daemon's view is confirmed. A non-idempotent request, which can't be retried, waits for that: otherwise
+     * an election of control daemons would make it fail permanently.
      */
     private mayTransfer(): Promise<boolean> {
         const { parts, work } = this.context;
@@ -212,37 +215,37 @@
             : untilViewConfirmed(parts, this.scope.signal);
     }
 
-    /** Another decode engine in place of one that is full, where one has room. */
-    private async move(source: Announcement, full: Announcement): Promise<Announcement | undefined> {
+    /** Asks the placement for another decode engine in place of a full one. Undefined if none has a free slot. */
+    private async moveDecode(source: Announcement, full: Announcement): Promise<Announcement | undefined> {
         const { parts, written } = this.context;
         const moved = parts.placement.move({
-            demand: demandOf(this.context, this.id, this.avoid),
+            demand: schedulingRequestOf(this.context, this.id, this.avoid),
             prefill: source.id,
             decode: full.id,
             stage: "prefilled",
             tokens: written.tokens,
         });
         const id = await untilAborted(moved, this.scope.signal, undefined);
-        const other = id === undefined ? undefined : this.ready(id);
+        const other = id === undefined ? undefined : this.readyBackend(id);
         if (other !== undefined) {
-            this.borrow(other);
+            this.acquireEngine(other);
         }
         return other;
     }
 
-    /** A prefill that may not be made again is offered for as long as its engine keeps the result. */
-    private importTries(): ImportTries {
+    /** Bounded for an idempotent request. A prefill that may not be repeated is retried until its engine evicts the result. */
+    private createImportBackoff(): ImportBackoff {
         const { parts, work } = this.context;
         return work.run === undefined
-            ? ImportTries.create(parts.clock.monotonic(), this.latestImport(), parts.randomness)
-            : ImportTries.untilEvicted(work.deadlineAt, parts.randomness);
+            ? ImportBackoff.create(parts.clock.monotonic(), this.importDeadline(), parts.randomness)
+            : ImportBackoff.untilEvicted(work.deadlineAt, parts.randomness);
     }
 
     /**
-     * When a further import comes too late: the first token's target, past which another request has more use for the
-     * slot; the deadline where the first token is out already.
+     * Time after which the import isn't retried, in monotonic milliseconds: the first token's target, past which another
+     * request makes better use of the slot, or the deadline if the first token was already sent.
      */
-    private latestImport(): number {
+    private importDeadline(): number {
         const { work, written } = this.context;
         return written.firstAt !== undefined
             ? work.deadlineAt
@@ -251,82 +254,82 @@
 
     private async decode(backend: Announcement): Promise<AttemptEnd> {
         this.context.lifecycle.send("decode");
-        const stream = DecodeStream.create(this.context, this.id, backend, this.scope, this.engine(backend));
+        const stream = DecodeReader.create(this.context, this.id, backend, this.scope, this.engine(backend));
         const end = await stream.run();
         if (end.kind === "answered") {
-            this.held.length = 0;
+            this.allocations.length = 0;
             this.context.lifecycle.send("end");
         }
         return end;
     }
 
-    private callFailed(held: Held, failure: EngineFailure, stage: string): AttemptEnd {
-        this.context.trace.failed(failure);
-        held.inFlight = failure.kind === "unknown";
+    private callFailed(allocation: BackendAllocation, failure: EngineFailure, stage: string): AttemptEnd {
+        this.context.outcomeTracker.recordFailure(failure);
+        allocation.inFlight = failure.kind === "unknown";
         if (failure.kind === "notRun") {
-            this.held.splice(this.held.indexOf(held), 1);
+            this.allocations.splice(this.allocations.indexOf(allocation), 1);
         }
         if (this.context.scope.stopped !== undefined) {
             return { kind: "stopped" };
         }
-        const engine = held.backend.id;
+        const engine = allocation.backend.id;
         const message = `${stage} on ${engine}: ${failure.message}`;
-        if (failure === abandoned || failure.code === "timeout") {
+        if (failure === abandonedCall || failure.code === "timeout") {
             return failed("backendTimeout", message, engine);
         }
         return failed(failure.kind === "notRun" ? "backendRefused" : "backendFailed", message, engine);
     }
 
-    /** Frees what is still held, and tells the placement; the reason of the end is already known. */
+    /** Cancels the remaining allocations and reports the end to the placement. `end` is undefined after an internal error. */
     private release(end: AttemptEnd | undefined): void {
         const { parts, work, written } = this.context;
-        for (const held of this.held) {
-            parts.cancellations.owe(this.id, held.backend, held.inFlight);
+        for (const allocation of this.allocations) {
+            parts.cancellations.owe(this.id, allocation.backend, allocation.inFlight);
         }
         if (end?.kind === "answered") {
             this.progress({ attempt: this.id, stage: "finished", tokens: written.tokens });
             return;
         }
         const stage = end?.kind === "stopped" ? "cancelled" : "failed";
-        // An engine that nothing was sent to has not failed. Blamed for a view that lags here, a new engine stays idle
-        // for seconds, and longer the more daemons lag.
-        // Nor has one that was only full, or was offered what another one had evicted: distrusted for it, it would get nothing
-        // once its slots come free.
-        const isBlamed = end?.kind === "failed" && end.code !== "noBackend" && end.proof === undefined;
-        const failedEngine = isBlamed ? end.engine : undefined;
+        // An engine that nothing was sent to has not failed. Reporting it as failed because this daemon's view lags would keep
+        // a new engine idle for seconds, and longer the more daemons lag.
+        // Nor has an engine that was full, or that couldn't import a result that the prefill engine had evicted. Reported as
+        // failed, it would get no work once its slots become free.
+        const isEngineFault = end?.kind === "failed" && end.code !== "noBackend" && end.benignRefusal === undefined;
+        const failedEngine = isEngineFault ? end.engine : undefined;
         this.progress({ attempt: this.id, stage, tokens: written.tokens, failedEngine });
-        if (this.prefilled !== undefined) {
+        if (this.completedPrefill !== undefined) {
             const reason = this.context.scope.stopped ?? (end?.kind === "failed" ? end.code : "internal");
             const labels = { pool: work.pool, reason };
-            const { answer, milliseconds } = this.prefilled;
+            const { answer, milliseconds } = this.completedPrefill;
             const tokens = answer.promptTokens - answer.reusedTokens;
             parts.metrics.count("basilpaddle_wasted_prefill_tokens_total", labels, tokens);
             parts.metrics.count("basilpaddle_wasted_prefill_milliseconds_total", labels, milliseconds);
         }
     }
 
-    /** Gives an engine up once the view says that it is gone; a silent connection to it would never break by itself. */
-    private follow(view: View): void {
-        if (this.working === undefined) {
+    /** Aborts the attempt once the engine in use is gone from the view; a silent connection to it would never break by itself. */
+    private checkActiveBackend(view: View): void {
+        if (this.activeBackend === undefined) {
             return;
         }
-        const known = view.backends[this.working.id];
-        const isThere = known !== undefined && known.state !== "gone"
-            && known.announcement.incarnation === this.working.incarnation;
-        if (!isThere) {
+        const known = view.backends[this.activeBackend.id];
+        const isCurrent = known !== undefined && known.state !== "gone"
+            && known.announcement.incarnation === this.activeBackend.incarnation;
+        if (!isCurrent) {
             this.scope.end();
         }
     }
 
-    private hold(backend: Announcement): Held {
-        const held = { backend, inFlight: true };
-        this.working = backend;
-        this.held.push(held);
-        return held;
+    private recordAllocation(backend: Announcement): BackendAllocation {
+        const allocation = { backend, inFlight: true };
+        this.activeBackend = backend;
+        this.allocations.push(allocation);
+        return allocation;
     }
 
-    /** The backend server, if it may get new work. */
-    private ready(id: string): Announcement | undefined {
+    /** The backend server's announcement, if it may be given new work. */
+    private readyBackend(id: string): Announcement | undefined {
         const backend = this.context.parts.control.view().backends[id];
         if (backend?.state !== "ready") {
             return undefined;
@@ -351,7 +354,7 @@
     engine: undefined,
 };
 
-function proofOf(code: string | undefined): "full" | "evicted" | undefined {
+function benignRefusalOf(code: string | undefined): "full" | "evicted" | undefined {
     return code === "full" || code === "evicted" ? code : undefined;
 }
 
--- a/packages/basilpaddle/src/node/coordination/request/attemptIds.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attemptIds.ts
@@ -1,6 +1,6 @@
 import type { Incarnation } from "../../protocol/index.js";
 
-/** Identifiers of this daemon's attempts, `<daemon>/<incarnation>/<number>`, and which of them are current. */
+/** Allocates ids for this daemon's attempts, `<daemon>/<incarnation>/<number>`, and tracks which are in progress. */
 export class AttemptIds {
     private readonly current = new Set<string>();
     private readonly prefix: string;
@@ -24,7 +24,7 @@
         this.current.delete(id);
     }
 
-    /** Those of the attempts that are this daemon's own and have ended. */
+    /** Filters the ids to attempts that belong to this daemon and have ended. */
     ended(ids: readonly string[]): string[] {
         return ids.filter(id => id.startsWith(this.prefix) && !this.current.has(id));
     }
--- a/packages/basilpaddle/src/node/coordination/request/attemptDemand.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attemptSchedulingRequest.ts
@@ -1,8 +1,8 @@
 import type { Demand } from "../../protocol/index.js";
 import type { AttemptContext } from "./attemptContext.js";
 
-/** What an attempt asks the placement for, with the times that are left now. */
-export function demandOf(context: AttemptContext, attempt: string, avoid: readonly string[]): Demand {
+/** Builds the scheduling request of an attempt. Its time limits are what remains of them now, in milliseconds. */
+export function schedulingRequestOf(context: AttemptContext, attempt: string, avoid: readonly string[]): Demand {
     const { parts, work, written } = context;
     const now = parts.clock.monotonic();
     return {
--- a/packages/basilpaddle/src/node/coordination/request/cancellations.ts
+++ b/packages/basilpaddle/src/node/coordination/request/cancellations.ts
@@ -3,16 +3,16 @@
 import type { EngineDirectory } from "./engineDirectory.js";
 import { pause } from "./scope.js";
 
-const callTimeout = 2_000;
-const firstBackoff = 50;
-const longestBackoff = 5_000;
-/** Milliseconds after which a call that was under way when it was given up has surely reached the engine. */
-const settleTime = 1_000;
-const mostOutstanding = 10_000;
+const callTimeoutMilliseconds = 2_000;
+const initialBackoffMilliseconds = 50;
+const maxBackoffMilliseconds = 5_000;
+/** Longest time that a call in flight when it was abandoned can take to reach the engine. */
+const maxInFlightMilliseconds = 1_000;
+const maxOutstanding = 10_000;
 
-type Owed = { readonly attempt: string; readonly backend: Announcement; readonly inFlight: boolean; };
+type PendingCancellation = { readonly attempt: string; readonly backend: Announcement; readonly inFlight: boolean; };
 
-/** What cancellations need of their daemon. */
+/** Dependencies of `Cancellations`. */
 export type CancellationParts = {
     readonly engines: EngineDirectory;
     readonly view: () => View;
@@ -23,12 +23,12 @@
 };
 
 /**
- * Cancels that engines haven't confirmed yet. A cancel that gets lost would leave a decode slot held for a caller
- * who has gone, seen as a slot that never comes free; so each is repeated until the engine confirms it or is gone.
+ * Cancels that engines haven't confirmed yet. A lost cancel would leak a decode slot to a caller who has disconnected, so
+ * each cancel is retried until the engine confirms it or is gone.
  */
 export class Cancellations {
-    private readonly owed = new Map<string, Owed>();
-    private readonly stop = new AbortController();
+    private readonly pending = new Map<string, PendingCancellation>();
+    private readonly stopController = new AbortController();
 
     private constructor(private readonly parts: CancellationParts) {}
 
@@ -36,83 +36,91 @@
         return new Cancellations(parts);
     }
 
-    /** Cancels not yet confirmed. */
+    /** Number of cancels that aren't confirmed yet. */
     get outstanding(): number {
-        return this.owed.size;
+        return this.pending.size;
     }
 
     /**
-     * Takes over to free what the attempt may hold. `inFlight`: a call was given up while under way; its cancel may
-     * overtake it on another connection, so that it is cancelled once more after it has surely arrived.
+     * Cancels the attempt at the backend server in the background, to release what it may hold there. `inFlight`: a call was
+     * abandoned before its answer. The cancel may overtake it on another connection, so it is sent again once the call must
+     * have arrived.
      */
     owe(attempt: string, backend: Announcement, inFlight: boolean): void {
         const name = `${backend.id} ${attempt}`;
-        if (this.owed.has(name) || this.stop.signal.aborted) {
+        if (this.pending.has(name) || this.stopController.signal.aborted) {
             return;
         }
-        if (this.owed.size >= mostOutstanding) {
+        if (this.pending.size >= maxOutstanding) {
             this.parts.metrics.count("basilpaddle_cancels_dropped_total");
-            this.parts.logger.error("too many cancels outstanding; one is dropped", { attempt, backend: backend.id });
+            this.parts.logger.error("too many unconfirmed cancels; dropping one", { attempt, backend: backend.id });
             return;
         }
-        const owed = { attempt, backend, inFlight };
-        this.owed.set(name, owed);
-        this.report();
-        void this.settle(owed).finally(() => {
-            this.owed.delete(name);
-            this.report();
+        const cancellation = { attempt, backend, inFlight };
+        this.pending.set(name, cancellation);
+        this.updateGauge();
+        void this.cancelWithRetries(cancellation).finally(() => {
+            this.pending.delete(name);
+            this.updateGauge();
         });
     }
 
-    /** Waits until all are confirmed, at most the given milliseconds; gives how many are left. */
+    /** Waits until all cancels are confirmed, for at most the given milliseconds. Returns how many are left. */
     async drain(timeout: number): Promise<number> {
         const end = this.parts.clock.monotonic() + timeout;
-        while (this.owed.size > 0 && this.parts.clock.monotonic() < end) {
+        while (this.pending.size > 0 && this.parts.clock.monotonic() < end) {
             await pause(this.parts.clock, 20);
         }
-        return this.owed.size;
+        return this.pending.size;
     }
 
     close(): void {
-        this.stop.abort();
+        this.stopController.abort();
     }
 
-    private report(): void {
-        this.parts.metrics.gauge("basilpaddle_cancels_outstanding", this.owed.size);
+    private updateGauge(): void {
+        this.parts.metrics.gauge("basilpaddle_cancels_outstanding", this.pending.size);
     }
 
-    private async settle(owed: Owed): Promise<void> {
-        const confirmed = await this.repeat(owed);
-        if (confirmed && owed.inFlight) {
-            await pause(this.parts.clock, settleTime, this.stop.signal);
-            await this.repeat(owed);
+    private async cancelWithRetries(cancellation: PendingCancellation): Promise<void> {
+        const confirmed = await this.retryUntilConfirmed(cancellation);
+        if (confirmed && cancellation.inFlight) {
+            await pause(this.parts.clock, maxInFlightMilliseconds, this.stopController.signal);
+            await this.retryUntilConfirmed(cancellation);
         }
     }
 
-    private async repeat(owed: Owed): Promise<boolean> {
-        let backoff = firstBackoff;
-        while (!this.stop.signal.aborted && !this.isGone(owed.backend)) {
-            if (await this.cancelOnce(owed)) {
+    private async retryUntilConfirmed(cancellation: PendingCancellation): Promise<boolean> {
+        let backoff = initialBackoffMilliseconds;
+        while (!this.stopController.signal.aborted && !this.isGone(cancellation.backend)) {
+            if (await this.cancelOnce(cancellation)) {
                 return true;
             }
             this.parts.metrics.count("basilpaddle_cancel_retries_total");
-            await pause(this.parts.clock, backoff * (0.5 + this.parts.randomness.fraction()), this.stop.signal);
-            backoff = Math.min(longestBackoff, backoff * 2);
+            await pause(
+                this.parts.clock,
+                backoff * (0.5 + this.parts.randomness.fraction()),
+                this.stopController.signal,
+            );
+            backoff = Math.min(maxBackoffMilliseconds, backoff * 2);
         }
         return false;
     }
 
-    private async cancelOnce(owed: Owed): Promise<boolean> {
-        const engine = this.parts.engines.borrow(owed.backend.url);
+    private async cancelOnce(cancellation: PendingCancellation): Promise<boolean> {
+        const engine = this.parts.engines.borrow(cancellation.backend.url);
         try {
-            return (await engine.cancel(owed.attempt, callTimeout)).isRight();
+            return (await engine.cancel(cancellation.attempt, callTimeoutMilliseconds)).isRight();
         }
         catch (failure) {
-            this.parts.logger.error("cancel failed", { attempt: owed.attempt, failure: String(failure) });
+            this.parts.logger.error("cancelling an attempt failed", {
+                attempt: cancellation.attempt,
+                failure: String(failure),
+            });
             return false;
         }
         finally {
-            this.parts.engines.giveBack(owed.backend.url);
+            this.parts.engines.giveBack(cancellation.backend.url);
         }
     }
 
--- a/packages/basilpaddle/src/node/coordination/request/decodeStream.ts
+++ b/packages/basilpaddle/src/node/coordination/request/decodeReader.ts
@@ -4,24 +4,24 @@
 import type { AttemptContext, AttemptEnd } from "./attemptContext.js";
 import { type AttemptScope, eachUntilAborted, pause } from "./scope.js";
 
-/** Milliseconds without a token after which a stream counts as broken. */
-const silenceLimit = 15_000;
-/** Tries to resume without a single new token before the engine is given up. */
-const mostFruitlessResumes = 3;
-const firstBackoff = 25;
+/** Time without a token after which a stream is considered broken. */
+const idleTimeoutMilliseconds = 15_000;
+/** Consecutive streams without a new token after which the attempt fails. */
+const maxResumesWithoutProgress = 3;
+const initialBackoffMilliseconds = 25;
 
-type Break = {
+type StreamFailure = {
     readonly failure: EngineFailure;
-    /** Whether the engine may still hold the attempt, so that asking it again can help. */
+    /** Whether the engine may still hold the attempt, so that resuming the stream can succeed. */
     readonly resumable: boolean;
 };
-type StreamEnd = { readonly reason: EndReason; } | Break;
+type StreamResult = { readonly reason: EndReason; } | StreamFailure;
 
-/** Reads the answer of one attempt, in order and without gaps, over as many streams as it takes. */
-export class DecodeStream {
-    private waiting: Promise<void> | undefined;
-    /** Offset of the next token of this attempt. An engine resumes only what it has begun, so the first read is from 0. */
-    private next = 0;
+/** Reads the answer of one attempt in order and without gaps, resuming the engine's stream when it breaks. */
+export class DecodeReader {
+    private backpressure: Promise<void> | undefined;
+    /** Offset of the next token of this attempt. An engine resumes only streams that it started, so reading starts at 0. */
+    private nextOffset = 0;
 
     private constructor(
         private readonly context: AttemptContext,
@@ -37,29 +37,33 @@
         backend: Announcement,
         scope: AttemptScope,
         engine: Engine,
-    ): DecodeStream {
-        return new DecodeStream(context, attempt, backend, scope, engine);
+    ): DecodeReader {
+        return new DecodeReader(context, attempt, backend, scope, engine);
     }
 
     async run(): Promise<AttemptEnd> {
         const { lifecycle, scope } = this.context;
-        let fruitless = 0;
+        let resumesWithoutProgress = 0;
         for (;;) {
-            const before = this.next;
-            const end = await this.read();
+            const offsetBefore = this.nextOffset;
+            const end = await this.readStream();
             if ("reason" in end) {
                 return { kind: "answered", reason: end.reason };
             }
             if (scope.stopped !== undefined) {
                 return { kind: "stopped" };
             }
-            fruitless = this.next > before ? 0 : fruitless + 1;
-            if (!end.resumable || fruitless >= mostFruitlessResumes || !this.canResume()) {
-                return this.giveUp(end.failure);
+            resumesWithoutProgress = this.nextOffset > offsetBefore ? 0 : resumesWithoutProgress + 1;
+            if (!end.resumable || resumesWithoutProgress >= maxResumesWithoutProgress || !this.canResume()) {
+                return this.failAttempt(end.failure);
             }
             lifecycle.send("lose");
             this.context.parts.metrics.count("basilpaddle_decode_resumes_total", { pool: this.context.work.pool });
-            await pause(this.context.parts.clock, firstBackoff * 2 ** fruitless, scope.signal);
+            await pause(
+                this.context.parts.clock,
+                initialBackoffMilliseconds * 2 ** resumesWithoutProgress,
+                scope.signal,
+            );
             if (scope.stopped !== undefined) {
                 return { kind: "stopped" };
             }
@@ -67,15 +71,15 @@
         }
     }
 
-    private async read(): Promise<StreamEnd> {
+    private async readStream(): Promise<StreamResult> {
         const { scope, parts } = this.context;
-        this.scope.arm(silenceLimit);
+        this.scope.arm(idleTimeoutMilliseconds);
         let armedAt = parts.clock.monotonic();
         const { signal } = this.scope;
-        const batches = this.engine.decodeBatches(this.attempt, this.next, signal);
+        const batches = this.engine.decodeBatches(this.attempt, this.nextOffset, signal);
         for await (const batch of eachUntilAborted(batches, signal)) {
             if (scope.stopped !== undefined) {
-                return broken("stopped", false);
+                return streamFailure("stopped", false);
             }
             if (batch.isLeft()) {
                 const failure = batch.extract();
@@ -83,45 +87,45 @@
             }
             const now = parts.clock.monotonic();
             for (const line of batch.extract() as readonly DecodeLine[]) {
-                const end = this.take(line, now);
+                const end = this.handleLine(line, now);
                 if (end !== undefined) {
                     return end;
                 }
             }
-            if (this.waiting !== undefined) {
-                await this.waitForCaller(this.waiting);
+            if (this.backpressure !== undefined) {
+                await this.waitForCaller(this.backpressure);
                 armedAt = parts.clock.monotonic();
             }
-            else if (now - armedAt > silenceLimit / 4) {
-                this.scope.arm(silenceLimit);
+            else if (now - armedAt > idleTimeoutMilliseconds / 4) {
+                this.scope.arm(idleTimeoutMilliseconds);
                 armedAt = now;
             }
         }
-        return broken("the stream ended without its end", !this.scope.signal.aborted);
+        return streamFailure("the stream ended without an end line", !this.scope.signal.aborted);
     }
 
-    private take(line: DecodeLine, now: number): StreamEnd | undefined {
-        const due = this.context.written.tokens;
+    private handleLine(line: DecodeLine, now: number): StreamResult | undefined {
+        const expectedOffset = this.context.written.tokens;
         if (line.kind === "error") {
             return { failure: { kind: "failed", code: undefined, message: line.message }, resumable: false };
         }
-        if (line.offset > due) {
-            return broken(`a gap: offset ${line.offset} came where ${due} was due`, true);
+        if (line.offset > expectedOffset) {
+            return streamFailure(`gap in the stream: got offset ${line.offset}, expected ${expectedOffset}`, true);
         }
         if (line.kind === "end") {
-            return line.offset === due
+            return line.offset === expectedOffset
                 ? { reason: line.reason }
-                : broken(`the end came at offset ${line.offset} of ${due}`, false);
+                : streamFailure(`the end line has offset ${line.offset}, expected ${expectedOffset}`, false);
         }
-        this.next = Math.max(this.next, line.offset + 1);
-        // A resumed stream, and one of a second attempt, repeats what the caller has already got.
-        if (line.offset === due) {
-            this.write(line.text, now);
+        this.nextOffset = Math.max(this.nextOffset, line.offset + 1);
+        // A resumed stream, and that of a later attempt, may repeat tokens that the caller already has; they are skipped.
+        if (line.offset === expectedOffset) {
+            this.writeToken(line.text, now);
         }
         return undefined;
     }
 
-    private write(text: string, now: number): void {
+    private writeToken(text: string, now: number): void {
         const { written, parts, work } = this.context;
         if (written.firstAt === undefined) {
             written.firstAt = now;
@@ -129,15 +133,15 @@
         }
         written.tokens++;
         written.lastAt = now;
-        this.waiting = this.context.answer.token(text) ?? this.waiting;
+        this.backpressure = this.context.answer.token(text) ?? this.backpressure;
     }
 
-    /** The engine is silent because nothing reads it; that must not count as its fault. */
-    private async waitForCaller(waiting: Promise<void>): Promise<void> {
-        this.waiting = undefined;
+    /** Waits for a slow caller with the idle timeout off: the engine is silent only because nothing reads from it. */
+    private async waitForCaller(callerReady: Promise<void>): Promise<void> {
+        this.backpressure = undefined;
         this.scope.disarm();
-        await waiting;
-        this.scope.arm(silenceLimit);
+        await callerReady;
+        this.scope.arm(idleTimeoutMilliseconds);
     }
 
     private canResume(): boolean {
@@ -146,13 +150,13 @@
             && known.announcement.incarnation === this.backend.incarnation;
     }
 
-    private giveUp(failure: EngineFailure): AttemptEnd {
+    private failAttempt(failure: EngineFailure): AttemptEnd {
         const message = `decode on ${this.backend.id}: ${failure.message}`;
         const code = this.scope.signal.aborted ? "backendTimeout" : "backendFailed";
         return { kind: "failed", code, message, engine: this.backend.id };
     }
 }
 
-function broken(message: string, resumable: boolean): Break {
+function streamFailure(message: string, resumable: boolean): StreamFailure {
     return { failure: { kind: "unknown", code: undefined, message }, resumable };
 }
--- a/packages/basilpaddle/src/node/coordination/request/driver.ts
+++ b/packages/basilpaddle/src/node/coordination/request/driver.ts
@@ -4,24 +4,24 @@
 import { Attempt } from "./attempt.js";
 import type { AttemptContext, AttemptEnd } from "./attemptContext.js";
 import { Lifecycle } from "./lifecycle.js";
+import { OutcomeTracker } from "./outcomeTracker.js";
 import type { RequestParts } from "./parts.js";
 import type { Run } from "./run.js";
 import { type RequestScope, type StopReason, untilAborted } from "./scope.js";
-import { Trace } from "./trace.js";
 import type { RequestEnd, Work } from "./work.js";
 
-const mostAttempts = 3;
-const retryAfterFault = 1_000;
+const maxAttempts = 3;
+const retryAfterFailureMilliseconds = 1_000;
 const stopMessages: Readonly<Record<StopReason, string>> = {
-    callerGone: "the caller has gone",
+    callerGone: "the caller disconnected",
     deadlineExceeded: "the deadline has passed",
-    shuttingDown: "this daemon ended before the request did",
+    shuttingDown: "this daemon shut down before the request ended",
 };
 
-/** Drives one request from its admission to its last byte. It alone writes to the request's answer. */
+/** Drives one request from its admission to its last byte. Nothing else writes to the request's answer. */
 export class RequestDriver {
     private readonly lifecycle = Lifecycle.create();
-    private readonly trace = Trace.create();
+    private readonly outcomeTracker = OutcomeTracker.create();
     private readonly written: AttemptContext["written"] = { tokens: 0, promptTokens: 0, firstAt: undefined, lastAt: 0 };
     private run: Run | undefined;
 
@@ -32,7 +32,7 @@
         private readonly scope: RequestScope,
     ) {}
 
-    /** Drives the request to its end. Never rejects; everything that the request held is freed or being freed then. */
+    /** Drives the request to its end. Never rejects. By then, all resources of the request are released or being released. */
     static async drive(parts: RequestParts, work: Work, answer: Answer, scope: RequestScope): Promise<RequestEnd> {
         const driver = new RequestDriver(parts, work, answer, scope);
         const remaining = work.deadlineAt - parts.clock.monotonic();
@@ -41,7 +41,10 @@
             return await driver.drive();
         }
         catch (failure) {
-            parts.logger.error("request failed inside", { request: work.requestId, failure: String(failure) });
+            parts.logger.error("request failed with an internal error", {
+                request: work.requestId,
+                failure: String(failure),
+            });
             const refusal = driver.refusal("internal", "a fault of this daemon");
             return { kind: "refused", refusal };
         }
@@ -52,13 +55,15 @@
 
     private async drive(): Promise<RequestEnd> {
         this.lifecycle.send("admit");
-        this.parts.budget.earn();
+        this.parts.budget.deposit();
         if (!this.parts.control.mayStart()) {
-            return this.refuse(this.refusal("viewExpired", "this daemon's view is not confirmed", retryAfterFault));
+            return this.refuse(
+                this.refusal("viewExpired", "this daemon's view is not confirmed", retryAfterFailureMilliseconds),
+            );
         }
-        const held = this.holdOf();
-        if (held !== undefined) {
-            return this.refuse(held);
+        const quarantined = this.checkQuarantine();
+        if (quarantined !== undefined) {
+            return this.refuse(quarantined);
         }
         if (this.work.run !== undefined) {
             const remaining = this.work.deadlineAt - this.parts.clock.monotonic();
@@ -74,73 +79,77 @@
         }
         let end: AttemptEnd;
         try {
-            end = await this.attempts();
+            end = await this.runAttempts();
         }
         catch (failure) {
-            // The record must not stay "running" for a fault of this program.
-            await this.closeRun();
+            // An internal error must not leave the run's record as "running".
+            await this.recordRunEnd();
             throw failure;
         }
         return this.end(end);
     }
 
-    private async attempts(): Promise<AttemptEnd> {
-        const { parts, work, answer, scope, lifecycle, trace, written } = this;
-        const context: AttemptContext = { parts, work, answer, scope, lifecycle, trace, written };
+    private async runAttempts(): Promise<AttemptEnd> {
+        const { parts, work, answer, scope, lifecycle, outcomeTracker, written } = this;
+        const context: AttemptContext = { parts, work, answer, scope, lifecycle, outcomeTracker, written };
         const avoid: string[] = [];
         for (let attempt = 1;; attempt++) {
             if (scope.stopped !== undefined) {
                 return { kind: "stopped" };
             }
-            const held = this.holdOf();
-            if (held !== undefined) {
-                return { kind: "refused", refusal: held };
+            const quarantined = this.checkQuarantine();
+            if (quarantined !== undefined) {
+                return { kind: "refused", refusal: quarantined };
             }
-            const tokensBefore = written.tokens;
+            const tokensBeforeAttempt = written.tokens;
             const backends = parts.control.view().backends;
             const end = await Attempt.run(context, avoid);
-            this.noteEnd(end, backends, written.tokens === tokensBefore);
-            if (end.kind !== "failed" || !this.mayTryAgain(end, attempt)) {
+            this.reportAttemptEnd(end, backends, written.tokens === tokensBeforeAttempt);
+            if (end.kind !== "failed" || !this.mayRetry(end, attempt)) {
                 return end;
             }
             parts.metrics.count("basilpaddle_retries_total", { pool: work.pool, code: end.code });
-            parts.logger.warn("attempt failed; another is made", { request: work.requestId, message: end.message });
+            parts.logger.warn("attempt failed; retrying", { request: work.requestId, message: end.message });
             avoid.push(end.engine as string);
             lifecycle.send("retry");
         }
     }
 
-    /** Why it may not run now. What ran before in this request stays true. */
-    private holdOf(): Refusal | undefined {
-        const refusal = heldRefusal(this.parts.crashes, this.arrived(), this.parts.logger);
-        return refusal && { ...refusal, outcome: this.trace.outcome };
+    /** The refusal if the request is quarantined. Its outcome also covers earlier attempts of this request. */
+    private checkQuarantine(): Refusal | undefined {
+        const refusal = heldRefusal(this.parts.crashes, this.requestIdentity(), this.parts.logger);
+        return refusal && { ...refusal, outcome: this.outcomeTracker.outcome };
     }
 
-    /** An engine may have ended under the attempt, or the answer clears the request of what ended before. */
-    private noteEnd(end: AttemptEnd, backends: View["backends"], isEarly: boolean): void {
+    /** Reports to the crash detector an engine that failed during the attempt, or an answer, which clears earlier crashes. */
+    private reportAttemptEnd(end: AttemptEnd, backends: View["backends"], isEarly: boolean): void {
         if (end.kind === "answered") {
-            this.parts.crashes.answered(this.arrived());
+            this.parts.crashes.answered(this.requestIdentity());
             return;
         }
         const engine = end.kind === "failed" && end.code === "backendFailed" ? backends[end.engine ?? ""] : undefined;
         if (engine !== undefined) {
-            void this.parts.crashes.lost(this.arrived(), lifeOf(engine.announcement), isEarly ? "early" : "late");
+            void this.parts.crashes.lost(
+                this.requestIdentity(),
+                lifeOf(engine.announcement),
+                isEarly ? "early" : "late",
+            );
         }
     }
 
-    private arrived(): Arrived {
+    private requestIdentity(): Arrived {
         return { digest: this.work.digest, attempt: this.work.requestId };
     }
 
-    /** A non-idempotent request is tried again only while it is proved that no backend server ran any of it. */
-    private mayTryAgain(end: Extract<AttemptEnd, { kind: "failed"; }>, attempt: number): boolean {
-        if (end.engine === undefined || this.scope.stopped !== undefined || attempt >= mostAttempts) {
+    /** Whether to retry. A non-idempotent request is retried only if it is proven that no backend server ran any part of it. */
+    private mayRetry(end: Extract<AttemptEnd, { kind: "failed"; }>, attempt: number): boolean {
+        if (end.engine === undefined || this.scope.stopped !== undefined || attempt >= maxAttempts) {
             return false;
         }
-        if (this.work.run !== undefined && this.trace.outcome !== "notRun") {
+        if (this.work.run !== undefined && this.outcomeTracker.outcome !== "notRun") {
             return false;
         }
-        return this.parts.budget.take();
+        return this.parts.budget.tryWithdraw();
     }
 
     private async end(end: AttemptEnd): Promise<RequestEnd> {
@@ -150,11 +159,13 @@
         if (end.kind === "stopped") {
             return this.cancel(this.scope.stopped ?? "callerGone");
         }
-        await untilAborted(this.closeRun(), this.scope.signal, undefined);
+        await untilAborted(this.recordRunEnd(), this.scope.signal, undefined);
         if (end.kind === "refused") {
-            return this.refuse({ ...end.refusal, outcome: this.trace.outcome });
+            return this.refuse({ ...end.refusal, outcome: this.outcomeTracker.outcome });
         }
-        const retryAfter = this.work.run === undefined || this.trace.outcome === "notRun" ? retryAfterFault : undefined;
+        const retryAfter = this.work.run === undefined || this.outcomeTracker.outcome === "notRun"
+            ? retryAfterFailureMilliseconds
+            : undefined;
         return this.refuse(this.refusal(end.code, end.message, retryAfter));
     }
 
@@ -172,7 +183,7 @@
         }
         this.answer.finish(end);
         this.lifecycle.send("finish");
-        this.measure(tokens);
+        this.recordMetrics(tokens);
         return { kind: "finished", tokens };
     }
 
@@ -181,30 +192,32 @@
         if (this.lifecycle.can("release")) {
             this.lifecycle.send("release");
         }
-        // The caller isn't kept waiting for the record: a deadline that has passed is answered at once.
-        void this.closeRun();
-        return this.refused(this.refusal(reason, stopMessages[reason]));
+        // Not awaited: the caller gets its reply, for example that the deadline has passed, without waiting for the record.
+        void this.recordRunEnd();
+        return this.countRefusal(this.refusal(reason, stopMessages[reason]));
     }
 
-    private async closeRun(): Promise<void> {
+    private async recordRunEnd(): Promise<void> {
         const run = this.run;
         if (run === undefined) {
             return;
         }
         this.run = undefined;
-        if (this.trace.outcome === "notRun") {
+        if (this.outcomeTracker.outcome === "notRun") {
             await this.parts.runs.release(run);
             return;
         }
-        await this.parts.runs.finish(run, this.trace.outcome, undefined);
+        await this.parts.runs.finish(run, this.outcomeTracker.outcome, undefined);
     }
 
     private refuse(refusal: Refusal): RequestEnd {
-        this.lifecycle.send(this.lifecycle.can("refuse") && this.trace.outcome === "notRun" ? "refuse" : "fail");
-        return this.refused(refusal);
+        this.lifecycle.send(
+            this.lifecycle.can("refuse") && this.outcomeTracker.outcome === "notRun" ? "refuse" : "fail",
+        );
+        return this.countRefusal(refusal);
     }
 
-    private refused(refusal: Refusal): RequestEnd {
+    private countRefusal(refusal: Refusal): RequestEnd {
         this.parts.metrics.count("basilpaddle_refusals_total", {
             pool: this.work.pool,
             code: refusal.code,
@@ -214,10 +227,10 @@
     }
 
     private refusal(code: RefusalCode, message: string, retryAfter?: number): Refusal {
-        return { code, outcome: this.trace.outcome, message, retryAfter };
+        return { code, outcome: this.outcomeTracker.outcome, message, retryAfter };
     }
 
-    private measure(tokens: number): void {
+    private recordMetrics(tokens: number): void {
         const { work, written, parts } = this;
         const labels = { pool: work.pool };
         const firstToken = (written.firstAt ?? parts.clock.monotonic()) - work.receivedAt;
--- a/packages/basilpaddle/src/node/coordination/request/engineDirectory.ts
+++ b/packages/basilpaddle/src/node/coordination/request/engineDirectory.ts
@@ -1,11 +1,11 @@
 import type { Engine } from "../engine/engine.js";
 
-/** Makes the engine client for a base address. */
+/** Creates an engine client for a base URL. */
 export type EngineFactory = (url: string) => Engine;
 
 type Entry = { readonly engine: Engine; users: number; };
 
-/** Keeps one client for each engine's address, and closes it once nobody uses it and the view has forgotten it. */
+/** Reference-counted engine clients, one per engine URL. Unused clients are closed once the view doesn't list their URL. */
 export class EngineDirectory {
     private readonly entries = new Map<string, Entry>();
 
@@ -15,7 +15,7 @@
         return new EngineDirectory(factory);
     }
 
-    /** Gives the client; it stays open until it is given back. */
+    /** Returns the client for the URL, creating it if necessary, and counts one more user until the client is released. */
     borrow(url: string): Engine {
         let entry = this.entries.get(url);
         if (entry === undefined) {
@@ -26,11 +26,11 @@
         return entry.engine;
     }
 
-    /** Gives the client that was borrowed already. */
+    /** Returns a client that has been acquired already. Throws if there is none for the URL. */
     peek(url: string): Engine {
         const entry = this.entries.get(url);
         if (entry === undefined) {
-            throw new Error(`engine ${url} is used without being borrowed`);
+            throw new Error(`no client is open for engine ${url}: acquire it first`);
         }
         return entry.engine;
     }
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Closes the clients of addresses that are no longer known and that nobody uses. */
+    /** Closes the clients that have no users and whose URL isn't in the given set. */
     async retain(urls: ReadonlySet<string>): Promise<void> {
         const closing: Promise<void>[] = [];
         for (const [url, entry] of this.entries) {
--- a/packages/basilpaddle/src/node/coordination/request/lifecycle.ts
+++ b/packages/basilpaddle/src/node/coordination/request/lifecycle.ts
@@ -1,6 +1,6 @@
 import { createMachine, initialTransition, transition } from "xstate";
 
-/** The life of one request. Attempts loop from `reserving` on; a final state is reached once. */
+/** States of one request. A retry returns to `admitted`; a final state is never left. */
 const machine = createMachine({
     id: "request",
     initial: "received",
@@ -36,7 +36,7 @@
     },
 });
 
-/** Where a request stands. */
+/** State of a request. */
 export type RequestState =
     | "received"
     | "admitted"
@@ -53,7 +53,7 @@
     | "failed"
     | "cancelled";
 
-/** What moves a request on. */
+/** Event that changes the state of a request. */
 export type RequestEvent =
     | "admit"
     | "replay"
@@ -71,20 +71,20 @@
     | "cancel"
     | "release";
 
-/** Steps already worked out. The machine has no context, so that a step depends on nothing but state and event. */
-const known = new Map<string, RequestState | undefined>();
+/** Computed transitions. The machine has no context, so a transition depends only on state and event. */
+const transitionCache = new Map<string, RequestState | undefined>();
 
-/** The state after the event, or nothing where the event can't come in that state. */
+/** The state after the event; undefined if the event isn't allowed in that state. */
 export function nextState(state: RequestState, event: RequestEvent): RequestState | undefined {
     const name = `${state} ${event}`;
-    if (!known.has(name)) {
+    if (!transitionCache.has(name)) {
         const [next] = transition(machine, machine.resolveState({ value: state }), { type: event });
-        known.set(name, next.value === state ? undefined : next.value as RequestState);
+        transitionCache.set(name, next.value === state ? undefined : next.value as RequestState);
     }
-    return known.get(name);
+    return transitionCache.get(name);
 }
 
-/** Follows one request through its states. */
+/** Tracks the state of one request. */
 export class Lifecycle {
     private current = initialTransition(machine)[0].value as RequestState;
 
@@ -96,16 +96,16 @@
         return this.current;
     }
 
-    /** Whether the event can come now. */
+    /** Whether the event is allowed in the current state. */
     can(event: RequestEvent): boolean {
         return nextState(this.current, event) !== undefined;
     }
 
-    /** Moves on. An event that can't come in this state is a fault of the program, and the request must not go on. */
+    /** Applies the event. Throws if it isn't allowed in the current state: that is a bug, and the request must not continue. */
     send(event: RequestEvent): void {
         const next = nextState(this.current, event);
         if (next === undefined) {
-            throw new Error(`request lifecycle: ${event} can't come while ${this.current}`);
+            throw new Error(`request lifecycle: event ${event} is not allowed in state ${this.current}`);
         }
         this.current = next;
     }
--- a/packages/basilpaddle/src/node/coordination/request/localMarks.ts
+++ b/packages/basilpaddle/src/node/coordination/request/localMarks.ts
@@ -1,8 +1,8 @@
 import type { View } from "../../protocol/index.js";
 
 /**
- * Backend servers that told this daemon that they leave. They get nothing from it from then on, also while
- * the mark is still on its way through the log or can't be decided.
+ * Backend servers that announced to this daemon that they are leaving. This daemon sends them no new work from then on,
+ * even while the change of state isn't committed to the log yet or there is no quorum to commit it.
  */
 export class LocalMarks {
     private readonly leaving = new Map<string, number>();
@@ -20,7 +20,7 @@
         return marked !== undefined && incarnation <= marked;
     }
 
-    /** Identifiers of the marked backend servers of a pool. */
+    /** Ids of the pool's backend servers that are marked as leaving. */
     inPool(view: View, pool: string): string[] {
         return [...this.leaving.keys()].filter(id => {
             const backend = view.backends[id];
@@ -29,17 +29,17 @@
     }
 
     /**
-     * Forgets marks that the view has taken over, so that their number stays bounded. One that drains under an order may
-     * be taken back in, so its mark has to outlast that.
+     * Removes marks that the view reflects, so that their number stays bounded. The state `draining` doesn't count: a backend
+     * server that drains because of an order may become ready again, and its mark must still be there then.
      */
     follow(view: View): void {
         for (const [id, incarnation] of this.leaving) {
             const backend = view.backends[id];
-            const isTakenOver = backend === undefined
+            const isReflectedInView = backend === undefined
                 || backend.announcement.incarnation > incarnation
                 || backend.state === "leaving"
                 || backend.state === "gone";
-            if (isTakenOver) {
+            if (isReflectedInView) {
                 this.leaving.delete(id);
             }
         }
--- a/packages/basilpaddle/src/node/coordination/request/parts.ts
+++ b/packages/basilpaddle/src/node/coordination/request/parts.ts
@@ -9,7 +9,7 @@
 import type { RetryBudget } from "./retryBudget.js";
 import type { RunRecords } from "./run.js";
 
-/** What the requests of one daemon share. */
+/** Dependencies and state that all requests of one daemon share. */
 export type RequestParts = {
     readonly failureDomain: string;
     readonly control: ControlClient;
@@ -19,7 +19,7 @@
     readonly runs: RunRecords;
     readonly marks: LocalMarks;
     readonly budget: RetryBudget;
-    /** Which requests backend servers ended under. */
+    /** Detects requests that crash the backend servers running them. */
     readonly crashes: CrashWatch;
     readonly clock: Clock;
     readonly randomness: Randomness;
--- a/packages/basilpaddle/src/node/coordination/request/retryBudget.ts
+++ b/packages/basilpaddle/src/node/coordination/request/retryBudget.ts
@@ -1,24 +1,24 @@
-const earnedByRequest = 0.1;
-const most = 10;
+const depositPerRequest = 0.1;
+const capacity = 10;
 
 /**
- * Second attempts that a daemon may still make: a tenth of the requests that came in, with a small reserve.
- * Without it a fault of many engines doubles the load on the others, which then fail as well.
+ * Limits a daemon's retries to a tenth of the requests it receives, with a reserve of 10. Without the limit, a failure of
+ * many engines would double the load on the others, which would then fail as well.
  */
 export class RetryBudget {
-    private tokens = most;
+    private tokens = capacity;
 
     static create(): RetryBudget {
         return new RetryBudget();
     }
 
-    /** A request came in. */
-    earn(): void {
-        this.tokens = Math.min(most, this.tokens + earnedByRequest);
+    /** Credits the budget for one received request. */
+    deposit(): void {
+        this.tokens = Math.min(capacity, this.tokens + depositPerRequest);
     }
 
-    /** Takes one second attempt, where one is left. */
-    take(): boolean {
+    /** Spends one retry. Returns false if none is left. */
+    tryWithdraw(): boolean {
         if (this.tokens < 1) {
             return false;
         }
--- a/packages/basilpaddle/src/node/coordination/request/run.ts
+++ b/packages/basilpaddle/src/node/coordination/request/run.ts
@@ -4,19 +4,19 @@
 import type { ControlClient } from "../controlClient.js";
 import { pause } from "./scope.js";
 
-const startTimeout = 3_000;
-/** Milliseconds that a caller's answer waits for the record of its end. */
-const endTimeout = 2_000;
-const firstBackoff = 100;
-const longestBackoff = 5_000;
-const mostPending = 10_000;
-/** Largest answer that is kept for a second arrival. */
-export const largestKeptAnswer = 262_144;
-
-/** Names a run and what it runs, so that a second arrival is recognised. */
+const startTimeoutMilliseconds = 3_000;
+/** How long a caller's answer waits for its end to be recorded. */
+const finishTimeoutMilliseconds = 2_000;
+const initialBackoffMilliseconds = 100;
+const maxBackoffMilliseconds = 5_000;
+const maxPendingRecords = 10_000;
+/** Largest answer that is stored so that a retry of the request can be answered with it. */
+export const maxStoredAnswerBytes = 262_144;
+
+/** Identifies a run by its key, and its content by a digest, so that a retry of the same request is recognised. */
 export type RunIdentity = { readonly key: string; readonly digest: string; };
 
-/** A run that this daemon may carry out, once. */
+/** A run that this daemon may execute once. */
 export type Run = RunIdentity & { readonly token: string; };
 
 /** Whether a non-idempotent request may run. */
@@ -25,7 +25,7 @@
     | { readonly kind: "replayed"; readonly answer: KeptAnswer; }
     | { readonly kind: "refused"; readonly refusal: Refusal; };
 
-/** What run records need of their daemon. */
+/** Dependencies of `RunRecords`. */
 export type RunRecordParts = {
     readonly control: ControlClient;
     readonly clock: Clock;
@@ -34,18 +34,18 @@
     readonly metrics: Metrics;
 };
 
-/** Names the run of a request: its organisation, its route and the caller's key, with a digest of what it asks for. */
+/** Identifies the run of a request by its organisation, its route and the caller's idempotency key, with a digest of its body. */
 export function identifyRun(organisation: string, route: string, key: string, body: Uint8Array): RunIdentity {
     return {
-        // The caller's key is hashed, so that the whole is bounded and no key can name another route's run.
+        // The caller's key is hashed to bound the length, and so that no key can collide with a run of another route.
         key: `${organisation}${route}/${createHash("sha256").update(key).digest("hex")}`,
         digest: createHash("sha256").update(body).digest("hex"),
     };
 }
 
-/** Records of non-idempotent requests at the control daemons. */
+/** Records the runs of non-idempotent requests at the control daemons. */
 export class RunRecords {
-    private readonly stop = new AbortController();
+    private readonly stopController = new AbortController();
     private pending = 0;
 
     private constructor(private readonly parts: RunRecordParts) {}
@@ -54,12 +54,12 @@
         return new RunRecords(parts);
     }
 
-    /** Records of ends that no quorum has decided yet. */
+    /** Number of proposed records of run ends that no quorum has decided yet. */
     get undecided(): number {
         return this.pending;
     }
 
-    /** Asks whether the request may run. Nothing may leave for a backend server before this says `started`. */
+    /** Records the run's start, timeout in milliseconds. Nothing may be sent to a backend server before this gives `started`. */
     async start(identity: RunIdentity, timeout: number): Promise<RunStart> {
         const run = { ...identity, token: this.parts.randomness.identifier() };
         const command: Command = {
@@ -68,45 +68,53 @@
             owner: this.parts.control.session(),
             at: this.parts.clock.wall(),
         };
-        const proposed = await this.parts.control.propose(command, Math.max(1, Math.min(startTimeout, timeout)));
+        const proposed = await this.parts.control.propose(
+            command,
+            Math.max(1, Math.min(startTimeoutMilliseconds, timeout)),
+        );
         return proposed.caseOf<RunStart>({
             Left: undecided => {
-                // The record may still come to stand. Nothing was run, so it is taken back until that is decided;
-                // without it the caller's key would answer "in progress" until it expires.
-                this.settleLater(this.releaseCommand(run));
-                return refused("noQuorum", "notRun", `the run could not be recorded: ${undecided.reason}`, 1_000);
+                // The record may still be committed. Nothing was run, so its release is proposed until that is decided;
+                // otherwise the caller's key would be refused as "in progress" until the record expires.
+                this.retryInBackground(this.releaseCommand(run));
+                return refused(
+                    "noQuorum",
+                    "notRun",
+                    `the start of the run could not be recorded: ${undecided.reason}`,
+                    1_000,
+                );
             },
-            Right: result => startOf(run, result),
+            Right: result => runStartOf(run, result),
         });
     }
 
-    /** Records how the run ended, and goes on trying behind the caller's back where that takes long. */
+    /** Records how the run ended. If that isn't decided in time, resolves and keeps retrying in the background. */
     async finish(run: Run, result: "answered" | Outcome, answer: KeptAnswer | undefined): Promise<void> {
-        const kept = answer !== undefined && answer.body.length <= largestKeptAnswer ? answer : undefined;
-        await this.settle({
+        const storedAnswer = answer !== undefined && answer.body.length <= maxStoredAnswerBytes ? answer : undefined;
+        await this.recordEnd({
             kind: "finishRun",
             key: run.key,
             token: run.token,
             result,
-            answer: kept,
+            answer: storedAnswer,
             at: this.parts.clock.wall(),
         });
     }
 
-    /** Forgets a run of which it is proved that no backend server ran it. */
+    /** Deletes the record of a run that provably no backend server executed. */
     async release(run: Run): Promise<void> {
-        await this.settle(this.releaseCommand(run));
+        await this.recordEnd(this.releaseCommand(run));
     }
 
     close(): void {
-        this.stop.abort();
+        this.stopController.abort();
     }
 
     private releaseCommand(run: Run): Command {
         return { kind: "releaseRun", key: run.key, token: run.token, at: this.parts.clock.wall() };
     }
 
-    /** Waits until no record is undecided, at most the given milliseconds; gives how many are left. */
+    /** Waits until no record is undecided, for at most the given milliseconds. Returns how many are left. */
     async drain(timeout: number): Promise<number> {
         const end = this.parts.clock.monotonic() + timeout;
         while (this.pending > 0 && this.parts.clock.monotonic() < end) {
@@ -115,53 +123,57 @@
         return this.pending;
     }
 
-    private async settle(command: Command): Promise<void> {
+    private async recordEnd(command: Command): Promise<void> {
         this.pending++;
         const decided = await this.proposeOnce(command);
         this.pending--;
         if (!decided) {
-            this.settleLater(command);
+            this.retryInBackground(command);
         }
     }
 
     private async proposeOnce(command: Command): Promise<boolean> {
         try {
-            return (await this.parts.control.propose(command, endTimeout)).isRight();
+            return (await this.parts.control.propose(command, finishTimeoutMilliseconds)).isRight();
         }
         catch (failure) {
-            this.parts.logger.error("proposal failed", { kind: command.kind, failure: String(failure) });
+            this.parts.logger.error("proposing a run record failed", { kind: command.kind, failure: String(failure) });
             return false;
         }
     }
 
-    private settleLater(command: Command): void {
-        if (this.pending >= mostPending) {
+    private retryInBackground(command: Command): void {
+        if (this.pending >= maxPendingRecords) {
             this.parts.metrics.count("basilpaddle_run_records_dropped_total");
-            this.parts.logger.error("too many run records undecided; one is given up until it expires", {
+            this.parts.logger.error("too many undecided run records; dropping one, which stays until it expires", {
                 kind: command.kind,
             });
             return;
         }
         this.pending++;
-        this.report();
-        void this.repeat(command).finally(() => {
+        this.updateGauge();
+        void this.retryUntilDecided(command).finally(() => {
             this.pending--;
-            this.report();
+            this.updateGauge();
         });
     }
 
-    private async repeat(command: Command): Promise<void> {
-        let backoff = firstBackoff;
-        while (!this.stop.signal.aborted) {
-            await pause(this.parts.clock, backoff * (0.5 + this.parts.randomness.fraction()), this.stop.signal);
+    private async retryUntilDecided(command: Command): Promise<void> {
+        let backoff = initialBackoffMilliseconds;
+        while (!this.stopController.signal.aborted) {
+            await pause(
+                this.parts.clock,
+                backoff * (0.5 + this.parts.randomness.fraction()),
+                this.stopController.signal,
+            );
             if (await this.proposeOnce(command)) {
                 return;
             }
-            backoff = Math.min(longestBackoff, backoff * 2);
+            backoff = Math.min(maxBackoffMilliseconds, backoff * 2);
         }
     }
 
-    private report(): void {
+    private updateGauge(): void {
         this.parts.metrics.gauge("basilpaddle_run_records_undecided", this.pending);
     }
 }
@@ -170,34 +182,42 @@
     return { kind: "refused", refusal: { code, outcome, message, retryAfter } };
 }
 
-function startOf(run: Run, result: CommandResult): RunStart {
+function runStartOf(run: Run, result: CommandResult): RunStart {
     if (result.kind === "started") {
         return { kind: "started", run };
     }
     if (result.kind === "known") {
-        return knownStart(result);
+        return startOfKnownRun(result);
     }
     if (result.kind === "full") {
-        return refused("recordsFull", "notRun", `${result.limit} runs are recorded already`, 60_000);
+        return refused("recordsFull", "notRun", `the limit of ${result.limit} recorded runs is reached`, 60_000);
     }
-    return refused("internal", "notRun", `the run was not recorded: ${result.kind}`);
+    return refused("internal", "notRun", `unexpected result of recording the run: ${result.kind}`);
 }
 
-/** The outcome told of a known run is that of the run, whichever arrival asks. */
-function knownStart(known: Extract<CommandResult, { kind: "known"; }>): RunStart {
+/** For a run that is recorded already, the outcome is that of the run, whichever request asks. */
+function startOfKnownRun(known: Extract<CommandResult, { kind: "known"; }>): RunStart {
     if (!known.sameDigest) {
-        return refused("keyReused", "notRun", "the idempotency key was used for another request body");
+        return refused("keyReused", "notRun", "the idempotency key was already used with a different request body");
     }
     switch (known.state) {
         case "running":
-            return refused("runInProgress", "unknown", "a request with this idempotency key is running", 1_000);
+            return refused("runInProgress", "unknown", "a request with this idempotency key is still running", 1_000);
         case "answered":
             return known.answer === undefined
-                ? refused("answerNotKept", "failedAfterStarting", "the request was run; its answer was not kept")
+                ? refused(
+                    "answerNotKept",
+                    "failedAfterStarting",
+                    "the request was already run, but its answer was not stored",
+                )
                 : { kind: "replayed", answer: known.answer };
         case "notRun":
         case "failedAfterStarting":
         case "unknown":
-            return refused("outcomeUnknown", known.state, "the request with this idempotency key had no whole answer");
+            return refused(
+                "outcomeUnknown",
+                known.state,
+                "the request with this idempotency key did not complete its answer",
+            );
     }
 }
--- a/packages/basilpaddle/src/node/coordination/request/scope.ts
+++ b/packages/basilpaddle/src/node/coordination/request/scope.ts
@@ -4,7 +4,7 @@
 /** Why a request is stopped before its end. */
 export type StopReason = Extract<RefusalCode, "callerGone" | "deadlineExceeded" | "shuttingDown">;
 
-/** What a request runs under: it is stopped once, for one reason, and everything it waits for hears of it. */
+/** Cancellation scope of one request. It is stopped at most once, for one reason; its signal aborts all pending work. */
 export class RequestScope {
     private readonly controller = new AbortController();
     private stopReason: StopReason | undefined;
@@ -30,14 +30,14 @@
     }
 }
 
-/** What one attempt runs under: it ends with its request, or alone when a stage takes too long. */
+/** Cancellation scope of one attempt. It is aborted with its request, or by itself when a stage times out. */
 export class AttemptScope {
     private readonly controller = new AbortController();
-    private readonly forward = () => this.end();
+    private readonly endAttempt = () => this.end();
     private cancelTimer: (() => void) | undefined;
 
     private constructor(private readonly request: RequestScope, private readonly clock: Clock) {
-        request.signal.addEventListener("abort", this.forward, { once: true });
+        request.signal.addEventListener("abort", this.endAttempt, { once: true });
         if (request.stopped !== undefined) {
             this.controller.abort();
         }
@@ -51,13 +51,13 @@
         return this.controller.signal;
     }
 
-    /** Ends the attempt unless it is disarmed or armed anew within the given milliseconds. */
+    /** Starts a timeout in milliseconds that aborts the attempt; replaces the previous one. `disarm` cancels it. */
     arm(milliseconds: number): void {
         this.disarm();
-        this.cancelTimer = this.clock.after(milliseconds, this.forward);
+        this.cancelTimer = this.clock.after(milliseconds, this.endAttempt);
     }
 
-    /** Ends the attempt, and not its request. */
+    /** Aborts the attempt without stopping its request. */
     end(): void {
         this.controller.abort();
     }
@@ -69,11 +69,11 @@
 
     close(): void {
         this.disarm();
-        this.request.signal.removeEventListener("abort", this.forward);
+        this.request.signal.removeEventListener("abort", this.endAttempt);
     }
 }
 
-/** Waits for the promise, but no longer than until the signal aborts; gives the fallback then. */
+/** Resolves or rejects with the promise, or resolves to the fallback if the signal aborts first. */
 export function untilAborted<Value>(promise: Promise<Value>, signal: AbortSignal, fallback: Value): Promise<Value> {
     if (signal.aborted) {
         promise.catch(() => undefined);
@@ -87,18 +87,18 @@
 }
 
 /**
- * Hands on what comes, but no longer than until the signal aborts. An engine's client that overlooks the signal would
- * otherwise hold its request for as long as the engine is silent.
+ * Yields the items until the iteration ends or the signal aborts. Without this, an engine client that ignores the signal
+ * would block its request for as long as the engine sends nothing.
  */
 export async function* eachUntilAborted<Item>(items: AsyncIterable<Item>, signal: AbortSignal): AsyncGenerator<Item> {
     const iterator = items[Symbol.asyncIterator]();
-    let give: (result: IteratorResult<Item> | undefined) => void = () => undefined;
-    const abort = () => give(undefined);
+    let settleNext: (result: IteratorResult<Item> | undefined) => void = () => undefined;
+    const abort = () => settleNext(undefined);
     signal.addEventListener("abort", abort, { once: true });
     try {
         while (!signal.aborted) {
             const result = await new Promise<IteratorResult<Item> | undefined>((resolve, reject) => {
-                give = resolve;
+                settleNext = resolve;
                 iterator.next().then(resolve, reject);
             });
             if (result === undefined || result.done === true) {
@@ -109,12 +109,12 @@
     }
     finally {
         signal.removeEventListener("abort", abort);
-        // Not waited for: it settles only after a pending next, which may never come.
+        // Not awaited: an async generator's return() settles only after its pending next(), which may never settle.
         iterator.return?.().catch(() => undefined);
     }
 }
 
-/** Waits the given milliseconds, or until the signal aborts. */
+/** Resolves after the given milliseconds, or as soon as the signal aborts. */
 export function pause(clock: Clock, milliseconds: number, signal?: AbortSignal): Promise<void> {
     return new Promise(resolve => {
         if (signal?.aborted === true) {
--- a/packages/basilpaddle/src/node/coordination/request/viewWaits.ts
+++ b/packages/basilpaddle/src/node/coordination/request/viewWaits.ts
@@ -1,15 +1,16 @@
 import type { RequestParts } from "./parts.js";
 import { pause } from "./scope.js";
 
-/** Milliseconds for which engines are waited for that the scheduler's view has and this daemon's doesn't yet. */
-const viewLag = 1_000;
-/** Milliseconds for which a confirmation is waited for, and between two looks. */
-const longestElection = 1_000;
-const confirmationPause = 25;
+/** How long to wait for engines that are in the scheduler's view but not yet in this daemon's view. */
+const maxViewLagMilliseconds = 1_000;
+/** How long to wait for the view to be confirmed, which an election of control daemons delays. */
+const maxElectionMilliseconds = 1_000;
+/** Interval at which the confirmation is polled. */
+const confirmationPollMilliseconds = 25;
 
 type Parts = Pick<RequestParts, "clock" | "control">;
 
-/** Waits until the view names the engines, but not for long: they may be gone by a view that is ahead. */
+/** Waits until the view contains the engines, for a bounded time: they may be gone if the view is ahead of the scheduler's. */
 export async function untilEnginesKnown(
     { control, clock }: Parts,
     ids: readonly string[],
@@ -19,21 +20,21 @@
     if (!isBehind()) {
         return;
     }
-    const caughtUp = new AbortController();
-    const unfollow = control.onView(() => {
+    const caughtUpController = new AbortController();
+    const unsubscribe = control.onView(() => {
         if (!isBehind()) {
-            caughtUp.abort();
+            caughtUpController.abort();
         }
     });
-    await pause(clock, viewLag, AbortSignal.any([caughtUp.signal, signal]));
-    unfollow();
+    await pause(clock, maxViewLagMilliseconds, AbortSignal.any([caughtUpController.signal, signal]));
+    unsubscribe();
 }
 
-/** Waits until this daemon's view is confirmed, at most for as long as an election takes; gives whether it is. */
+/** Waits until this daemon's view is confirmed, for at most the duration of an election. Returns whether it is. */
 export async function untilViewConfirmed({ control, clock }: Parts, signal: AbortSignal): Promise<boolean> {
-    const until = clock.monotonic() + longestElection;
+    const until = clock.monotonic() + maxElectionMilliseconds;
     while (!control.mayStart() && clock.monotonic() < until && !signal.aborted) {
-        await pause(clock, confirmationPause, signal);
+        await pause(clock, confirmationPollMilliseconds, signal);
     }
     return control.mayStart();
 }
--- a/packages/basilpaddle/src/node/coordination/request/work.ts
+++ b/packages/basilpaddle/src/node/coordination/request/work.ts
@@ -1,12 +1,12 @@
 import type { Generation, KeptAnswer, Refusal } from "../../protocol/index.js";
 import type { RunIdentity } from "./run.js";
 
-/** A model request, checked and resolved against the configuration. */
+/** A model request, validated and resolved against the configuration. */
 export type Work = {
     readonly requestId: string;
     readonly pool: string;
     readonly organisation: string;
-    /** Names what it holds, as `digestOf` does: the same whenever the same request comes. */
+    /** Digest of the request's content, as computed by `digestOf`: identical requests have the same digest. */
     readonly digest: string;
     readonly generation: Generation;
     readonly promptTokens: number;
@@ -17,7 +17,7 @@
     readonly receivedAt: number;
     readonly deadlineAt: number;
     readonly targets: { readonly firstToken: number; readonly perToken: number; };
-    /** Only of a non-idempotent request: it runs at most once. */
+    /** Set only for a non-idempotent request, which runs at most once. */
     readonly run: RunIdentity | undefined;
 };
 
