--- a/packages/basilpaddle/src/node/coordination/engine/__tests__/engineCall.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/__tests__/engineHttpCall.spec.ts
@@ -3,10 +3,10 @@
 import { cancelAnswerSchema } from "../../../protocol/index.js";
 import { Clock, SystemClock } from "../../../utils/index.js";
 import { resolveEngineLimits } from "../engineLimits.js";
-import { WholeAnswer } from "../wholeAnswer.js";
+import { JsonCall } from "../jsonCall.js";
 
-/** A dispatcher that starts requests only when it is told. */
-class HeldDispatcher extends Dispatcher {
+/** A dispatcher that starts requests only when the test calls `start`. */
+class ManualDispatcher extends Dispatcher {
     handler: Dispatcher.DispatchHandler | undefined;
     aborted = 0;
 
@@ -19,7 +19,7 @@
         this.handler!.onRequestStart!(this.controller(), {});
     }
 
-    breakOff(): void {
+    breakConnection(): void {
         this.handler!.onResponseError!(this.controller(), new Error("broken"));
     }
 
@@ -31,8 +31,8 @@
     }
 }
 
-/** A clock whose timers don't run, as those of a process that was just woken haven't run yet. */
-class WokenClock extends Clock {
+/** A clock whose timers never fire, as in a process that has just resumed from a freeze. */
+class ClockWithoutTimers extends Clock {
     now = 0;
 
     override monotonic(): number {
@@ -51,26 +51,26 @@
 function send(dispatcher: Dispatcher, connect: number, clock: Clock = SystemClock.create()) {
     const limits = resolveEngineLimits({ connect });
     const options = { method: "POST", path: "/" } as const;
-    return WholeAnswer.send(dispatcher, options, cancelAnswerSchema, clock, limits, 60_000);
+    return JsonCall.send(dispatcher, options, cancelAnswerSchema, clock, limits, 60_000);
 }
 
-describe("a request that isn't sent yet", () => {
-    it("is not run when no connection comes about in time, and isn't sent when one comes later", async () => {
-        // Symptom: a request that the caller was told of as not run, runs. Sequence: connecting takes too long, the
-        // caller is told, the connection comes about, the request in its queue is sent.
-        const dispatcher = new HeldDispatcher();
+describe("a request that hasn't been sent", () => {
+    it("is not run if connecting times out, and isn't sent if the connection succeeds later", async () => {
+        // Guards against running a request that was reported as not run: connecting times out, the failure is reported, then
+        // the connection succeeds and the queued request is sent.
+        const dispatcher = new ManualDispatcher();
         const failure = (await send(dispatcher, 5)).swap().unsafeCoerce();
         expect(failure.kind).to.equal("notRun");
         dispatcher.start();
         expect(dispatcher.aborted).to.equal(1);
     });
 
-    it("isn't sent by a process that wakes from a freeze, whose timers haven't run", async () => {
-        // Symptom: two daemons' orders at one engine contradict each other. Sequence: the holder of the orders lease
-        // asks for a connection and is frozen, the lease goes to another daemon, the old one wakes, and its event
-        // loop handles the connection before the timers. Cause: a time limit that is a timer alone.
-        const dispatcher = new HeldDispatcher();
-        const clock = new WokenClock();
+    it("isn't sent by a process that resumes from a freeze before its timers have fired", async () => {
+        // Guards against conflicting orders of two daemons at one engine: the holder of the orders lease starts to connect and
+        // freezes, the lease passes to another daemon, the first one resumes, and its event loop handles the connection before
+        // the timers. The time limit was enforced by a timer only.
+        const dispatcher = new ManualDispatcher();
+        const clock = new ClockWithoutTimers();
         const answer = send(dispatcher, 1_000, clock);
         clock.now = 60_000;
         dispatcher.start();
@@ -78,13 +78,13 @@
         expect((await answer).swap().unsafeCoerce().kind).to.equal("notRun");
     });
 
-    it("is unknown as soon as its first byte may have left, and isn't started twice", async () => {
-        const dispatcher = new HeldDispatcher();
+    it("has an unknown outcome once its first byte may have been sent, and isn't started twice", async () => {
+        const dispatcher = new ManualDispatcher();
         const answer = send(dispatcher, 60_000);
         dispatcher.start();
         dispatcher.start();
         expect(dispatcher.aborted).to.equal(1);
-        dispatcher.breakOff();
+        dispatcher.breakConnection();
         expect((await answer).swap().unsafeCoerce().kind).to.equal("unknown");
     });
 });
--- a/packages/basilpaddle/src/node/coordination/engine/__tests__/hostileServer.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/__tests__/hostileServer.ts
@@ -1,10 +1,10 @@
 import { once } from "node:events";
 import { type AddressInfo, createServer, type Server, type Socket } from "node:net";
 
-/** A request as its bytes arrived, and the connection to do harm with. */
-export type Arrival = { readonly socket: Socket; readonly connection: number; readonly request: number; };
+/** A received request: its socket, and the numbers of its connection and of the request, from 1. */
+export type ServedRequest = { readonly socket: Socket; readonly connection: number; readonly request: number; };
 
-/** A TCP server that treats each request as it is told, below the level at which an HTTP server would behave. */
+/** A TCP server whose handler writes to the raw socket, so that it can violate HTTP or break the connection. */
 export class HostileServer {
     connections = 0;
     requests = 0;
@@ -13,10 +13,10 @@
 
     private constructor(private readonly server: Server) {}
 
-    static async create(treat: (arrival: Arrival) => void): Promise<HostileServer> {
+    static async create(handle: (request: ServedRequest) => void): Promise<HostileServer> {
         const server = createServer();
         const hostile = new HostileServer(server);
-        server.on("connection", socket => hostile.take(socket, treat));
+        server.on("connection", socket => hostile.accept(socket, handle));
         server.listen(0, "127.0.0.1");
         await once(server, "listening");
         return hostile;
@@ -32,7 +32,7 @@
         await once(this.server, "close");
     }
 
-    private take(socket: Socket, treat: (arrival: Arrival) => void): void {
+    private accept(socket: Socket, handleRequest: (request: ServedRequest) => void): void {
         this.connections += 1;
         const connection = this.connections;
         this.sockets.add(socket);
@@ -46,17 +46,17 @@
             if (head !== -1 && received.length >= head + 4 + length) {
                 received = "";
                 this.requests += 1;
-                treat({ socket, connection, request: this.requests });
+                handleRequest({ socket, connection, request: this.requests });
             }
         });
     }
 }
 
-/** An answer with its length, on a connection that is kept alive. */
+/** A response with a content-length, on a connection that is kept alive. */
 export function answer(status: number, body: unknown): string {
     const text = typeof body === "string" ? body : JSON.stringify(body);
     return `HTTP/1.1 ${status} X\r\ncontent-length: ${Buffer.byteLength(text)}\r\n\r\n${text}`;
 }
 
-/** The head of a stream that ends with the connection. */
+/** The response head of a stream that ends when the connection closes. */
 export const streamHead = "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n";
--- a/packages/basilpaddle/src/node/coordination/engine/engine.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/engine.ts
@@ -12,26 +12,26 @@
 /** Why a call to an engine failed. */
 export type EngineFailure = {
     /**
-     * `notRun`: nothing was sent, or the engine proved that it refused; it holds nothing for the attempt.
-     * `failed`: the engine ran it and said that it failed.
-     * `unknown`: the connection broke or no answer came in time; it may have run, and may still hold memory.
+     * `notRun`: nothing was sent, or the engine provably refused; it holds nothing for the attempt.
+     * `failed`: the engine executed the call and reported that it failed.
+     * `unknown`: the connection broke or the call timed out; it may have been executed, and the engine may still hold memory.
      */
     readonly kind: "notRun" | "failed" | "unknown";
-    /** Code of the engine's refusal, where it gave one. */
+    /** Code of the engine's refusal, if it sent one. */
     readonly code: string | undefined;
     readonly message: string;
 };
 
-/** An engine as the router sees it. Another engine's wire is another class of this kind, in a file of its own. */
+/** Client of an engine. Each engine protocol is implemented by a subclass in its own file. */
 export abstract class Engine {
-    /** Computes the prompt and keeps its KV cache for export under the handle of the answer. */
+    /** Computes the prompt and retains its KV cache for export under the handle in the answer. */
     abstract prefill(
         attempt: string,
         generation: Generation,
         signal: AbortSignal,
     ): Promise<Either<EngineFailure, PrefillAnswer>>;
 
-    /** Fetches the KV cache from the prefill engine, and holds a decode slot from then on. */
+    /** Makes the engine fetch the KV cache from the prefill engine; it holds a decode slot from then on. */
     abstract import(
         attempt: string,
         source: { readonly url: string; readonly handle: string; },
@@ -39,7 +39,7 @@
         signal: AbortSignal,
     ): Promise<Either<EngineFailure, { readonly bytes: number; }>>;
 
-    /** Streams the answer from the offset on. Ends after a line of kind `end`; a stream that ends without one yields a failure last. */
+    /** Streams the answer from the offset up to a line of kind `end`. A stream that ends without one yields a failure last. */
     abstract decode(
         attempt: string,
         offset: number,
@@ -47,8 +47,8 @@
     ): AsyncIterable<Either<EngineFailure, DecodeLine>>;
 
     /**
-     * The same stream in batches: all lines that came in one piece of the answer, at least one. This is the one to
-     * use per request: it costs one promise for a piece, and not one for each token. A failure comes last.
+     * The same stream in batches of at least one line: all lines that arrived in one chunk of the answer. Use this one to
+     * serve requests: it costs one promise per chunk instead of one per token. A failure is yielded last.
      */
     async *decodeBatches(
         attempt: string,
@@ -60,16 +60,16 @@
         }
     }
 
-    /** Frees all that the attempt holds. Right only once the engine confirmed it. */
+    /** Releases everything that the attempt holds. Certain only once the engine has confirmed it. */
     abstract cancel(attempt: string, timeout: number): Promise<Either<EngineFailure, { readonly released: boolean; }>>;
 
-    /** What the engine says of its load. */
+    /** Fetches the engine's load report. */
     abstract load(timeout: number): Promise<Either<EngineFailure, LoadReport>>;
 
-    /** What the engine runs. */
+    /** Fetches the engine's state. */
     abstract state(timeout: number): Promise<Either<EngineFailure, EngineState>>;
 
-    /** Gives an order under a fencing number. */
+    /** Sends an order with a fencing token. */
     abstract order(
         orderId: string,
         fence: number,
--- a/packages/basilpaddle/src/node/coordination/engine/engineFailure.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/engineFailure.ts
@@ -1,22 +1,22 @@
 import { engineRefusalSchema, engineRefusalStatuses } from "../../protocol/index.js";
 import type { EngineFailure } from "./engine.js";
 
-const longestMessage = 500;
+const maxMessageLength = 500;
 
-/** Statuses that something between here and the engine may give without knowing what the engine did. */
+/** Statuses that an intermediary may send without knowing whether the engine executed the request. */
 const gatewayStatuses: ReadonlySet<number> = new Set([502, 503, 504]);
 
-/** Nothing was sent, so nothing runs. */
+/** The failure of a call of which nothing was sent, so that nothing runs. */
 export function notSent(message: string): EngineFailure {
     return { kind: "notRun", code: undefined, message };
 }
 
-/** Something was sent, and no proof of anything came back. */
+/** The failure of a call that may have been sent and whose answer proves nothing. */
 export function unknownOutcome(message: string): EngineFailure {
     return { kind: "unknown", code: undefined, message };
 }
 
-/** Parses JSON; undefined where it is none. */
+/** Parses JSON. Returns undefined if the text isn't valid JSON. */
 export function parseJson(text: string): unknown {
     try {
         return JSON.parse(text);
@@ -27,17 +27,17 @@
 }
 
 /**
- * What a whole answer with a status other than 200 proves.
+ * Maps a complete response with a status other than 200 to a failure.
  *
- * Only the refusal's body is proof: a bare 503 also comes from whatever stands in between, after the engine has
- * started. Reading it as "not run" would run a request twice, which one would notice as two answers to one caller.
+ * Only a refusal body proves that nothing ran: an intermediary may also send a bare 503 after the engine has started.
+ * Treating that as "not run" would run the request twice, and the caller could get two answers.
  */
-export function failureOfStatus(status: number, body: string): EngineFailure {
+export function failureFromResponse(status: number, body: string): EngineFailure {
     const refusal = engineRefusalSchema.safeParse(parseJson(body));
     if (refusal.success && engineRefusalStatuses.has(status)) {
         return { kind: "notRun", code: refusal.data.code, message: refusal.data.message };
     }
-    const message = `the engine answered ${status}: ${body.slice(0, longestMessage)}`;
+    const message = `the engine responded with status ${status}: ${body.slice(0, maxMessageLength)}`;
     if (status < 400 || gatewayStatuses.has(status)) {
         return unknownOutcome(message);
     }
--- a/packages/basilpaddle/src/node/coordination/engine/engineCall.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/engineHttpCall.ts
@@ -3,43 +3,43 @@
 import type { EngineFailure } from "./engine.js";
 import { notSent, unknownOutcome } from "./engineFailure.js";
 
-/** One HTTP request to an engine. Knows at each moment whether a byte of it may have left. */
-export abstract class EngineCall implements Dispatcher.DispatchHandler {
+/** One HTTP request to an engine. Tracks whether any byte of it may have been sent. */
+export abstract class EngineHttpCall implements Dispatcher.DispatchHandler {
     private controller: Dispatcher.DispatchController | undefined;
     private cancelTimer: (() => void) | undefined;
     private stopListening: (() => void) | undefined;
-    private over = false;
+    private ended = false;
     private readonly createdAt: number;
 
-    protected constructor(protected readonly clock: Clock, private readonly connectLimit: number) {
+    protected constructor(protected readonly clock: Clock, private readonly connectTimeoutMilliseconds: number) {
         this.createdAt = clock.monotonic();
     }
 
     /** Sends the request once. */
     dispatch(dispatcher: Dispatcher, options: Dispatcher.DispatchOptions, signal: AbortSignal | undefined): void {
         if (signal?.aborted) {
-            this.fail("the caller cancelled");
+            this.fail("the caller cancelled the call");
             return;
         }
-        this.listen(signal);
-        this.limit(this.connectLimit, "no connection in time");
+        this.listenToSignal(signal);
+        this.setTimeLimit(this.connectTimeoutMilliseconds, "connecting to the engine timed out");
         dispatcher.dispatch(options, this);
     }
 
-    /** undici calls this right before it writes the first byte; a failure without it proves that nothing was sent. */
+    /** undici calls this right before it writes the first byte; a failure before this call proves that nothing was sent. */
     onRequestStart(controller: Dispatcher.DispatchController): void {
-        // A second start would be undici sending the request again by itself, and a late one comes after the caller
-        // was told that nothing runs. Both would run it unseen; aborting here sends nothing.
-        if (this.over || this.controller !== undefined) {
-            controller.abort(new Error("this request isn't sent any more"));
+        // A second start means that undici resends the request by itself; a late one comes after the call was reported as not
+        // run. Both would execute the request without the caller's knowledge. Aborting here sends nothing.
+        if (this.ended || this.controller !== undefined) {
+            controller.abort(new Error("the request has already ended or been started"));
             return;
         }
-        // A process that wakes from a freeze handles its connections before its timers. A request that was waiting for
-        // its connection would be sent now, long after whoever asked for it lost the right to: a lease that ran out
-        // meanwhile, an order that the next holder contradicts. The clock is looked at here for this reason.
-        if (this.elapsed() > this.connectLimit) {
-            this.fail("no connection in time");
-            controller.abort(new Error("this request isn't sent any more"));
+        // A process that resumes from a freeze handles its connections before its timers. A request that was waiting for its
+        // connection would be sent now, long after the caller lost the right to send it: its lease may have expired, or the
+        // next holder may have sent a conflicting order. So the elapsed time is checked here as well.
+        if (this.elapsed() > this.connectTimeoutMilliseconds) {
+            this.fail("connecting to the engine timed out");
+            controller.abort(new Error("connecting to the engine timed out"));
             return;
         }
         this.controller = controller;
@@ -57,7 +57,7 @@
         this.fail(error.message);
     }
 
-    /** Ends the call with what is known: not run if no byte left, else an unknown outcome. */
+    /** Fails the call: `notRun` if no byte can have been sent, otherwise `unknown`. */
     fail(message: string): void {
         this.failAs(this.controller === undefined ? notSent(message) : unknownOutcome(message));
     }
@@ -65,7 +65,7 @@
     /** Called before the first byte is written. */
     protected abstract started(): void;
 
-    /** Hands the failure to whoever waits. Called at most once, and not after `finish`. */
+    /** Delivers the failure to the caller. Called at most once, and not after `finish`. */
     protected abstract failed(failure: EngineFailure): void;
 
     protected failAs(failure: EngineFailure): void {
@@ -75,42 +75,42 @@
         }
     }
 
-    /** Ends the call; false if it had ended before. */
+    /** Ends the call. Returns false if it had already ended. */
     protected finish(): boolean {
-        if (this.over) {
+        if (this.ended) {
             return false;
         }
-        this.over = true;
+        this.ended = true;
         this.cancelTimer?.();
         this.stopListening?.();
         return true;
     }
 
-    /** Milliseconds since the question was put. */
+    /** Milliseconds since the call was created. */
     protected elapsed(): number {
         return this.clock.monotonic() - this.createdAt;
     }
 
-    protected isOver(): boolean {
-        return this.over;
+    protected hasEnded(): boolean {
+        return this.ended;
     }
 
-    /** Replaces the running time limit. */
-    protected limit(milliseconds: number, message: string): void {
-        this.after(milliseconds, () => this.fail(message));
+    /** Fails the call after the given milliseconds. Replaces the current timer. */
+    protected setTimeLimit(milliseconds: number, message: string): void {
+        this.setTimer(milliseconds, () => this.fail(message));
     }
 
-    /** Replaces what runs next by the clock. */
-    protected after(milliseconds: number, callback: () => void): void {
+    /** Runs the callback after the given milliseconds. Replaces the current timer. */
+    protected setTimer(milliseconds: number, callback: () => void): void {
         this.cancelTimer?.();
         this.cancelTimer = this.clock.after(milliseconds, callback);
     }
 
-    private listen(signal: AbortSignal | undefined): void {
+    private listenToSignal(signal: AbortSignal | undefined): void {
         if (signal === undefined) {
             return;
         }
-        const abort = () => this.fail("the caller cancelled");
+        const abort = () => this.fail("the caller cancelled the call");
         signal.addEventListener("abort", abort, { once: true });
         this.stopListening = () => signal.removeEventListener("abort", abort);
     }
--- a/packages/basilpaddle/src/node/coordination/engine/engineLimits.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/engineLimits.ts
@@ -1,18 +1,18 @@
-/** Limits of the calls to an engine, in milliseconds and bytes. undici's own are switched off, so that these alone count. */
+/** Limits of calls to an engine, in milliseconds and bytes. undici's own timeouts are disabled, so only these apply. */
 export type EngineLimits = {
-    /** To get a connection. When it runs out, nothing was sent. @default 1000 */
+    /** Timeout for connecting. When it expires, nothing was sent. @default 1000 */
     readonly connect: number;
-    /** For a prefill, from the question to the whole answer. @default 60000 */
+    /** Timeout of a prefill, from the call to the complete answer. @default 60000 */
     readonly prefill: number;
-    /** For an import. A transfer that stalls ends here. @default 10000 */
+    /** Timeout of an import, which ends a stalled transfer. @default 10000 */
     readonly import: number;
-    /** Between two pieces of a decode stream, the first included. @default 20000 */
+    /** Longest time between two chunks of a decode stream, and before the first. @default 20000 */
     readonly decodeIdle: number;
-    /** A connection that was idle for longer carries no further request. @default 1000 */
+    /** A connection that was idle for longer is not reused. @default 1000 */
     readonly keepAlive: number;
-    /** Largest whole answer, and longest line of a stream. @default 4194304 */
+    /** Size limit of a complete answer and of one line of a stream. @default 4194304 */
     readonly answerBytes: number;
-    /** Bytes of a stream that may wait for the caller before the engine's connection is read no further. @default 262144 */
+    /** Bytes of a stream that are buffered for the caller before reading from the engine pauses. @default 262144 */
     readonly waitingBytes: number;
 };
 
@@ -26,7 +26,7 @@
     waitingBytes: 262_144,
 };
 
-/** Fills in the defaults and freezes the result. */
+/** Applies the defaults and freezes the result. */
 export function resolveEngineLimits(limits: Partial<EngineLimits> = {}): EngineLimits {
     return Object.freeze({ ...defaultLimits, ...limits });
 }
--- a/packages/basilpaddle/src/node/coordination/engine/httpEngine.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/httpEngine.ts
@@ -18,19 +18,19 @@
     prefillAnswerSchema,
 } from "../../protocol/index.js";
 import { type Clock, SystemClock } from "../../utils/index.js";
-import { DecodeStream } from "./decodeStream.js";
+import { DecodeCall } from "./decodeCall.js";
 import { Engine, type EngineFailure } from "./engine.js";
 import { type EngineLimits, resolveEngineLimits } from "./engineLimits.js";
-import { WholeAnswer } from "./wholeAnswer.js";
+import { JsonCall } from "./jsonCall.js";
 
-const sendsJson = { "content-type": "application/json" };
+const jsonHeaders = { "content-type": "application/json" };
 
 /**
- * An engine behind the wire of docs/wire-engines.md. It never sends a request twice.
+ * Client of an engine that implements the protocol of docs/wire-engines.md. It never sends a request twice.
  *
- * A kept-alive connection that the engine is just closing would swallow a request: it breaks after the first byte,
- * and the outcome of something that never ran is unknown. So a connection carries one request at a time, and one that
- * was idle for `keepAlive` is closed here, well before the five seconds that the wire asks of the engine's side.
+ * A request sent on a kept-alive connection that the engine is just closing fails after its first byte, so its outcome is
+ * unknown although it never ran. Therefore a connection carries one request at a time, and is closed on this side after
+ * being idle for `keepAlive`, well before the five seconds that the protocol requires of the engine.
  */
 export class HttpEngine extends Engine {
     private constructor(
@@ -42,7 +42,7 @@
         super();
     }
 
-    /** Connects when first needed. The URL is the one that the engine announced. */
+    /** Creates a client for the URL that the engine announced. Connects on first use. */
     static create(url: string, limits: Partial<EngineLimits> = {}, clock: Clock = SystemClock.create()): HttpEngine {
         const resolved = resolveEngineLimits(limits);
         const { origin, pathname } = new URL(url);
@@ -86,8 +86,8 @@
         offset: number,
         signal: AbortSignal,
     ): AsyncIterable<Either<EngineFailure, readonly DecodeLine[]>> {
-        const stream = DecodeStream.create(this.clock, this.limits);
-        stream.dispatch(this.pool, this.question("POST", enginePath.decode, { attempt, offset }), signal);
+        const stream = DecodeCall.create(this.clock, this.limits);
+        stream.dispatch(this.pool, this.requestOptions("POST", enginePath.decode, { attempt, offset }), signal);
         yield* stream.batches();
     }
 
@@ -115,7 +115,7 @@
         return this.post(enginePath.order, { orderId, fence, order }, orderAnswerSchema, timeout);
     }
 
-    /** Closes the connections; calls in progress fail with what is known of them. */
+    /** Closes the connections. Calls in progress fail as `notRun` or `unknown`. */
     override async close(): Promise<void> {
         await this.pool.destroy();
     }
@@ -127,31 +127,31 @@
         timeout: number,
         signal?: AbortSignal,
     ): Promise<Either<EngineFailure, T>> {
-        const question = this.question("POST", path, body);
-        return WholeAnswer.send(this.pool, question, schema, this.clock, this.limits, timeout, signal);
+        const options = this.requestOptions("POST", path, body);
+        return JsonCall.send(this.pool, options, schema, this.clock, this.limits, timeout, signal);
     }
 
     private get<T>(path: string, schema: z.ZodType<T>, timeout: number): Promise<Either<EngineFailure, T>> {
-        return WholeAnswer.send(this.pool, this.question("GET", path), schema, this.clock, this.limits, timeout);
+        return JsonCall.send(this.pool, this.requestOptions("GET", path), schema, this.clock, this.limits, timeout);
     }
 
-    private question(method: "GET" | "POST", path: string, body?: unknown): Dispatcher.DispatchOptions {
-        const full = this.basePath + path;
+    private requestOptions(method: "GET" | "POST", path: string, body?: unknown): Dispatcher.DispatchOptions {
+        const fullPath = this.basePath + path;
         return body === undefined
-            ? { method, path: full }
-            : { method, path: full, body: JSON.stringify(body), headers: sendsJson };
+            ? { method, path: fullPath }
+            : { method, path: fullPath, body: JSON.stringify(body), headers: jsonHeaders };
     }
 }
 
 function createPool(origin: string, limits: EngineLimits): Pool {
     return new Pool(origin, {
-        // A request behind another one on the same connection would be lost with it.
+        // A request pipelined behind another one would be lost with it if the connection breaks.
         pipelining: 1,
         keepAliveTimeout: limits.keepAlive,
-        // The engine's own hint may shorten this, never stretch it.
+        // The engine's keep-alive hint may shorten this, but not extend it.
         keepAliveMaxTimeout: limits.keepAlive,
         keepAliveTimeoutThreshold: limits.keepAlive,
-        // undici would end a prefill or a quiet stream after five minutes by itself; EngineLimits ends them.
+        // By default, undici ends a prefill or an idle stream after five minutes; EngineLimits apply instead.
         headersTimeout: 0,
         bodyTimeout: 0,
         connect: { timeout: limits.connect },
--- a/packages/basilpaddle/src/node/coordination/engine/wholeAnswer.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/jsonCall.ts
@@ -3,12 +3,12 @@
 import type { z } from "zod";
 import type { Clock } from "../../utils/index.js";
 import type { EngineFailure } from "./engine.js";
-import { EngineCall } from "./engineCall.js";
-import { failureOfStatus, parseJson, unknownOutcome } from "./engineFailure.js";
+import { failureFromResponse, parseJson, unknownOutcome } from "./engineFailure.js";
+import { EngineHttpCall } from "./engineHttpCall.js";
 import type { EngineLimits } from "./engineLimits.js";
 
-/** A call whose answer is one JSON object. */
-export class WholeAnswer<T> extends EngineCall {
+/** A call whose answer is a single JSON value, validated by a schema. */
+export class JsonCall<T> extends EngineHttpCall {
     private status = 0;
     private readonly chunks: Buffer[] = [];
     private bytes = 0;
@@ -23,7 +23,7 @@
         super(clock, Math.min(limits.connect, timeout));
     }
 
-    /** Sends the request, and settles with its answer within the timeout. */
+    /** Sends the request. Resolves with the parsed answer or the failure, within the timeout in milliseconds. */
     static send<T>(
         dispatcher: Dispatcher,
         options: Dispatcher.DispatchOptions,
@@ -34,7 +34,7 @@
         signal?: AbortSignal,
     ): Promise<Either<EngineFailure, T>> {
         return new Promise(resolve => {
-            new WholeAnswer(clock, limits, timeout, schema, resolve).dispatch(dispatcher, options, signal);
+            new JsonCall(clock, limits, timeout, schema, resolve).dispatch(dispatcher, options, signal);
         });
     }
 
@@ -45,7 +45,7 @@
     override onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
         this.bytes += chunk.length;
         if (this.bytes > this.limits.answerBytes) {
-            this.fail("the engine's answer is too large");
+            this.fail("the engine's answer exceeds the size limit");
             return;
         }
         this.chunks.push(chunk);
@@ -53,24 +53,24 @@
 
     override onResponseEnd(): void {
         if (this.finish()) {
-            this.settle(this.read());
+            this.settle(this.parseAnswer());
         }
     }
 
     protected override started(): void {
-        this.limit(this.timeout - this.elapsed(), "no answer in time");
+        this.setTimeLimit(this.timeout - this.elapsed(), "the engine did not answer in time");
     }
 
     protected override failed(failure: EngineFailure): void {
         this.settle(Left(failure));
     }
 
-    private read(): Either<EngineFailure, T> {
+    private parseAnswer(): Either<EngineFailure, T> {
         const text = Buffer.concat(this.chunks).toString();
         if (this.status !== 200) {
-            return Left(failureOfStatus(this.status, text));
+            return Left(failureFromResponse(this.status, text));
         }
         const parsed = this.schema.safeParse(parseJson(text));
-        return parsed.success ? Right(parsed.data) : Left(unknownOutcome("the engine's answer can't be understood"));
+        return parsed.success ? Right(parsed.data) : Left(unknownOutcome("the engine's answer is invalid"));
     }
 }
