--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/backendServerRegistry.spec.ts
@@ -0,0 +1,58 @@
+import { expect } from "chai";
+import { ManualClock } from "../../../../../../../simulation/manualClock.js";
+import { announced } from "../../../coordination/gateway/__tests__/fakes.js";
+import { createSilentLogger } from "../../../utils/index.js";
+import { BackendServerRegistry } from "../backendServerRegistry.js";
+
+function createRegistry(name: string, onAnnouncementsChanged = (): void => undefined): BackendServerRegistry {
+    return BackendServerRegistry.create({
+        name,
+        heartbeat: 1_000,
+        clock: new ManualClock(),
+        logger: createSilentLogger(),
+        onAnnouncementsChanged,
+        onInstancesChanged: () => undefined,
+    });
+}
+
+// Guards against requests rejected with "no backend server is known" for half a second after a power loss of the whole
+// deployment. One plain server was left, which sent its heartbeats to one of three directories; the two others started first,
+// and gateways took their configuration from these. Each directory had stored only servers with heartbeats to itself.
+describe("backend servers that a directory keeps across a restart", () => {
+    it("include those known from other directories, so that the first directory to start knows them", () => {
+        const registry = createRegistry("d-1");
+        registry.announce(announced({ id: "own" }));
+        registry.applyRemoteAnnouncement(announced({ id: "elsewhere" }));
+        registry.applyRemoteAnnouncement(announced({ id: "gone", state: "silent" }));
+        registry.applyRemoteAnnouncement(announced({ id: "left", state: "left" }));
+        expect(registry.serversForRestart().map(({ id }) => id)).to.deep.equal(["own", "elsewhere"]);
+    });
+
+    // Guards against every directory sending a thousand servers to every gateway after a restart of all directories.
+    it("include at most a hundred known from other directories, a different hundred at each directory", () => {
+        const keptIds = ["d-1", "d-2"].map(name => {
+            const registry = createRegistry(name);
+            for (let number = 0; number < 1_000; number++) {
+                registry.applyRemoteAnnouncement(announced({ id: `i-${number}`, address: `10.0.0.1:${number}` }));
+            }
+            return new Set(registry.serversForRestart().map(({ id }) => id));
+        });
+        expect(keptIds.map(({ size }) => size)).to.deep.equal([100, 100]);
+        expect(new Set(keptIds.flatMap(ids => [...ids])).size).to.be.at.least(180);
+    });
+
+    // Guards against a server that no directory knows after a restart, because its heartbeats had moved from one directory to
+    // another: the first one found it silent and dropped it, and the second one, whose known state of the server hadn't
+    // changed, didn't write its restart cache.
+    it("are reported as changed when a known server moves its heartbeats to this directory", () => {
+        let changes = 0;
+        const registry = createRegistry("d-1", () => {
+            changes += 1;
+        });
+        registry.applyRemoteAnnouncement(announced({ id: "i", sequence: 4 }));
+        expect(changes).to.equal(0);
+        registry.announce(announced({ id: "i", sequence: 5 }));
+        expect(changes).to.equal(1);
+        expect(registry.announcements.memorable().map(({ id }) => id)).to.deep.equal(["i"]);
+    });
+});
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/placingService.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/placementService.spec.ts
@@ -4,30 +4,30 @@
 import { InstanceTable } from "../../../coordination/index.js";
 import type { Announced } from "../../../protocol/index.js";
 import { createSilentLogger } from "../../../utils/index.js";
-import { PlacingService } from "../placingService.js";
+import { PlacementService } from "../placementService.js";
 
-/** Counts how often all backend servers are looked at. */
+/** Counts how often the list of all backend servers is read. */
 class CountedInstances extends InstanceTable {
-    looks = 0;
+    reads = 0;
 
     override all(): readonly Announced[] {
-        this.looks += 1;
+        this.reads += 1;
         return super.all();
     }
 }
 
-function serviceOf(instances: InstanceTable): PlacingService {
-    return PlacingService.create({
+function createPlacementService(instances: InstanceTable): PlacementService {
+    return PlacementService.create({
         instances,
         traffic: () => poolTraffic,
-        onCalls: () => undefined,
-        onEnded: () => undefined,
+        onServerCalls: () => undefined,
+        onIncarnationEnded: () => undefined,
         clock: new ManualClock(),
         logger: createSilentLogger(),
     }, 1);
 }
 
-async function decodeEngine(service: PlacingService, attempt: string): Promise<string> {
+async function decodeEngine(service: PlacementService, attempt: string): Promise<string> {
     const answer = await service.handle({ kind: "place", demand: demand(attempt) });
     if (answer?.kind !== "decided" || answer.decision.kind !== "placed") {
         throw new Error(`${attempt} was not placed`);
@@ -35,19 +35,19 @@
     return answer.decision.decode;
 }
 
-describe("the placing of a leading directory", () => {
-    // Symptom: callers are told to come back, "an engine that has gone was placed", though others have room.
-    // Sequence: one engine changes, and its change is taken over; another one leaves within the next 50 ms.
-    // Cause: the second change was taken over only after these, and runs were placed meanwhile.
-    it("places nothing at an engine that has just left, however shortly after another change", async () => {
+describe("placement by the leading directory", () => {
+    // Guards against rejected requests ("an engine that has gone was placed") while other engines have room. An engine left
+    // within 50 ms after the change of another one had been applied; its own change was applied only after these 50 ms, and
+    // runs were placed on it meanwhile.
+    it("places nothing on an engine that has just left, even right after another engine's change", async () => {
         const instances = new CountedInstances();
         const all = engines(1, 3);
         all.forEach(engine => instances.take(engine));
-        const service = serviceOf(instances);
-        const gone = ["decode-0", "decode-1"];
-        for (const id of gone) {
+        const service = createPlacementService(instances);
+        const leftIds = ["decode-0", "decode-1"];
+        for (const id of leftIds) {
             instances.take({ ...all.find(engine => engine.id === id)!, state: "left", sequence: 2 });
-            service.noteChange();
+            service.markPoolsOutdated();
         }
         for (let number = 0; number < 6; number++) {
             expect(await decodeEngine(service, `a-${number}`)).to.equal("decode-2");
@@ -55,18 +55,18 @@
         service.close();
     });
 
-    // Symptom: after a restart of all directories with a thousand servers the new leader has no time for its gateways.
-    // Cause: each first heartbeat had every server of every pool looked at.
-    it("looks at all backend servers once before a decision, however many have changed", async () => {
+    // Guards against a new leader that is too busy to serve gateways after a restart of all directories with a thousand
+    // servers: each first heartbeat iterated over every server of every pool.
+    it("reads the list of backend servers once before a decision, however many have changed", async () => {
         const instances = new CountedInstances();
-        const service = serviceOf(instances);
+        const service = createPlacementService(instances);
         for (const engine of engines(200, 800)) {
             instances.take(engine);
-            service.noteChange();
+            service.markPoolsOutdated();
         }
         await decodeEngine(service, "a");
         await decodeEngine(service, "b");
-        expect(instances.looks).to.equal(1);
+        expect(instances.reads).to.equal(1);
         service.close();
     });
 });
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/recollection.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/restartCache.spec.ts
@@ -2,9 +2,9 @@
 import { announced } from "../../../coordination/gateway/__tests__/fakes.js";
 import { MemoryDisk } from "../../../state/index.js";
 import { Clock, createSilentLogger } from "../../../utils/index.js";
-import { type Memorable, Recollection } from "../recollection.js";
+import { RestartCache, type RestartState } from "../restartCache.js";
 
-/** A clock whose timers run when the test says so. */
+/** A clock whose timers run only when the test calls `runTimers`. */
 class SteppedClock extends Clock {
     now = 1_000;
     private due: (() => void)[] = [];
@@ -30,7 +30,7 @@
     }
 }
 
-const memorable: Memorable = {
+const state: RestartState = {
     identity: "10.0.0.1:80#mark",
     committed: { index: 7, term: 2 },
     servers: [announced({ id: "i@5", name: "i", startedAt: 5, stage: "decode" })],
@@ -38,7 +38,7 @@
     crashes: [{ digest: "d", crashes: [{ server: "i@5", phase: "early", age: 70 }] }],
 };
 
-describe("what a directory remembers across a restart", () => {
+describe("the restart cache of a directory", () => {
     let disk: MemoryDisk;
     let clock: SteppedClock;
     const logger = createSilentLogger();
@@ -50,53 +50,53 @@
     });
 
     async function write(): Promise<void> {
-        const recollection = await Recollection.create({ openDisk, clock, logger });
-        recollection.keep(() => memorable);
-        recollection.changed();
-        recollection.changed();
+        const cache = await RestartCache.create({ openDisk, clock, logger });
+        cache.setSource(() => state);
+        cache.markChanged();
+        cache.markChanged();
         await clock.runTimers();
     }
 
-    it("comes back, the committed entry for its identity only", async () => {
+    it("restores its state, and the committed entry only for its identity", async () => {
         await write();
-        const after = await Recollection.create({ openDisk, clock, logger });
-        expect(after.committed(memorable.identity)).to.deep.equal(memorable.committed);
+        const after = await RestartCache.create({ openDisk, clock, logger });
+        expect(after.committed(state.identity)).to.deep.equal(state.committed);
         expect(after.committed("10.0.0.1:80#other")).to.equal(undefined);
-        expect([after.servers(), after.gateways()]).to.deep.equal([memorable.servers, memorable.gateways]);
+        expect([after.servers(), after.gateways()]).to.deep.equal([state.servers, state.gateways]);
     });
 
-    it("still tells after hours of requests under which servers ended, as old as they are by then", async () => {
+    it("restores crash records after hours, with their ages increased by that time", async () => {
         await write();
         clock.now += 7_200_000;
-        const after = await Recollection.create({ openDisk, clock, logger });
+        const after = await RestartCache.create({ openDisk, clock, logger });
         expect(after.crashes()).to.deep.equal([{
             digest: "d",
             crashes: [{ server: "i@5", phase: "early", age: 7_200_070 }],
         }]);
     });
 
-    it("leaves out backend servers after a long time, and counts as nothing where it is damaged", async () => {
+    it("discards backend servers after a long time, and everything if the file is damaged", async () => {
         await write();
         clock.now += 120_000;
-        const old = await Recollection.create({ openDisk, clock, logger });
-        expect([old.servers(), old.committed(memorable.identity)]).to.deep.equal([[], memorable.committed]);
+        const old = await RestartCache.create({ openDisk, clock, logger });
+        expect([old.servers(), old.committed(state.identity)]).to.deep.equal([[], state.committed]);
         await disk.replace("recollection", Buffer.from("no such thing"));
-        const damaged = await Recollection.create({ openDisk, clock, logger });
-        expect([damaged.servers(), damaged.committed(memorable.identity)]).to.deep.equal([[], undefined]);
+        const damaged = await RestartCache.create({ openDisk, clock, logger });
+        expect([damaged.servers(), damaged.committed(state.identity)]).to.deep.equal([[], undefined]);
     });
 
-    // Symptom: a member that founds its group asks others for a place instead.
-    // Sequence: its first replica can't be opened; something is written beside it; the folder isn't empty any more.
-    it("isn't written while there is nothing to be sure of", async () => {
-        const recollection = await Recollection.create({ openDisk, clock, logger });
-        recollection.keep(() => undefined);
-        recollection.changed();
+    // Guards against a founding member that tries to join a group instead of initialising it: its replica couldn't be opened
+    // at first, and a cache file written meanwhile made the data folder look used.
+    it("isn't written while there is no reliable state", async () => {
+        const cache = await RestartCache.create({ openDisk, clock, logger });
+        cache.setSource(() => undefined);
+        cache.markChanged();
         await clock.runTimers();
         expect(await disk.list()).to.deep.equal([]);
     });
 
-    // Symptom: a directory whose disk fails when it starts ends, in place of hearing backend servers without it.
-    it("counts as nothing where the folder can't be opened, and is written once it can", async () => {
+    // Guards against a directory that exits if its disk fails at startup, although it can receive heartbeats without a disk.
+    it("is empty if the folder can't be opened, and is written once it can", async () => {
         let fails = true;
         const opening = async (): Promise<MemoryDisk> => {
             if (fails) {
@@ -104,18 +104,18 @@
             }
             return disk;
         };
-        const recollection = await Recollection.create({ openDisk: opening, clock, logger });
-        expect(recollection.servers()).to.deep.equal([]);
-        recollection.keep(() => memorable);
-        recollection.changed();
+        const cache = await RestartCache.create({ openDisk: opening, clock, logger });
+        expect(cache.servers()).to.deep.equal([]);
+        cache.setSource(() => state);
+        cache.markChanged();
         await clock.runTimers();
         fails = false;
-        recollection.changed();
+        cache.markChanged();
         await clock.runTimers();
         expect(await disk.list()).to.deep.equal(["recollection"]);
     });
 
-    it("is written once for many changes, and again after a writing that failed", async () => {
+    it("is written once for many changes, and again after a failed write", async () => {
         let tries = 0;
         const replace = disk.replace.bind(disk);
         disk.replace = (name, bytes) => {
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/stageOrders.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/stageOrders.spec.ts
@@ -7,13 +7,13 @@
 import type { DirectoryWire } from "../directoryWire.js";
 import { StageOrders } from "../stageOrders.js";
 
-/** Prompts long enough that two more engines should read. */
+/** Prompts long enough that the plan calls for two more prefill engines. */
 const longPrompts = { readingTime: 400, holdTime: 2_000, cacheTokens: 12_000 };
 
-type Given = { readonly prefill: number; readonly waiting: (now: number) => number; };
+type Scenario = { readonly prefill: number; readonly waiting: (now: number) => number; };
 
-/** Orders that were given within a time, as engine and stage. */
-async function ordersWithin(milliseconds: number, { prefill, waiting }: Given): Promise<string[]> {
+/** The orders issued within the given time, each as engine, stage and whether the order was still open. */
+async function ordersIssuedWithin(milliseconds: number, { prefill, waiting }: Scenario): Promise<string[]> {
     const clock = new ManualClock();
     const instances = InstanceTable.create();
     engines(prefill, 10).forEach(engine => instances.take(engine));
@@ -39,25 +39,25 @@
     return ordered;
 }
 
-// Symptom: in a burst every tenth run is turned away, and its prompt was read in vain.
-// Sequence: prefill engines turn slow for some seconds; by what is then observed more engines should read; two of ten decode
-// engines are ordered to, just as the burst begins, and are out for twelve seconds.
-// Cause: a change was made as soon as the means said so, whatever waited for decode engines.
+// Guards against every tenth run of a burst being rejected after its prefill. Prefill engines were slow for some seconds, so
+// the observed means called for more of them; two of ten decode engines were converted just as the burst began, and were
+// unavailable for twelve seconds. The change was ordered as soon as the means called for it, regardless of the requests that
+// waited for decode engines.
 describe("orders to change stages", () => {
-    it("take decode engines only once they have been wanted for a while", async () => {
-        expect(await ordersWithin(15_000, { prefill: 3, waiting: () => 0 })).to.deep.equal([]);
-        const later = await ordersWithin(20_000, { prefill: 3, waiting: () => 0 });
+    it("convert decode engines only after sustained demand", async () => {
+        expect(await ordersIssuedWithin(15_000, { prefill: 3, waiting: () => 0 })).to.deep.equal([]);
+        const later = await ordersIssuedWithin(20_000, { prefill: 3, waiting: () => 0 });
         expect(later.map(order => order.split(" ").slice(1).join(" "))).to.deep.equal(["prefill true", "prefill true"]);
     });
 
-    it("take none while demands wait for their places, and not at once when they wait no more", async () => {
-        expect(await ordersWithin(60_000, { prefill: 3, waiting: () => 1 })).to.deep.equal([]);
+    it("convert none while placement requests are queued, nor immediately after the queue has emptied", async () => {
+        expect(await ordersIssuedWithin(60_000, { prefill: 3, waiting: () => 1 })).to.deep.equal([]);
         const waiting = (now: number): number => now > 10_000 && now < 12_000 ? 5 : 0;
-        expect(await ordersWithin(25_000, { prefill: 3, waiting })).to.deep.equal([]);
+        expect(await ordersIssuedWithin(25_000, { prefill: 3, waiting })).to.deep.equal([]);
     });
 
-    it("make one engine read at once where none does", async () => {
-        const [first] = await ordersWithin(5_000, { prefill: 0, waiting: () => 3 });
+    it("assign one engine to prefill immediately if there is none", async () => {
+        const [first] = await ordersIssuedWithin(5_000, { prefill: 0, waiting: () => 3 });
         expect(first).to.match(/ prefill true$/);
     });
 });
--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/directory/backendServerCalls.ts
@@ -0,0 +1,76 @@
+import { type Either, Left, Right } from "purify-ts";
+import { type Announced, announcedSchema, type Finding, findingsOf } from "../../protocol/index.js";
+import type { Logger } from "../../utils/index.js";
+import type { BackendServerRegistry } from "./backendServerRegistry.js";
+import type { CallResponse } from "./callServer.js";
+import type { DirectoryWire } from "./directoryWire.js";
+
+/** Only the first findings of a rejected call are logged. */
+const maximumLoggedFindings = 3;
+
+/** Dependencies of `BackendServerCalls`. */
+export type BackendServerCallsOptions = {
+    readonly wire: DirectoryWire;
+    readonly registry: BackendServerRegistry;
+    /**
+     * Whether any gateway receives this directory's updates. Acknowledging a leave call that reaches no gateway would let
+     * the leaving server assume that it gets no more work.
+     */
+    readonly hasWatchingGateway: () => boolean;
+    readonly logger: Logger;
+};
+
+/** Handles the calls of backend servers: heartbeats and leave calls. */
+export class BackendServerCalls {
+    private constructor(private readonly options: BackendServerCallsOptions) {}
+
+    static create(options: BackendServerCallsOptions): BackendServerCalls {
+        return new BackendServerCalls(options);
+    }
+
+    /** Handles a heartbeat. */
+    announce(name: string, body: string): CallResponse {
+        const { wire, registry } = this.options;
+        return this.applyReport(
+            name,
+            wire.announcement(name, body).chain(validateAnnouncement),
+            announced => registry.announce(announced),
+        );
+    }
+
+    /** Handles a backend server's call that it leaves. */
+    leave(name: string, body: string): CallResponse {
+        const { wire, registry } = this.options;
+        return this.applyReport(name, wire.departure(name, body), departure => registry.leave(departure));
+    }
+
+    /** Applies a valid call. An invalid one is rejected: it may come from another program and identifies no usable server. */
+    private applyReport<T>(name: string, read: Either<readonly Finding[], T>, apply: (value: T) => void): CallResponse {
+        const { hasWatchingGateway, logger } = this.options;
+        if (!hasWatchingGateway()) {
+            return { kind: "unavailable", reason: "no gateway watches this directory" };
+        }
+        return read.caseOf<CallResponse>({
+            Left: findings => {
+                logger.warn("rejected an invalid call of a backend server", {
+                    name,
+                    findings: findings.slice(0, maximumLoggedFindings),
+                });
+                return { kind: "invalid", findings };
+            },
+            Right: value => {
+                apply(value);
+                return { kind: "done" };
+            },
+        });
+    }
+}
+
+/**
+ * Validates an announcement against the schema under which it is sent to watchers. A single invalid value, such as a
+ * sequence of 1.5, would make every watcher discard the whole update, and with it everything this directory reports.
+ */
+function validateAnnouncement(announced: Announced): Either<readonly Finding[], Announced> {
+    const parsed = announcedSchema.safeParse(announced);
+    return parsed.success ? Right(parsed.data) : Left(findingsOf("announcement", parsed.error));
+}
--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/directory/backendServerRegistry.ts
@@ -0,0 +1,141 @@
+import { Announcements, InstanceTable } from "../../coordination/index.js";
+import { type Announced, incarnationOf } from "../../protocol/index.js";
+import { type Clock, fractionOf, type Logger } from "../../utils/index.js";
+import type { Departure } from "./directoryWire.js";
+
+/**
+ * How many backend servers that send their heartbeats to other directories are kept across a restart as well. After a
+ * restart each directory sends them to each gateway: a hundred announcements are 13 KB, a sixtieth of a second on a link of
+ * 7 Mbit/s, where a thousand from five directories would take three quarters of a second. With none, gateways that reached
+ * one directory first rejected requests for lack of a server that only another directory knew, and the servers of a
+ * directory with a lost disk stayed unknown until their next heartbeat.
+ */
+const maximumRemoteServers = 100;
+
+/** Dependencies and listeners of `BackendServerRegistry`. */
+export type BackendServerRegistryOptions = {
+    /** Name of this directory. */
+    readonly name: string;
+    /** Milliseconds between two heartbeats of a backend server. */
+    readonly heartbeat: number;
+    readonly clock: Clock;
+    readonly logger: Logger;
+    /** Called when the announcements that this directory publishes have changed. */
+    readonly onAnnouncementsChanged: () => void;
+    /** Called when the known state of any backend server has changed, whatever the source. */
+    readonly onInstancesChanged: () => void;
+};
+
+/** State of the backend servers as one directory knows it: from their heartbeats, from gateways, and from other directories. */
+export class BackendServerRegistry {
+    /** Merged state of all backend servers. */
+    readonly instances = InstanceTable.create();
+    /** Announcements that this directory received itself. */
+    readonly announcements: Announcements;
+
+    private constructor(private readonly options: BackendServerRegistryOptions) {
+        this.announcements = Announcements.create(options.heartbeat);
+    }
+
+    static create(options: BackendServerRegistryOptions): BackendServerRegistry {
+        return new BackendServerRegistry(options);
+    }
+
+    /** Restores backend servers from before a restart; heartbeats confirm or refute their state later. */
+    restore(servers: readonly Announced[]): void {
+        const { clock, logger } = this.options;
+        servers.forEach(server => {
+            this.announcements.recall(server, clock.monotonic());
+            this.instances.take(server);
+        });
+        logger.info("restored backend servers from before the restart", { count: servers.length });
+    }
+
+    /**
+     * Backend servers to keep across a restart: those that send heartbeats here, and some of those known from other
+     * directories. The selection of the latter differs between directories, so that together they cover as many as possible.
+     */
+    serversForRestart(): readonly Announced[] {
+        const own = this.announcements.memorable();
+        const ownIds = new Set(own.map(({ id }) => id));
+        const others = this.instances.all().filter(({ id, state }) => {
+            return (state === "ready" || state === "draining") && !ownIds.has(id);
+        });
+        const rank = (server: Announced): number => fractionOf(server.id + this.options.name);
+        return [...own, ...others.sort((one, other) => rank(one) - rank(other)).slice(0, maximumRemoteServers)];
+    }
+
+    /** Applies a heartbeat of a backend server. */
+    announce(announced: Announced): void {
+        const { clock, logger, onAnnouncementsChanged } = this.options;
+        if (this.announcements.take(announced, clock.monotonic())) {
+            const { id, service, address, state, stage, sequence } = announced;
+            logger.info("a backend server announced itself", { id, service, address, state, stage, sequence });
+            this.updateInstance(announced);
+            onAnnouncementsChanged();
+        }
+    }
+
+    /** Applies a backend server's call that it leaves. */
+    leave({ name, startedAt }: Departure): void {
+        const newest = this.instances.newestOf(name);
+        const known = newest === undefined ? undefined : this.instances.get(newest.id);
+        if (startedAt === undefined && newest?.tellsStart === true && known !== undefined) {
+            this.options.logger.warn("a backend server leaves without reporting its start time; draining it", {
+                id: known.id,
+            });
+            this.announcements.drain(known, this.options.clock.monotonic());
+            this.publishAll();
+            return;
+        }
+        this.end(incarnationOf(name, startedAt), "a backend server leaves");
+    }
+
+    /** Marks an incarnation as ended after a gateway found another incarnation at its address. */
+    markEnded(id: string): void {
+        if (!this.instances.hasEnded(id)) {
+            this.end(id, "a gateway found another incarnation at the address of a backend server");
+        }
+    }
+
+    /** Applies another directory's announcement of a backend server. */
+    applyRemoteAnnouncement(announced: Announced): void {
+        this.updateInstance(announced);
+        this.announcements.confirm(announced);
+        if (this.announcements.refutes(announced)) {
+            const { id, sequence } = announced;
+            this.options.logger.info(
+                "another directory lost a backend server that sends heartbeats here; announcing it again",
+                { id, sequence },
+            );
+            this.publishAll();
+        }
+    }
+
+    /** Marks backend servers as silent whose heartbeats stopped. */
+    markSilentServers(): void {
+        if (this.announcements.markSilent(this.options.clock.monotonic())) {
+            this.publishAll();
+        }
+    }
+
+    /** Records that an incarnation is gone for good, and publishes it. */
+    private end(id: string, logMessage: string): void {
+        if (this.announcements.leave(id, this.options.clock.monotonic())) {
+            this.options.logger.info(logMessage, { id });
+            this.publishAll();
+        }
+    }
+
+    private publishAll(): void {
+        this.announcements.since(0).forEach(announced => this.instances.take(announced));
+        this.options.onInstancesChanged();
+        this.options.onAnnouncementsChanged();
+    }
+
+    private updateInstance(announced: Announced): void {
+        if (this.instances.take(announced)) {
+            this.options.onInstancesChanged();
+        }
+    }
+}
--- a/packages/basilpaddle/src/node/daemon/directory/callServer.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/callServer.ts
@@ -3,29 +3,29 @@
 import { DisposableStore, type Logger } from "../../utils/index.js";
 import type { DirectoryCall, DirectoryWire } from "./directoryWire.js";
 
-/** Largest body in bytes: a configuration of some thousands of routes. */
-const bodyLimit = 8 * 1024 * 1024;
-/** Milliseconds for a whole call to arrive. */
-const receiveTimeout = 10_000;
-/** Milliseconds that an idle connection stays open: several heartbeats. */
-const keepAliveTimeout = 15_000;
+/** Large enough for a configuration of some thousands of routes. */
+const maximumBodyBytes = 8 * 1024 * 1024;
+/** Time limit for receiving a whole request. */
+const receiveTimeoutMilliseconds = 10_000;
+/** How long an idle connection stays open: several heartbeat intervals. */
+const keepAliveTimeoutMilliseconds = 15_000;
 
-/** What a call is answered with. */
-export type CallAnswer =
+/** Result of a call, before it is written as an HTTP response. */
+export type CallResponse =
     | { readonly kind: "done"; }
     | { readonly kind: "document"; readonly content: string; }
     | { readonly kind: "invalid"; readonly findings: readonly Finding[]; }
-    /** Nobody can be sure now: the caller should ask another directory, or again. */
+    /** The outcome can't be determined now: the caller should retry, here or at another directory. */
     | { readonly kind: "unavailable"; readonly reason: string; }
     | { readonly kind: "unknownCall"; };
 
-/** Carries the calls out. */
+/** Executes the calls that the server receives. */
 export abstract class CallHandler {
-    /** Answers one call with its whole body. */
-    abstract answer(call: DirectoryCall, body: string): Promise<CallAnswer>;
+    /** Handles one call, given its complete body. */
+    abstract handle(call: DirectoryCall, body: string): Promise<CallResponse>;
 }
 
-/** The HTTP listener for backend servers and operators. */
+/** HTTP server for the calls of backend servers and operators. */
 export class CallServer {
     private readonly store = DisposableStore.create();
 
@@ -42,7 +42,11 @@
         readonly logger: Logger;
     }): Promise<CallServer> {
         const created = new CallServer(options.handler, options.wire, options.logger);
-        const server = http.createServer({ requestTimeout: receiveTimeout, keepAliveTimeout, noDelay: true });
+        const server = http.createServer({
+            requestTimeout: receiveTimeoutMilliseconds,
+            keepAliveTimeout: keepAliveTimeoutMilliseconds,
+            noDelay: true,
+        });
         server.on("request", (request, response) => void created.receive(request, response));
         await new Promise<void>((resolve, reject) => {
             server.once("error", reject);
@@ -55,66 +59,69 @@
         return created;
     }
 
-    /** Stops listening and breaks every connection. */
+    /** Stops listening and closes every connection, active ones included. */
     close(): Promise<void> {
         return this.store.dispose();
     }
 
     private async receive(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
-        request.on("error", error => this.logger.debug("a call broke", { error: error.message }));
-        response.on("error", error => this.logger.debug("an answer broke", { error: error.message }));
+        request.on("error", error => this.logger.debug("reading a request failed", { error: error.message }));
+        response.on("error", error => this.logger.debug("writing a response failed", { error: error.message }));
         const path = (request.url ?? "").split("?", 1)[0]!;
         try {
             const call = this.wire.call(request.method ?? "", path);
             const body = await readBody(request);
-            const answer = body === undefined
-                ? { kind: "invalid" as const, findings: [tooLarge] }
-                : await this.handler.answer(call, body);
-            this.reply(response, answer);
+            const result = body === undefined
+                ? { kind: "invalid" as const, findings: [bodyTooLarge] }
+                : await this.handler.handle(call, body);
+            this.reply(response, result);
         }
         catch (error) {
-            this.logger.error("a call failed", { method: request.method, path, error });
-            this.reply(response, { kind: "unavailable", reason: "the call failed" });
+            this.logger.error("handling a request failed", { method: request.method, path, error });
+            this.reply(response, { kind: "unavailable", reason: "internal error while handling the call" });
         }
     }
 
-    private reply(response: http.ServerResponse, answer: CallAnswer): void {
+    private reply(response: http.ServerResponse, outcome: CallResponse): void {
         if (response.headersSent || response.destroyed) {
             return;
         }
-        const [status, body] = this.written(answer);
+        const [status, body] = this.statusAndBody(outcome);
         const bytes = Buffer.from(body);
         response.writeHead(status, { "Content-Type": "application/json", "Content-Length": bytes.length });
         response.end(bytes);
     }
 
-    private written(answer: CallAnswer): [number, string] {
-        switch (answer.kind) {
+    private statusAndBody(outcome: CallResponse): [number, string] {
+        switch (outcome.kind) {
             case "done":
                 return [200, "{}"];
             case "document":
-                return [200, answer.content];
+                return [200, outcome.content];
             case "invalid":
-                return [400, this.wire.findings(answer.findings)];
+                return [400, this.wire.findings(outcome.findings)];
             case "unavailable":
-                return [503, JSON.stringify({ error: answer.reason })];
+                return [503, JSON.stringify({ error: outcome.reason })];
             case "unknownCall":
-                return [404, JSON.stringify({ error: "no such call" })];
+                return [404, JSON.stringify({ error: "unknown call" })];
         }
     }
 }
 
-const tooLarge: Finding = { file: "body", place: "", cause: `it is larger than ${bodyLimit} bytes` };
+const bodyTooLarge: Finding = { file: "body", place: "", cause: `the body is larger than ${maximumBodyBytes} bytes` };
 
-/** The whole body; undefined for one over the limit. Fails where the connection breaks before its end. */
+/**
+ * Reads the whole body; undefined if it exceeds the limit. Rejects if the connection breaks before its end. A body over the
+ * limit is still read to its end, but not stored.
+ */
 async function readBody(request: http.IncomingMessage): Promise<string | undefined> {
     const chunks: Buffer[] = [];
     let size = 0;
     for await (const chunk of request as AsyncIterable<Buffer>) {
         size += chunk.length;
-        if (size <= bodyLimit) {
+        if (size <= maximumBodyBytes) {
             chunks.push(chunk);
         }
     }
-    return size > bodyLimit ? undefined : Buffer.concat(chunks).toString("utf8");
+    return size > maximumBodyBytes ? undefined : Buffer.concat(chunks).toString("utf8");
 }
--- a/packages/basilpaddle/src/node/daemon/directory/configurationCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/configurationCalls.ts
@@ -1,18 +1,18 @@
 import { type DocumentAnswer, documentAnswerSchema, type DocumentCall } from "../../protocol/index.js";
 import { type Link, type Network, parseAddress } from "../../transport/index.js";
 import type { Logger } from "../../utils/index.js";
-import type { CallAnswer } from "./callServer.js";
+import type { CallResponse } from "./callServer.js";
 import type { DirectoryWire } from "./directoryWire.js";
 import type { DocumentGroup } from "./documentGroup.js";
 
-/** Milliseconds for the leader to answer a call that was passed on to it: callers wait no longer than a second. */
-const leaderTimeout = 950;
-/** Findings of one refused configuration that are logged. */
-const mostFindings = 3;
+/** Timeout of a call that is forwarded to the leader: callers wait no longer than a second. */
+const leaderTimeoutMilliseconds = 950;
+/** Only the first findings of a rejected configuration are logged. */
+const maximumLoggedFindings = 3;
 
-/** What calls about the configuration are answered from. */
+/** Dependencies of `ConfigurationCalls`. */
 export type ConfigurationCallsOptions = {
-    /** The directory's own name. */
+    /** This directory's name, as it appears as leader in the group's status. */
     readonly name: string;
     readonly group: DocumentGroup;
     readonly wire: DirectoryWire;
@@ -20,7 +20,7 @@
     readonly logger: Logger;
 };
 
-/** Answers the operators' calls to store and to read the configuration, here or at the directory that leads. */
+/** Handles operators' calls to store and to read the configuration: locally on the leader, otherwise by forwarding to it. */
 export class ConfigurationCalls {
     private leaderLink: { readonly name: string; readonly link: Link; } | undefined;
 
@@ -30,34 +30,38 @@
         return new ConfigurationCalls(options);
     }
 
-    /** An operator sent a configuration. */
-    async store(body: string): Promise<CallAnswer> {
+    /** Validates a configuration sent by an operator and stores it in the group. */
+    async store(body: string): Promise<CallResponse> {
         const { wire, group, logger } = this.options;
         const traffic = wire.traffic(body);
         if (traffic.isLeft()) {
             const findings = traffic.swap().orDefault([]);
-            logger.warn("an invalid configuration was refused", { findings: findings.slice(0, mostFindings) });
+            logger.warn("rejected an invalid configuration", { findings: findings.slice(0, maximumLoggedFindings) });
             return { kind: "invalid", findings };
         }
         const { version } = traffic.unsafeCoerce();
-        const answer = await this.passOn({ kind: "storeDocument", version, content: body });
-        logger.info("a configuration was sent", { version, outcome: answer.kind, inForce: group.current().version });
+        const answer = await this.forwardToLeader({ kind: "storeDocument", version, content: body });
+        logger.info("processed a configuration sent by an operator", {
+            version,
+            outcome: answer.kind,
+            inForce: group.current().version,
+        });
         return answer.kind === "stored" ? { kind: "done" } : unavailable(answer);
     }
 
-    /** An operator asks for the newest configuration. */
-    async read(): Promise<CallAnswer> {
-        const answer = await this.passOn({ kind: "readDocument" });
+    /** Returns the newest configuration, confirmed by a quorum. */
+    async read(): Promise<CallResponse> {
+        const answer = await this.forwardToLeader({ kind: "readDocument" });
         if (answer.kind !== "read") {
             return unavailable(answer);
         }
         return answer.version < 0
-            ? { kind: "unavailable", reason: "there is no configuration yet" }
+            ? { kind: "unavailable", reason: "no configuration has been stored yet" }
             : { kind: "document", content: answer.content };
     }
 
-    /** Carries a call out here, for a directory that takes this one for the leader. */
-    answer(call: DocumentCall): Promise<DocumentAnswer> {
+    /** Executes a call on this member, also for a directory that believes this one to be the leader. */
+    execute(call: DocumentCall): Promise<DocumentAnswer> {
         const { group } = this.options;
         return call.kind === "readDocument" ? group.readDocument() : group.storeDocument(call.version, call.content);
     }
@@ -68,20 +72,20 @@
         this.leaderLink = undefined;
     }
 
-    /** Carries a call out here where this directory leads, else at the leader. */
-    private async passOn(call: DocumentCall): Promise<DocumentAnswer> {
+    /** Executes the call locally if this directory leads, otherwise at the known leader. */
+    private async forwardToLeader(call: DocumentCall): Promise<DocumentAnswer> {
         const { group, name } = this.options;
-        const standing = group.standing();
-        if (standing?.leading === true) {
-            return this.answer(call);
+        const status = group.replicaStatus();
+        if (status?.leading === true) {
+            return this.execute(call);
         }
-        const leader = standing?.leader;
+        const leader = status?.leader;
         if (leader === undefined || leader === name) {
             return { kind: "unavailable", reason: "no leader is known" };
         }
-        const answer = await this.linkTo(leader)?.request(call, leaderTimeout);
+        const answer = await this.linkTo(leader)?.request(call, leaderTimeoutMilliseconds);
         const parsed = documentAnswerSchema.safeParse(answer?.toMaybe().extract());
-        return parsed.success ? parsed.data : { kind: "unavailable", reason: "the leader gave no answer" };
+        return parsed.success ? parsed.data : { kind: "unavailable", reason: "no valid answer from the leader" };
     }
 
     private linkTo(name: string): Link | undefined {
@@ -95,6 +99,9 @@
     }
 }
 
-function unavailable(answer: DocumentAnswer): CallAnswer {
-    return { kind: "unavailable", reason: answer.kind === "unavailable" ? answer.reason : "an unexpected answer" };
+function unavailable(answer: DocumentAnswer): CallResponse {
+    return {
+        kind: "unavailable",
+        reason: answer.kind === "unavailable" ? answer.reason : "unexpected answer from the leader",
+    };
 }
--- a/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
@@ -12,96 +12,96 @@
 import { DisposableStore, type Metrics, type Randomness } from "../../utils/index.js";
 import { BackendConnections } from "../backends/index.js";
 import type { RoutingOptions } from "../routingOptions.js";
-import { type CallAnswer, CallHandler, CallServer } from "./callServer.js";
+import { BackendServerCalls } from "./backendServerCalls.js";
+import { BackendServerRegistry } from "./backendServerRegistry.js";
+import { CallHandler, type CallResponse, CallServer } from "./callServer.js";
 import { ConfigurationCalls } from "./configurationCalls.js";
 import type { DirectoryCall, DirectoryWire } from "./directoryWire.js";
 import { DocumentGroup } from "./documentGroup.js";
-import { PlacingService } from "./placingService.js";
-import { type Memorable, Recollection } from "./recollection.js";
-import { ServerCalls } from "./serverCalls.js";
-import { ServerHearing } from "./serverHearing.js";
+import { PlacementService } from "./placementService.js";
+import { RestartCache, type RestartState } from "./restartCache.js";
 import { StageOrders } from "./stageOrders.js";
-import { WatchBook } from "./watchBook.js";
+import { WatchService } from "./watchService.js";
 
-/** Milliseconds between two looks at what has fallen silent. */
-const silenceInterval = 300;
-/** Least voters of a group that must bear a loss. */
-const leastVoters = 3;
+/** Interval of the checks for silent backend servers, departed gateways and outliers. */
+const silenceCheckIntervalMilliseconds = 300;
+/** A group needs three voters to tolerate the loss of one. */
+const minimumVoters = 3;
 
-/** What a directory needs. */
+/** Settings and dependencies of a directory. */
 export type DirectoryDaemonOptions = RoutingOptions<DirectorySettings, DirectoryWire> & {
     readonly randomness: Randomness;
 };
 
 /**
- * A directory: one member of the group that keeps the configuration, a place where backend servers announce themselves,
- * and, while it leads, the one that places runs at engines and orders their stages.
+ * A directory: a member of the group that replicates the configuration, a registry to which backend servers send
+ * heartbeats, and, while it leads, the daemon that places runs on engines and orders engines to change their stage.
  */
 export class DirectoryDaemon extends CallHandler {
     private readonly store = DisposableStore.create();
-    private readonly hearing: ServerHearing;
-    private readonly serverCalls: ServerCalls;
+    private readonly backendServers: BackendServerRegistry;
+    private readonly backendServerCalls: BackendServerCalls;
     private readonly configurationCalls: ConfigurationCalls;
     private readonly connections: BackendConnections;
-    private readonly watches: WatchBook;
-    /** Requests under which backend servers ended. */
+    private readonly watchService: WatchService;
+    /** Requests that crashed backend servers while running. */
     readonly held: HeldRequests;
     private readonly name: string;
     private outliers = OutlierDetector.create();
-    /** The newest configuration as it was read last. */
-    private readTraffic: { readonly version: number; readonly traffic: Traffic | undefined; } | undefined;
-    private documentNoted = false;
-    private placing: PlacingService | undefined;
-    private orders: StageOrders | undefined;
+    /** Cache of the parsed configuration, by version. */
+    private parsedTraffic: { readonly version: number; readonly traffic: Traffic | undefined; } | undefined;
+    private documentNotificationScheduled = false;
+    private placement: PlacementService | undefined;
+    private stageOrders: StageOrders | undefined;
 
     private constructor(
         private readonly options: DirectoryDaemonOptions,
         private readonly network: Network,
         private readonly group: DocumentGroup,
-        private readonly recollection: Recollection,
+        private readonly restartCache: RestartCache,
     ) {
         super();
         const { settings, clock, randomness } = options;
         this.name = `${settings.host}:${settings.peerPort}`;
-        this.hearing = ServerHearing.create({
+        this.backendServers = BackendServerRegistry.create({
             name: this.name,
             heartbeat: settings.heartbeat,
             clock,
             logger: options.logger,
-            onNews: () => {
-                this.watches.changed();
-                recollection.changed();
+            onAnnouncementsChanged: () => {
+                this.watchService.notifyWatchers();
+                restartCache.markChanged();
             },
-            onBelief: () => {
-                this.placing?.noteChange();
-                recollection.changed();
+            onInstancesChanged: () => {
+                this.placement?.markPoolsOutdated();
+                restartCache.markChanged();
             },
         });
-        this.store.add(() => recollection.close());
-        recollection.keep(() => this.memorable());
+        this.store.add(() => restartCache.close());
+        restartCache.setSource(() => this.restartState());
         this.held = HeldRequests.create({
             rules: settings.holds,
-            tell: () => this.passCrashesOn(),
+            tell: () => this.publishCrashes(),
             clock,
             logger: options.logger,
         });
         this.connections = BackendConnections.create(options.logger);
         this.store.add(() => this.connections.close());
-        this.watches = WatchBook.create({
+        this.watchService = WatchService.create({
             incarnation: randomness.identifier(),
             failureDomain: settings.failureDomain,
-            announcements: this.hearing.announcements,
-            held: this.held,
+            announcements: this.backendServers.announcements,
+            quarantined: this.held,
             document: () => group.current(),
             members: () => this.members(),
-            ejected: () => this.placing === undefined ? [] : this.outliers.ejected(),
-            gatewaysBefore: recollection.gateways(),
+            ejected: () => this.placement === undefined ? [] : this.outliers.ejected(),
+            previousGateways: restartCache.gateways(),
             clock,
         });
-        this.serverCalls = ServerCalls.create({
+        this.backendServerCalls = BackendServerCalls.create({
             wire: options.wire,
-            hearing: this.hearing,
-            watched: () => this.watches.gatewayCount() > 0,
+            registry: this.backendServers,
+            hasWatchingGateway: () => this.watchService.gatewayCount() > 0,
             logger: options.logger,
         });
         this.configurationCalls = ConfigurationCalls.create({
@@ -114,27 +114,27 @@
         this.store.add(() => this.configurationCalls.close());
     }
 
-    /** Opens the group's replica and listens. */
+    /** Opens the group's replica and starts the servers. Rejects, with everything closed again, if a server can't listen. */
     static async create(options: DirectoryDaemonOptions): Promise<DirectoryDaemon> {
         const { settings, clock, randomness, logger } = options;
         const network = options.network ?? TcpNetwork.create(logger, settings.bindHost);
-        // The group may be writing its files meanwhile: removing what looks unfinished would take one of them away, and the
-        // group would stop for it.
+        // The group may be writing to the same folder: deleting temporary files here could delete one that it is writing, and
+        // its replica would stop.
         const openDisk = (): Promise<FolderDisk> => FolderDisk.createBeside(settings.dataFolder);
-        const recollection = await Recollection.create({ openDisk, clock, logger });
+        const savedState = await RestartCache.create({ openDisk, clock, logger });
         const group = await DocumentGroup.create({
-            committed: identity => recollection.committed(identity),
+            committed: identity => savedState.committed(identity),
             name: `${settings.host}:${settings.peerPort}`,
             seeds: options.seeds ?? (() => seedNames(settings)),
             firstStart: settings.firstStart,
             dataFolder: settings.dataFolder,
-            voters: Math.max(leastVoters, 2 * settings.tolerated + 1),
+            voters: Math.max(minimumVoters, 2 * settings.tolerated + 1),
             network,
             clock,
             randomness,
             logger,
         });
-        const daemon = new DirectoryDaemon(options, network, group, recollection);
+        const daemon = new DirectoryDaemon(options, network, group, savedState);
         daemon.store.add(() => group.close());
         try {
             await daemon.open();
@@ -146,34 +146,34 @@
         return daemon;
     }
 
-    /** Hands leadership over and stops. */
+    /** Transfers leadership if this directory leads, and stops. */
     async close(): Promise<void> {
         this.stopLeading();
         await this.store.dispose();
     }
 
-    /** Sets the gauges of a directory. */
+    /** Updates the directory's gauges. */
     measure(metrics: Metrics): void {
-        const standing = this.group.standing();
-        const placed = this.placing?.standing();
-        metrics.gauge("basilpaddle_group_leading", standing?.leading === true ? 1 : 0);
-        metrics.gauge("basilpaddle_group_voting", standing?.voting === true ? 1 : 0);
-        metrics.gauge("basilpaddle_group_term", standing?.term ?? 0);
-        metrics.gauge("basilpaddle_group_committed_index", standing?.committedIndex ?? 0);
+        const groupStatus = this.group.replicaStatus();
+        const placementStatus = this.placement?.queueStatus();
+        metrics.gauge("basilpaddle_group_leading", groupStatus?.leading === true ? 1 : 0);
+        metrics.gauge("basilpaddle_group_voting", groupStatus?.voting === true ? 1 : 0);
+        metrics.gauge("basilpaddle_group_term", groupStatus?.term ?? 0);
+        metrics.gauge("basilpaddle_group_committed_index", groupStatus?.committedIndex ?? 0);
         metrics.gauge("basilpaddle_configuration_version", this.group.current().version);
-        metrics.gauge("basilpaddle_gateways", this.watches.gatewayCount());
-        metrics.gauge("basilpaddle_places_held", placed?.held ?? 0);
-        metrics.gauge("basilpaddle_places_waiting", placed?.waiting ?? 0);
-        this.hearing.instances.measure(metrics);
+        metrics.gauge("basilpaddle_gateways", this.watchService.gatewayCount());
+        metrics.gauge("basilpaddle_places_held", placementStatus?.held ?? 0);
+        metrics.gauge("basilpaddle_places_waiting", placementStatus?.waiting ?? 0);
+        this.backendServers.instances.measure(metrics);
         this.held.measure(metrics);
     }
 
-    override async answer(call: DirectoryCall, body: string): Promise<CallAnswer> {
+    override async handle(call: DirectoryCall, body: string): Promise<CallResponse> {
         switch (call.kind) {
             case "announce":
-                return this.serverCalls.announce(call.name, body);
+                return this.backendServerCalls.announce(call.name, body);
             case "leave":
-                return this.serverCalls.leave(call.name, body);
+                return this.backendServerCalls.leave(call.name, body);
             case "storeConfiguration":
                 return this.configurationCalls.store(body);
             case "readConfiguration":
@@ -188,16 +188,16 @@
         const peers = await TcpServer.create({
             host: settings.bindHost ?? settings.host,
             port: settings.peerPort,
-            handler: body => this.onPeer(body),
+            handler: body => this.handlePeerBody(body),
             logger,
         });
         this.store.add(() => peers.close());
-        this.group.onChange(() => this.noteDocument());
-        this.group.onLeadership(leading => leading ? this.lead() : this.stopLeading());
-        this.hearing.recall(this.recollection.servers());
-        this.noteCrashes(this.recollection.crashes());
-        if (this.group.standing()?.leading === true) {
-            this.lead();
+        this.group.onChange(() => this.notifyDocumentChange());
+        this.group.onLeadership(leading => leading ? this.startLeading() : this.stopLeading());
+        this.backendServers.restore(this.restartCache.servers());
+        this.mergeCrashes(this.restartCache.crashes());
+        if (this.group.replicaStatus()?.leading === true) {
+            this.startLeading();
         }
         const watcher = DirectoryWatcher.create({
             name: this.name,
@@ -207,165 +207,173 @@
             network: this.network,
             clock,
             logger,
-            onAnnounced: announced => this.hearing.hearOther(announced),
-            onCrashes: records => this.noteCrashes(records),
+            onAnnounced: announced => this.backendServers.applyRemoteAnnouncement(announced),
+            onCrashes: records => this.mergeCrashes(records),
             knownCrashes: () => this.held.since(0),
         });
         this.store.add(() => watcher.close());
         const calls = await CallServer.create({ address: settings.calls, handler: this, wire, logger });
         this.store.add(() => calls.close());
-        this.watchSilence();
+        this.scheduleSilenceChecks();
         logger.info("serving", { calls: settings.calls, peers: this.name });
     }
 
     /**
-     * The newest configuration, read when it is first needed: only the leader needs what it says. Read at the start it kept
-     * every directory from answering its first watch for a while on a small core, just when nobody is served.
+     * The newest configuration, parsed on first use since only the leader needs its content. Parsing it at startup delayed
+     * every directory's first watch answer on a small core, while no requests could be served yet.
      */
     private currentTraffic(): Traffic | undefined {
         const { version, content } = this.group.current();
-        if (this.readTraffic?.version !== version) {
-            this.readTraffic = { version, traffic: this.options.wire.traffic(content).toMaybe().extract() };
+        if (this.parsedTraffic?.version !== version) {
+            this.parsedTraffic = { version, traffic: this.options.wire.traffic(content).toMaybe().extract() };
         }
-        return this.readTraffic.traffic;
+        return this.parsedTraffic.traffic;
     }
 
-    /** Passes the newest configuration on, once for all that were committed in one go: after a restart the log brings dozens. */
-    private noteDocument(): void {
-        if (this.documentNoted) {
+    /**
+     * Notifies watchers of the newest configuration, once per batch of commits: replaying the log after a restart commits
+     * dozens.
+     */
+    private notifyDocumentChange(): void {
+        if (this.documentNotificationScheduled) {
             return;
         }
-        this.documentNoted = true;
+        this.documentNotificationScheduled = true;
         setImmediate(() => {
-            this.documentNoted = false;
+            this.documentNotificationScheduled = false;
             const { version } = this.group.current();
-            this.watches.changed();
-            this.options.logger.info("a configuration is committed", { version });
-            this.placing?.noteChange();
-            this.recollection.changed();
+            this.watchService.notifyWatchers();
+            this.options.logger.info("configuration committed", { version });
+            this.placement?.markPoolsOutdated();
+            this.restartCache.markChanged();
         });
     }
 
-    /** Takes in what gateways or other directories know of requests under which servers ended, and passes it on. */
-    private noteCrashes(records: readonly CrashRecord[]): void {
+    /** Merges crash records from gateways or other directories, and publishes them if any was new. */
+    private mergeCrashes(records: readonly CrashRecord[]): void {
         if (this.held.merge(records).length > 0) {
-            this.passCrashesOn();
+            this.publishCrashes();
         }
     }
 
-    private passCrashesOn(): void {
-        this.watches.changed();
-        this.recollection.changed();
+    private publishCrashes(): void {
+        this.watchService.notifyWatchers();
+        this.restartCache.markChanged();
     }
 
-    private memorable(): Memorable | undefined {
+    private restartState(): RestartState | undefined {
         const committed = this.group.committedMark();
-        const servers = this.hearing.memorable();
-        const gateways = this.watches.gatewayCount();
+        const servers = this.backendServers.serversForRestart();
+        const gateways = this.watchService.gatewayCount();
         const crashes = this.held.since(0);
         return committed && { identity: committed.identity, committed: committed.mark, servers, gateways, crashes };
     }
 
-    private watchSilence(): void {
+    private scheduleSilenceChecks(): void {
         const { clock } = this.options;
-        let cancel = clock.after(silenceInterval, () => look());
-        const look = (): void => {
-            this.hearing.lookForSilence();
-            this.placing?.keepGateways(this.watches.gatewayNames());
+        let cancel = clock.after(silenceCheckIntervalMilliseconds, () => check());
+        const check = (): void => {
+            this.backendServers.markSilentServers();
+            this.placement?.retainGateways(this.watchService.gatewayNames());
             this.reviewOutliers();
-            cancel = clock.after(silenceInterval, look);
+            cancel = clock.after(silenceCheckIntervalMilliseconds, check);
         };
         this.store.add(() => cancel());
     }
 
-    /** Tells gateways at once when other servers are ejected than before. */
+    /** Recomputes which servers are ejected as outliers, and notifies gateways immediately if the set changed. */
     private reviewOutliers(): void {
-        if (this.placing !== undefined && this.outliers.review(this.options.clock.monotonic())) {
-            this.options.logger.info("other backend servers of plain services are ejected than before", {
+        if (this.placement !== undefined && this.outliers.review(this.options.clock.monotonic())) {
+            this.options.logger.info("the set of ejected backend servers of plain services changed", {
                 ejected: this.outliers.ejected(),
             });
-            this.watches.changed();
+            this.watchService.notifyWatchers();
         }
     }
 
-    private async onPeer(body: unknown): Promise<unknown> {
-        const agreement = body as { readonly kind?: unknown; readonly from?: unknown; readonly message?: unknown; };
-        if (agreement?.kind === "agreement" && typeof agreement.from === "string") {
-            this.group.receive(agreement.from, agreement.message);
+    private async handlePeerBody(body: unknown): Promise<unknown> {
+        const envelope = body as { readonly kind?: unknown; readonly from?: unknown; readonly message?: unknown; };
+        if (envelope?.kind === "agreement" && typeof envelope.from === "string") {
+            this.group.receive(envelope.from, envelope.message);
             return undefined;
         }
         const message = directoryMessageSchema.safeParse(body);
         if (!message.success) {
-            this.options.logger.warn("a peer sent something that isn't a message", {
-                kind: agreement?.kind,
+            this.options.logger.warn("ignored an invalid message from a peer", {
+                kind: envelope?.kind,
                 problem: message.error.issues[0]?.message,
             });
             return undefined;
         }
-        return this.answerPeer(message.data);
+        return this.handlePeerMessage(message.data);
     }
 
-    private async answerPeer(message: DirectoryMessage): Promise<unknown> {
+    private async handlePeerMessage(message: DirectoryMessage): Promise<unknown> {
         switch (message.kind) {
             case "watch":
-                return this.watches.watch(message);
+                return this.watchService.watch(message);
             case "document":
-                return this.watches.packed();
+                return this.watchService.packed();
             case "storeDocument":
             case "readDocument":
-                return this.configurationCalls.answer(message);
+                return this.configurationCalls.execute(message);
             case "crashes":
-                this.noteCrashes(message.records);
+                this.mergeCrashes(message.records);
                 return { kind: "noted" };
             default: {
-                const leader = this.group.standing()?.leader;
-                return await (this.placing?.handle(message) ?? { kind: "elsewhere", leader });
+                const leader = this.group.replicaStatus()?.leader;
+                return await (this.placement?.handle(message) ?? { kind: "elsewhere", leader });
             }
         }
     }
 
-    private lead(): void {
+    private startLeading(): void {
         const { clock, logger, wire, settings } = this.options;
-        const term = this.group.standing()?.term ?? 0;
+        const term = this.group.replicaStatus()?.term ?? 0;
         this.stopLeading();
         this.outliers = OutlierDetector.create();
-        const sources = { instances: this.hearing.instances, traffic: () => this.currentTraffic(), clock, logger };
-        this.placing = PlacingService.create(
+        const sharedOptions = {
+            instances: this.backendServers.instances,
+            traffic: () => this.currentTraffic(),
+            clock,
+            logger,
+        };
+        this.placement = PlacementService.create(
             {
-                ...sources,
+                ...sharedOptions,
                 repeats: settings.repeats,
-                borrowed: service => this.watches.borrowed(service),
-                onCalls: calls => this.outliers.note(calls, clock.monotonic()),
-                onEnded: instance => this.hearing.noteEnded(instance),
+                borrowed: service => this.watchService.borrowed(service),
+                onServerCalls: calls => this.outliers.note(calls, clock.monotonic()),
+                onIncarnationEnded: instance => this.backendServers.markEnded(instance),
             },
             term,
         );
-        this.orders = StageOrders.create({
-            ...sources,
-            usualRequest: service => this.placing?.usualRequest(service),
-            waiting: service => this.placing?.waiting(service) ?? 0,
-            onOrdered: (engine, stage, within) => this.placing?.noteOrdered(engine, stage, within),
+        this.stageOrders = StageOrders.create({
+            ...sharedOptions,
+            usualRequest: service => this.placement?.usualRequest(service),
+            waiting: service => this.placement?.waiting(service) ?? 0,
+            onOrdered: (engine, stage, within) => this.placement?.noteStageOrder(engine, stage, within),
             holder: settings.name,
             wire,
             connections: this.connections,
             lease: settings.orderLease,
             firstHolder: settings.firstStart && term === 1,
         }, term);
-        this.watches.changed();
-        logger.info("leading: placing runs and ordering stages", { term });
+        this.watchService.notifyWatchers();
+        logger.info("became leader: placing runs and ordering stage changes", { term });
     }
 
     private stopLeading(): void {
-        this.placing?.close();
-        this.orders?.close();
-        this.placing = undefined;
-        this.orders = undefined;
+        this.placement?.close();
+        this.stageOrders?.close();
+        this.placement = undefined;
+        this.stageOrders = undefined;
     }
 
     private members(): { readonly members: readonly string[]; readonly leader: string | undefined; } {
-        const standing = this.group.standing();
-        const identities = [...standing?.voters ?? [], ...standing?.learners ?? []];
+        const status = this.group.replicaStatus();
+        const identities = [...status?.voters ?? [], ...status?.learners ?? []];
         const names = identities.map(identity => identity.split("#", 1)[0]!);
-        return { members: [...new Set([...names, this.name])], leader: standing?.leader };
+        return { members: [...new Set([...names, this.name])], leader: status?.leader };
     }
 }
--- a/packages/basilpaddle/src/node/daemon/directory/directoryWire.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/directoryWire.ts
@@ -2,51 +2,51 @@
 import type { Announced, Finding, Traffic } from "../../protocol/index.js";
 import type { EngineCall } from "../backends/index.js";
 
-/** What a call to a directory asks for. */
+/** A parsed call to a directory. */
 export type DirectoryCall =
-    /** A backend server's heartbeat. */
+    /** Heartbeat of a backend server. */
     | { readonly kind: "announce"; readonly name: string; }
-    /** A backend server leaves. */
+    /** A backend server shuts down for good and should receive no more work. */
     | { readonly kind: "leave"; readonly name: string; }
     | { readonly kind: "storeConfiguration"; }
     | { readonly kind: "readConfiguration"; }
     | { readonly kind: "unknown"; };
 
-/** Which incarnation of a backend server leaves: its name, and its start in Unix milliseconds where it tells that. */
+/** The incarnation of a backend server that leaves: its name, and its start time in Unix milliseconds if it reports one. */
 export type Departure = { readonly name: string; readonly startedAt?: number; };
 
 /** An order to an engine to change its stage. */
 export type StageOrder = {
     readonly engine: Announced;
     readonly stage: "prefill" | "decode";
-    /** Who gives it, and the fencing token: it rises with each new holder of the right to give orders. */
+    /** The daemon that issues the order, and its fencing token, which increases with each new holder. */
     readonly holder: string;
     readonly fence: number;
 };
 
-/** What became of an order. */
+/** Outcome of an order; `unknown` if the engine may still execute it. */
 export type StageOrderOutcome = "accepted" | "alreadySo" | "refused" | "fenced" | "unknown";
 
-/** The wire between directories and those who call them; also that of orders. Translates, and decides nothing. */
+/** Codec for the calls that directories receive and for the orders that they send. It only translates and makes no decisions. */
 export abstract class DirectoryWire {
-    /** Which call the request line makes. */
+    /** Maps a request line to a call. */
     abstract call(method: string, path: string): DirectoryCall;
 
-    /** Reads a heartbeat's body. */
+    /** Parses the body of a heartbeat. */
     abstract announcement(name: string, body: string): Either<readonly Finding[], Announced>;
 
-    /** Reads the body of the word that a backend server leaves. */
+    /** Parses the body of a leave call. */
     abstract departure(name: string, body: string): Either<readonly Finding[], Departure>;
 
-    /** Reads a configuration. */
+    /** Parses and validates a configuration. */
     abstract traffic(content: string): Either<readonly Finding[], Traffic>;
 
-    /** Writes an order. */
+    /** Encodes an order as an HTTP call to its engine. */
     abstract order(order: StageOrder): EngineCall;
 
-    /** What an answer to an order says. */
+    /** Maps the HTTP status of an engine's answer to the outcome of the order. */
     abstract orderOutcome(status: number): StageOrderOutcome;
 
-    /** The body of an answer that lists findings. */
+    /** Encodes findings as a response body. */
     abstract findings(findings: readonly Finding[]): string;
 }
--- a/packages/basilpaddle/src/node/daemon/directory/documentGroup.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/documentGroup.ts
@@ -11,43 +11,43 @@
 import type { Network } from "../../transport/index.js";
 import { type Clock, DisposableStore, type Logger, type Randomness } from "../../utils/index.js";
 
-/** Name that the first members of every group share; members check it, so that two deployments never mix. */
+/** Cluster name shared by the founding members of every group; members check it so that two deployments never mix. */
 const clusterName = "directories";
 /**
- * Timing of the agreement in milliseconds. No daemon relies on a view lease here, so voters need no rest between two
- * changes of the membership; an election then takes 0.5 to 1 s, well within the time that a caller waits for a change.
+ * Consensus timing in milliseconds. No daemon relies on a view lease here, so voters need no pause between two membership
+ * changes; an election then takes 0.5 to 1 s, well within the time that a caller waits for a change.
  */
 const timing = { heartbeatInterval: 100, electionTimeout: 500, viewLease: 50, clockDrift: 0.02 };
 /**
- * Most milliseconds from the start to the first try at an election. After a loss of power everywhere nothing is served
- * until there is a leader; spread over this time, voters seldom stand together.
+ * Longest delay from startup to the first election attempt. After a power loss of the whole deployment nothing is served
+ * until there is a leader; spreading the attempts over this time makes simultaneous candidates rare.
  */
-const firstElection = 400;
-/** Silence of a voter after which a member that stands by takes its place: longer than a restart. */
-const replaceAfter = 2_500;
-/** Documents in the log before it is cut, and documents kept then: each may be hundreds of kilobytes on a small disk. */
+const firstElectionDelayMilliseconds = 400;
+/** A voter that is silent for this long, more than a restart takes, is replaced by a learner. */
+const replaceAfterMilliseconds = 2_500;
+/** Log entries before compaction and entries kept after it: each document may take hundreds of kilobytes on a small disk. */
 const compaction = { after: 32, keep: 4 };
-/** Milliseconds before a replica that failed is opened again. */
-const reopenDelay = 500;
-/** Milliseconds for a change to be committed; its caller waits no longer than a second. */
-const storePatience = 900;
-/** Milliseconds for a quorum to confirm a reading. */
-const readPatience = 800;
-/** Milliseconds between two looks whether what was in the log has been committed. */
-const commitPoll = 10;
-
-/** What the group needs. */
+/** Delay before a failed replica is reopened. */
+const reopenDelayMilliseconds = 500;
+/** Timeout for committing a change; its caller waits no longer than a second. */
+const storeTimeoutMilliseconds = 900;
+/** Timeout for a quorum to confirm leadership before a read. */
+const readTimeoutMilliseconds = 800;
+/** Polling interval while a read waits for earlier log entries to be committed. */
+const commitPollMilliseconds = 10;
+
+/** Settings and dependencies of `DocumentGroup`. */
 export type DocumentGroupOptions = {
     /** This member's name: its peer address, "IP:PORT". */
     readonly name: string;
-    /** Names of members to begin with. */
+    /** Names of the members to contact first. */
     readonly seeds: () => readonly string[];
-    /** Whether the seeds may form a new group. */
+    /** Whether the seeds may initialise a new group. */
     readonly firstStart: boolean;
     readonly dataFolder: string;
-    /** What was known to be committed before a restart, under an identity of this member. */
+    /** The newest entry known to be committed before the restart, for the given identity of this member. */
     readonly committed: (identity: string) => CommittedMark | undefined;
-    /** Voters that the group grows to. */
+    /** Target number of voters. */
     readonly voters: number;
     readonly network: Network;
     readonly clock: Clock;
@@ -56,8 +56,8 @@
 };
 
 /**
- * This directory's part in the group that keeps the configuration. A replica whose disk fails, a full one say, ends; it
- * is opened again until the disk takes writes, while the daemon goes on with everything that needs no disk.
+ * This directory's member of the group that replicates the configuration. A replica stops when its disk fails, for example
+ * when it is full; it is reopened until writes succeed, while the daemon continues with everything that needs no disk.
  */
 export class DocumentGroup {
     private readonly store = DisposableStore.create();
@@ -74,24 +74,24 @@
         this.store.add(() => this.peers.close());
     }
 
-    /** Opens this member's replica; one that can't be opened now is tried again. */
+    /** Opens this member's replica; if that fails, it is retried in the background. */
     static async create(options: DocumentGroupOptions): Promise<DocumentGroup> {
         const group = new DocumentGroup(options);
         await group.open();
         return group;
     }
 
-    /** What this member knows of the group; undefined while its replica is closed. */
-    standing(): ReplicaStanding | undefined {
+    /** The group's status as this member knows it; undefined while its replica is closed. */
+    replicaStatus(): ReplicaStanding | undefined {
         return this.replica?.standing();
     }
 
     /** The newest entry that this member knows to be committed, and its identity; undefined while its replica is closed. */
     committedMark(): { readonly identity: string; readonly mark: CommittedMark; } | undefined {
-        const standing = this.replica?.standing();
-        return standing === undefined ? undefined : {
-            identity: standing.identity,
-            mark: { index: standing.committedIndex, term: standing.committedTerm },
+        const status = this.replica?.standing();
+        return status === undefined ? undefined : {
+            identity: status.identity,
+            mark: { index: status.committedIndex, term: status.committedTerm },
         };
     }
 
@@ -100,7 +100,7 @@
         return this.newest;
     }
 
-    /** Passes a message of another member on. */
+    /** Delivers a consensus message from another member to the replica. */
     receive(from: string, message: unknown): void {
         this.replica?.receive(from, message);
     }
@@ -110,12 +110,12 @@
         this.changeListeners.add(listener);
     }
 
-    /** Calls the listener when leadership begins or ends here. */
+    /** Calls the listener when this member gains or loses leadership. */
     onLeadership(listener: (leading: boolean) => void): void {
         this.leadershipListeners.add(listener);
     }
 
-    /** Stores a document, if this member leads. Its answer says that a quorum holds it or a newer one. */
+    /** Stores a document, if this member leads. `stored` means that a quorum holds this document or a newer one. */
     async storeDocument(version: number, content: string): Promise<DocumentAnswer> {
         const { replica } = this;
         if (replica === undefined) {
@@ -125,26 +125,31 @@
             return { kind: "stored" };
         }
         const at = Math.max(0, Math.round(this.options.clock.wall()));
-        const proposal = await replica.propose({ kind: "storeDocument", version, content, at }, storePatience);
+        const proposal = await replica.propose(
+            { kind: "storeDocument", version, content, at },
+            storeTimeoutMilliseconds,
+        );
         return proposal.kind === "result" ? { kind: "stored" } : unavailable(`the proposal ended as ${proposal.kind}`);
     }
 
-    /** Reads the newest document of all: confirmed by a quorum in a round trip that began after the question. */
+    /** Linearizable read of the newest document: a quorum confirms the leadership in a round trip that starts after the call. */
     async readDocument(): Promise<DocumentAnswer> {
         const { replica, state } = this;
-        const standing = replica?.standing();
-        if (replica === undefined || standing === undefined || !standing.leading) {
-            return unavailable("this member doesn't lead");
+        const status = replica?.standing();
+        if (replica === undefined || status === undefined || !status.leading) {
+            return unavailable("this member is not the leader");
         }
-        // A new leader holds every committed entry, but may not know yet that it is committed.
-        const target = standing.lastIndex;
-        if (!await replica.confirmLeadership(readPatience) || !await this.committedUpTo(replica, target)) {
-            return unavailable("no quorum confirmed the leadership in time");
+        // A new leader has every committed entry in its log, but may not know yet which of them are committed.
+        const target = status.lastIndex;
+        if (
+            !await replica.confirmLeadership(readTimeoutMilliseconds) || !await this.waitUntilCommitted(replica, target)
+        ) {
+            return unavailable("no quorum confirmed leadership in time");
         }
         return { kind: "read", ...state.current() };
     }
 
-    /** Hands leadership over and stops. */
+    /** Transfers leadership if this member leads, and stops. */
     async close(): Promise<void> {
         this.closed = true;
         await this.replica?.close();
@@ -152,14 +157,14 @@
         await this.store.dispose();
     }
 
-    private async committedUpTo(replica: Replica, index: number): Promise<boolean> {
+    private async waitUntilCommitted(replica: Replica, index: number): Promise<boolean> {
         const { clock } = this.options;
-        const until = clock.monotonic() + readPatience;
+        const until = clock.monotonic() + readTimeoutMilliseconds;
         while (replica.standing().committedIndex < index) {
             if (clock.monotonic() > until || !replica.standing().leading) {
                 return false;
             }
-            await new Promise<void>(resolve => clock.after(commitPoll, resolve));
+            await new Promise<void>(resolve => clock.after(commitPollMilliseconds, resolve));
         }
         return true;
     }
@@ -170,8 +175,11 @@
             await this.openReplica();
         }
         catch (error) {
-            logger.error("the replica can't be opened; trying again", { error, after: reopenDelay });
-            clock.after(reopenDelay, () => void this.reopen());
+            logger.error("failed to open the replica; retrying after a delay", {
+                error,
+                after: reopenDelayMilliseconds,
+            });
+            clock.after(reopenDelayMilliseconds, () => void this.reopen());
         }
     }
 
@@ -187,7 +195,7 @@
         const founders = [...seeds()];
         if (firstStart && founders.includes(name) && (await disk.list()).length === 0) {
             await initialise(disk, clusterName, name, founders);
-            logger.info("an empty folder was prepared for a founding member", { founders });
+            logger.info("initialised an empty data folder for a founding member", { founders });
         }
         const state = DocumentState.create();
         const replica = await AgreementReplica.create({
@@ -201,33 +209,33 @@
             logger,
             compaction,
             log: { tornTail: true },
-            open: { voters, replaceAfter },
+            open: { voters, replaceAfter: replaceAfterMilliseconds },
             silence: 0,
-            firstElection,
+            firstElection: firstElectionDelayMilliseconds,
             committed,
-            onFailure: error => this.failed(error),
+            onFailure: error => this.handleFailure(error),
         });
         this.state = state;
-        state.onChange(document => this.note(document));
-        this.note(state.current());
+        state.onChange(document => this.publishIfNewer(document));
+        this.publishIfNewer(state.current());
         replica.onLeadership(leading => this.leadershipListeners.forEach(listener => listener(leading)));
         this.replica = replica;
-        logger.info("the replica is open", { identity: replica.standing().identity, version: state.current().version });
+        logger.info("replica opened", { identity: replica.standing().identity, version: state.current().version });
     }
 
-    private failed(error: unknown): void {
+    private handleFailure(error: unknown): void {
         const { logger, clock } = this.options;
-        logger.error("the replica stopped; it is opened again", { error, after: reopenDelay });
+        logger.error("the replica failed; reopening it after a delay", { error, after: reopenDelayMilliseconds });
         const { replica } = this;
         this.replica = undefined;
         void replica?.close().catch((failure: unknown) => {
-            logger.warn("closing a failed replica failed too", { error: failure });
+            logger.warn("failed to close a failed replica", { error: failure });
         });
-        clock.after(reopenDelay, () => void this.reopen());
+        clock.after(reopenDelayMilliseconds, () => void this.reopen());
     }
 
-    /** Listeners never hear of an older document, whatever a replica that was opened again begins with. */
-    private note(document: StoredDocument): void {
+    /** Never notifies listeners of an older document: a reopened replica may start from an older state. */
+    private publishIfNewer(document: StoredDocument): void {
         if (document.version > this.newest.version) {
             this.newest = document;
             this.changeListeners.forEach(listener => listener(document));
--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/directory/placementService.ts
@@ -0,0 +1,238 @@
+import {
+    EnginePlaces,
+    type InstanceTable,
+    placingForAll,
+    type RepeatBudgetRules,
+    SharedRepeatBudget,
+    type UsualRequest,
+} from "../../coordination/index.js";
+import type { Announced, PlaceDecision, Placing, PlacingAnswer, ServerCalls, Traffic } from "../../protocol/index.js";
+import type { Clock, Logger } from "../../utils/index.js";
+
+/**
+ * How long a placement request waits for its decision before it is answered with `waiting`, upon which the gateway asks
+ * again. This answer lets gateways distinguish a leader with a long queue from one that is gone; until they know which,
+ * each of their requests waits for it.
+ */
+const replyTimeoutMilliseconds = 100;
+/** Interval at which queued placement requests are reviewed. */
+const tickIntervalMilliseconds = 25;
+/** Minimum age of a grant before a gateway's list without it revokes it: the list may be older than the grant. */
+const holdingsGraceMilliseconds = 1_500;
+type DecisionCallback = (decision: PlaceDecision) => void;
+
+/** Inputs and dependencies of `PlacementService`. */
+export type PlacementServiceOptions = {
+    readonly instances: InstanceTable;
+    readonly traffic: () => Traffic | undefined;
+    /** Called with a gateway's statistics of its calls to plain services. */
+    readonly onServerCalls: (calls: readonly ServerCalls[]) => void;
+    /** Called with an incarnation that a gateway reports as ended. */
+    readonly onIncarnationEnded: (instance: string) => void;
+    /** Rules of the retry budget that all gateways share; undefined if this leader lends no retries. */
+    readonly repeats?: RepeatBudgetRules | undefined;
+    /** Retries of a service that gateways borrowed within the last window, as returned by `WatchService.borrowed`. */
+    readonly borrowed?: (service: string) => number | undefined;
+    readonly clock: Clock;
+    readonly logger: Logger;
+};
+
+/** Places runs on engines for all gateways while this directory leads, with one `PlacementQueue` per service. */
+export class PlacementService {
+    private readonly pools = new Map<string, EnginePlaces>();
+    private readonly serviceOfAttempt = new Map<string, string>();
+    private readonly waiters = new Map<string, DecisionCallback>();
+    private readonly sharedRetryBudgets = new Map<string, SharedRepeatBudget>();
+    private readonly startedAt: number;
+    private cancelTick: (() => void) | undefined;
+    private closed = false;
+    /** Whether engines or rules have changed since they were last applied to the pools. */
+    private poolsOutdated = true;
+
+    private constructor(private readonly options: PlacementServiceOptions, private readonly term: number) {
+        this.startedAt = options.clock.monotonic();
+        this.scheduleTick();
+    }
+
+    /** `term`: the term of the leadership; by it gateways know which leader granted their placements. */
+    static create(options: PlacementServiceOptions, term: number): PlacementService {
+        return new PlacementService(options, term);
+    }
+
+    /**
+     * Marks engines or rules as changed; the changes are applied together before the next decision. Applying them iterates
+     * over every server of every pool: doing so for each of a thousand first heartbeats after a restart kept the leader
+     * busy, and doing so after a delay placed runs on engines that were already known to have left.
+     */
+    markPoolsOutdated(): void {
+        this.poolsOutdated = true;
+    }
+
+    /** Handles a message from a gateway; undefined for messages that have no reply. */
+    async handle(message: Placing): Promise<PlacingAnswer | undefined> {
+        const now = this.options.clock.monotonic();
+        this.refreshPools();
+        switch (message.kind) {
+            case "place":
+                return this.requestPlacement(message.demand, now);
+            case "withdraw":
+                this.deliver(this.poolOfAttempt(message.attempt)?.withdraw(message.attempt, now));
+                this.serviceOfAttempt.delete(message.attempt);
+                return undefined;
+            case "prefilled":
+                this.poolOfAttempt(message.attempt)?.prefilled(message.attempt, now);
+                return undefined;
+            case "release":
+                this.deliver(this.poolOfAttempt(message.attempt)?.release(message.attempt, message.end, now));
+                this.serviceOfAttempt.delete(message.attempt);
+                return undefined;
+            case "holdings":
+                this.reconcile(message, now);
+                return undefined;
+            case "borrow":
+                return { kind: "lent", granted: this.lendRetry(message.service, message.gateway, now) };
+            case "probe":
+                return { kind: "leading", term: this.term };
+            case "calls":
+                this.options.onServerCalls(message.calls);
+                return undefined;
+            case "ended":
+                this.options.onIncarnationEnded(message.instance);
+                return undefined;
+        }
+    }
+
+    /** Releases the grants and requests of gateways that aren't in the list. */
+    retainGateways(names: readonly string[]): void {
+        const now = this.options.clock.monotonic();
+        for (const pool of this.pools.values()) {
+            pool.gateways().filter(name => !names.includes(name)).forEach(name => {
+                this.deliver(pool.dropGateway(name, now));
+            });
+        }
+    }
+
+    /** Records that an engine was ordered to change its stage, and within how many milliseconds it may do so. */
+    noteStageOrder({ id, service }: Announced, stage: Announced["stage"], within: number): void {
+        this.pools.get(service)?.orderedTo(id, stage, this.options.clock.monotonic() + within);
+    }
+
+    /** Number of a service's queued placement requests. */
+    waiting(service: string): number {
+        return this.pools.get(service)?.standing().waiting ?? 0;
+    }
+
+    /** Resources that a typical request of the service uses; undefined until enough have been served under this leader. */
+    usualRequest(service: string): UsualRequest | undefined {
+        return this.pools.get(service)?.usualRequest();
+    }
+
+    /** Numbers of queued requests and of held grants, over all pools. */
+    queueStatus(): { readonly waiting: number; readonly held: number; } {
+        const statuses = [...this.pools.values()].map(pool => pool.standing());
+        return {
+            waiting: statuses.reduce((sum, status) => sum + status.waiting, 0),
+            held: statuses.reduce((sum, status) => sum + status.held, 0),
+        };
+    }
+
+    /** Stops the service; pending requests get no decision any more. */
+    close(): void {
+        this.closed = true;
+        this.cancelTick?.();
+        this.waiters.clear();
+    }
+
+    /** Applies changed engines and rules to the pools. */
+    private refreshPools(): void {
+        if (!this.poolsOutdated) {
+            return;
+        }
+        this.poolsOutdated = false;
+        const { instances, traffic } = this.options;
+        const all = instances.all();
+        for (const service of traffic()?.services ?? []) {
+            if (service.engine !== undefined) {
+                const pool = this.pools.get(service.name) ?? EnginePlaces.create(placingForAll);
+                this.pools.set(service.name, pool);
+                pool.setEngines(all.filter(instance => instance.service === service.name), service.engine);
+            }
+        }
+    }
+
+    private async requestPlacement(
+        demand: Extract<Placing, { kind: "place"; }>["demand"],
+        now: number,
+    ): Promise<PlacingAnswer> {
+        const pool = this.pools.get(demand.service);
+        if (pool === undefined) {
+            // A new leader may not have parsed its configuration yet.
+            await new Promise<void>(resolve => this.options.clock.after(replyTimeoutMilliseconds, resolve));
+            return { kind: "waiting", term: this.term };
+        }
+        this.serviceOfAttempt.set(demand.attempt, demand.service);
+        const answer = new Promise<PlacingAnswer>(resolve => {
+            const cancel = this.options.clock.after(replyTimeoutMilliseconds, () => {
+                this.waiters.delete(demand.attempt);
+                resolve({ kind: "waiting", term: this.term });
+            });
+            this.waiters.set(demand.attempt, decision => {
+                cancel();
+                resolve(this.decisionReply(decision));
+            });
+        });
+        this.deliver(pool.ask(demand, now));
+        return answer;
+    }
+
+    private lendRetry(service: string, gateway: string, now: number): boolean {
+        const { repeats, logger } = this.options;
+        if (repeats === undefined) {
+            return false;
+        }
+        const budget = this.sharedRetryBudgets.get(service) ?? SharedRepeatBudget.create(repeats, this.startedAt);
+        this.sharedRetryBudgets.set(service, budget);
+        const granted = budget.lend(now, this.options.borrowed?.(service));
+        logger.info("a gateway requested a retry from the shared budget", { gateway, service, granted });
+        return granted;
+    }
+
+    private reconcile(message: Extract<Placing, { kind: "holdings"; }>, now: number): void {
+        for (const [service, pool] of this.pools) {
+            const held = message.held.filter(({ demand }) => demand.service === service);
+            held.forEach(({ demand }) => this.serviceOfAttempt.set(demand.attempt, service));
+            this.deliver(pool.reconcile(message.gateway, held, holdingsGraceMilliseconds, now));
+        }
+    }
+
+    private deliver(decisions: readonly PlaceDecision[] = []): void {
+        for (const decision of decisions) {
+            // Without a pending call the decision is returned when the gateway asks again: its grant stays held until then.
+            const waiter = this.waiters.get(decision.attempt);
+            this.waiters.delete(decision.attempt);
+            waiter?.(decision);
+            if (decision.kind === "refused") {
+                this.serviceOfAttempt.delete(decision.attempt);
+            }
+        }
+    }
+
+    private poolOfAttempt(attempt: string): EnginePlaces | undefined {
+        return this.pools.get(this.serviceOfAttempt.get(attempt) ?? "");
+    }
+
+    private decisionReply(decision: PlaceDecision): PlacingAnswer {
+        return { kind: "decided", term: this.term, decision };
+    }
+
+    private scheduleTick(): void {
+        this.cancelTick = this.options.clock.after(tickIntervalMilliseconds, () => {
+            if (!this.closed) {
+                const now = this.options.clock.monotonic();
+                this.refreshPools();
+                this.pools.forEach(pool => this.deliver(pool.review(now)));
+                this.scheduleTick();
+            }
+        });
+    }
+}
--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/directory/restartCache.ts
@@ -0,0 +1,181 @@
+import { decode, encode } from "cbor-x";
+import { z } from "zod";
+import type { CommittedMark } from "../../coordination/index.js";
+import { type Announced, announcedSchema, type CrashRecord, crashRecordSchema } from "../../protocol/index.js";
+import { type Disk, readSnapshot, writeSnapshot } from "../../state/index.js";
+import type { Clock, Logger } from "../../utils/index.js";
+
+/** File name, in the same folder as the replica's files. */
+const restartCacheFile = "recollection";
+/** Delay from a change to its write: changes come in bursts, and each write costs two disk syncs. */
+const writeDelayMilliseconds = 150;
+/**
+ * Age, many heartbeat intervals, from which stored backend servers are discarded as outdated. It is measured by the wall
+ * clock, which may jump by some seconds; a server that is restored by mistake is found silent after two heartbeats.
+ */
+const maximumServerAgeMilliseconds = 60_000;
+
+const descriptionSchema = z.object({
+    /** Identity of the group member to which the committed mark belongs. */
+    identity: z.string(),
+    committed: z.object({ index: z.int().min(0), term: z.int().min(0) }),
+    /** Number of connected gateways. */
+    gateways: z.int().min(0),
+    /** Requests that crashed backend servers while running. */
+    crashes: z.array(crashRecordSchema).default([]),
+    /** Wall clock time in Unix milliseconds. */
+    writtenAt: z.number(),
+});
+const serversSchema = z.array(announcedSchema);
+
+/** State that is kept across a restart. */
+export type RestartState = {
+    readonly identity: string;
+    readonly committed: CommittedMark;
+    readonly servers: readonly Announced[];
+    readonly gateways: number;
+    readonly crashes: readonly CrashRecord[];
+};
+
+/** Dependencies of `RestartCache`. */
+export type RestartCacheOptions = {
+    /** Opens the folder; called again after a failure. */
+    readonly openDisk: () => Promise<Disk>;
+    readonly clock: Clock;
+    readonly logger: Logger;
+};
+
+/**
+ * State that a directory keeps across a restart beside its log: the newest entry that it knew to be committed, the backend
+ * servers that it considered present, the number of gateways, and crash records. Correctness doesn't depend on it, and it
+ * may be outdated or missing. It shortens the time to serve requests again after a power loss of the whole deployment,
+ * which would otherwise have to wait for an election (half a second) and for heartbeats (more than a second).
+ */
+export class RestartCache {
+    private source: (() => RestartState | undefined) | undefined;
+    private writing = false;
+    private pending = false;
+    private closed = false;
+    private disk: Disk | undefined;
+
+    private constructor(
+        private readonly options: RestartCacheOptions,
+        private readonly restored: RestartState | undefined,
+    ) {}
+
+    /**
+     * Reads the stored state. A file or folder that can't be read counts as missing, so that a directory with a failing disk
+     * continues with everything that needs no disk.
+     */
+    static async create(options: RestartCacheOptions): Promise<RestartCache> {
+        return new RestartCache(options, await readRestartState(options));
+    }
+
+    /** The newest entry known to be committed; undefined if it was stored under another identity. */
+    committed(identity: string): CommittedMark | undefined {
+        return this.restored?.identity === identity ? this.restored.committed : undefined;
+    }
+
+    /** Restored backend servers. */
+    servers(): readonly Announced[] {
+        return this.restored?.servers ?? [];
+    }
+
+    /** Requests that crashed backend servers while running. If these were lost, each could crash as many servers again. */
+    crashes(): readonly CrashRecord[] {
+        return this.restored?.crashes ?? [];
+    }
+
+    /** Restored number of gateways; 0 if none is stored. */
+    gateways(): number {
+        return this.restored?.gateways ?? 0;
+    }
+
+    /** Sets the source of the state to write. It returns undefined while no state is reliable; nothing is written then. */
+    setSource(source: () => RestartState | undefined): void {
+        this.source = source;
+    }
+
+    /** Schedules a write of the current state. */
+    markChanged(): void {
+        if (!this.pending && !this.closed) {
+            this.pending = true;
+            this.options.clock.after(writeDelayMilliseconds, () => void this.write());
+        }
+    }
+
+    /** Stops writing; a scheduled write is dropped. */
+    close(): void {
+        this.closed = true;
+    }
+
+    private async write(): Promise<void> {
+        if (this.writing) {
+            // A disk may hang for seconds: there is one write at a time, and only the newest state waits behind it.
+            this.options.clock.after(writeDelayMilliseconds, () => void this.write());
+            return;
+        }
+        this.pending = false;
+        const state = this.closed ? undefined : this.source?.();
+        if (state === undefined) {
+            return;
+        }
+        this.writing = true;
+        try {
+            await this.replace(state);
+        }
+        catch (error) {
+            this.options.logger.warn("failed to write the restart cache; the next change triggers another write", {
+                error,
+            });
+        }
+        finally {
+            this.writing = false;
+        }
+    }
+
+    private async replace({ identity, committed, servers, gateways, crashes }: RestartState): Promise<void> {
+        const { openDisk, clock } = this.options;
+        this.disk ??= await openDisk();
+        await writeSnapshot(this.disk, restartCacheFile, {
+            description: encode({ identity, committed, gateways, crashes, writtenAt: clock.wall() }),
+            data: encode(servers),
+        });
+    }
+}
+
+async function readRestartState({ openDisk, clock, logger }: RestartCacheOptions): Promise<RestartState | undefined> {
+    try {
+        const stored = await readSnapshot(await openDisk(), restartCacheFile);
+        if (stored === undefined) {
+            return undefined;
+        }
+        const { identity, committed, gateways, crashes, writtenAt } = descriptionSchema.parse(
+            decode(stored.description),
+        );
+        const elapsedMilliseconds = clock.wall() - writtenAt;
+        const isRecent = Math.abs(elapsedMilliseconds) < maximumServerAgeMilliseconds;
+        const servers = isRecent ? serversSchema.parse(decode(stored.data)) : [];
+        return {
+            identity,
+            committed,
+            servers,
+            gateways: isRecent ? gateways : 0,
+            crashes: crashes.map(addAge(elapsedMilliseconds)),
+        };
+    }
+    catch (error) {
+        logger.warn("failed to read the restart cache; continuing without it", { cause: String(error) });
+        return undefined;
+    }
+}
+
+/** Adds the time since the write to a record's ages; 0 if the wall clock has been set back since. */
+function addAge(elapsedMilliseconds: number): (record: CrashRecord) => CrashRecord {
+    const addedMilliseconds = Math.max(0, elapsedMilliseconds);
+    return ({ digest, crashes, clearedAge }) => ({
+        digest,
+        crashes: crashes.map(crash => ({ ...crash, age: crash.age + addedMilliseconds })),
+        ...clearedAge === undefined ? {} : { clearedAge: clearedAge + addedMilliseconds },
+    });
+}
--- a/packages/basilpaddle/src/node/daemon/directory/stageOrders.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/stageOrders.ts
@@ -4,94 +4,94 @@
 import { type BackendConnections, drain, isAnswer } from "../backends/index.js";
 import type { DirectoryWire, StageOrderOutcome } from "./directoryWire.js";
 
-/** Milliseconds between two looks at the stages. */
-const lookInterval = 500;
-/** Milliseconds without an engine that comes or goes, two heartbeats, after which a pool counts as known. */
-const settleTime = 2_500;
-/** Connections to one engine for orders. */
-const orderConnections = 2;
-/** Milliseconds for an engine to answer an order. */
-const answerTime = 1_000;
-/** Milliseconds after an order without a clear answer in which it may still be carried out. */
-const unknownTime = 15_000;
-/** Milliseconds added to the lease before a new holder gives its first order: its clock and the last holder's may differ. */
-const leaseMargin = 1_000;
-/** Milliseconds between two changes of stages: each costs the engine's work for a while. */
-const restBetween = 8_000;
+/** Interval at which the stages are compared with their plan. */
+const checkIntervalMilliseconds = 500;
+/** A pool counts as settled once no engine has joined or left for this long: two heartbeats. */
+const settleTimeMilliseconds = 2_500;
+/** Connection limit of one engine for orders. */
+const connectionsPerEngine = 2;
+/** Timeout of an order to an engine. */
+const orderTimeoutMilliseconds = 1_000;
+/** How long an order without a conclusive answer may still be executed. */
+const unknownOutcomeMilliseconds = 15_000;
+/** Margin added to the lease before a new holder issues its first order: its clock and the previous holder's may differ. */
+const leaseMarginMilliseconds = 1_000;
+/** Minimum time between two rounds of stage changes: each change costs the engine's work for a while. */
+const cooldownMilliseconds = 8_000;
 
 /**
- * Milliseconds for which decode engines must be wanted for prefill, with no demand waiting for a place, before they are taken:
- * one is out for ten seconds and more, and bursts last less. Engines that turned slow for some seconds made readings look
- * long, and decode engines would be taken just as a burst begins.
+ * How long the plan must call for more prefill engines, with no placement request queued, before decode engines are
+ * converted: a converted engine is unavailable for ten seconds or more, and bursts are shorter than that. Engines that were
+ * slow for some seconds made prefills appear long, and decode engines would be converted just as a burst begins.
  */
-const steadyTime = 15_000;
+const sustainedDemandMilliseconds = 15_000;
 
-/** What orders are decided from. */
-export type StageOrderSources = {
+/** Inputs and dependencies of `StageOrders`. */
+export type StageOrdersOptions = {
     readonly holder: string;
     readonly instances: InstanceTable;
     readonly traffic: () => Traffic | undefined;
-    /** What a request of a service takes of its pool, where that has been observed. */
+    /** Resources that a typical request of a service uses; undefined if none have been observed. */
     readonly usualRequest: (service: string) => UsualRequest | undefined;
-    /** Demands of a service that wait for a place. */
+    /** Number of a service's queued placement requests. */
     readonly waiting: (service: string) => number;
-    /** Called when an engine may have taken an order: by then it takes no work of its old stage any more. */
+    /** Called when an engine may have accepted an order: from then on it accepts no work of its old stage. */
     readonly onOrdered: (engine: Announced, stage: StageChange["stage"], within: number) => void;
     readonly wire: DirectoryWire;
     readonly connections: BackendConnections;
     readonly clock: Clock;
     readonly logger: Logger;
-    /** Milliseconds that a former holder may still believe to hold the right to give orders. */
+    /** Milliseconds for which a previous holder may still believe that it may issue orders. */
     readonly lease: number;
-    /** Whether no other daemon can have given orders before. */
+    /** Whether no other daemon can have issued orders before. */
     readonly firstHolder: boolean;
 };
 
 /**
- * Brings the stages of each pool's engines to their plan, by orders under a fencing token. Only the leader gives any,
- * and a new one waits until the one before has known for long that it leads no more: two holders that take turns would
- * undo each other's orders.
+ * Changes the stages of each pool's engines according to their plan, by orders with a fencing token. Only the leader issues
+ * orders, and a new leader waits until the previous one must have noticed its loss of leadership: two holders that issue
+ * orders alternately would undo each other's.
  */
 export class StageOrders {
     private readonly pending = new Map<string, number>();
-    private readonly counts = new Map<string, { readonly count: number; readonly since: number; }>();
-    /** Since when decode engines of a service are wanted for prefill. */
-    private readonly wantedSince = new Map<string, number>();
+    private readonly engineCounts = new Map<string, { readonly count: number; readonly since: number; }>();
+    /** Per service, since when the plan has called for decode engines to become prefill engines. */
+    private readonly prefillWantedSince = new Map<string, number>();
     private readonly mayOrderAt: number;
-    private restUntil = 0;
-    private cancel: (() => void) | undefined;
+    private cooldownUntil = 0;
+    private cancelCheck: (() => void) | undefined;
     private closed = false;
 
-    private constructor(private readonly sources: StageOrderSources, private readonly fence: number) {
-        const now = sources.clock.monotonic();
-        this.mayOrderAt = sources.firstHolder ? now : now + sources.lease + leaseMargin;
-        this.schedule();
+    private constructor(private readonly options: StageOrdersOptions, private readonly fence: number) {
+        const now = options.clock.monotonic();
+        this.mayOrderAt = options.firstHolder ? now : now + options.lease + leaseMarginMilliseconds;
+        this.scheduleCheck();
     }
 
-    /** `fence`: the term of the leadership, which no other leader shares. */
-    static create(sources: StageOrderSources, fence: number): StageOrders {
-        return new StageOrders(sources, fence);
+    /** `fence`: the term of the leadership, which is unique to this leader. */
+    static create(options: StageOrdersOptions, fence: number): StageOrders {
+        return new StageOrders(options, fence);
     }
 
-    /** Gives no further orders. */
+    /** Issues no further orders. */
     close(): void {
         this.closed = true;
-        this.cancel?.();
+        this.cancelCheck?.();
     }
 
-    private schedule(): void {
-        this.cancel = this.sources.clock.after(lookInterval, () => {
+    private scheduleCheck(): void {
+        this.cancelCheck = this.options.clock.after(checkIntervalMilliseconds, () => {
             if (!this.closed) {
-                this.look();
-                this.schedule();
+                this.checkStages();
+                this.scheduleCheck();
             }
         });
     }
 
-    private look(): void {
-        const { clock, instances, traffic, usualRequest } = this.sources;
+    private checkStages(): void {
+        const { clock, instances, traffic, usualRequest } = this.options;
         const now = clock.monotonic();
-        if (now < this.mayOrderAt || now < this.restUntil) {
+        if (now < this.mayOrderAt || now < this.cooldownUntil) {
             return;
         }
         for (const service of traffic()?.services ?? []) {
@@ -106,51 +106,51 @@
                 now >= (this.pending.get(change.engine.id) ?? 0)
             );
             if (!changes.some(({ stage }) => stage === "prefill")) {
-                this.wantedSince.delete(service.name);
+                this.prefillWantedSince.delete(service.name);
             }
             if (changes.length > 0 && this.isDue(service.name, engines, changes, now)) {
-                this.restUntil = now + restBetween;
+                this.cooldownUntil = now + cooldownMilliseconds;
                 changes.forEach(change => void this.order(change));
             }
         }
     }
 
-    /** Whether changes should be made now; one that takes decode engines has to be wanted for a while, unless none reads. */
+    /** Whether to order the changes now: converting decode engines needs sustained demand unless no prefill engine is ready. */
     private isDue(
         service: string,
         engines: readonly Announced[],
         changes: readonly StageChange[],
         now: number,
     ): boolean {
-        const takesDecode = changes.some(({ stage }) => stage === "prefill");
-        const anyReads = engines.some(({ stage, state }) => stage === "prefill" && state === "ready");
-        if (!takesDecode || !anyReads) {
+        const convertsDecodeEngines = changes.some(({ stage }) => stage === "prefill");
+        const hasReadyPrefillEngine = engines.some(({ stage, state }) => stage === "prefill" && state === "ready");
+        if (!convertsDecodeEngines || !hasReadyPrefillEngine) {
             return true;
         }
-        const since = this.wantedSince.get(service);
-        if (since === undefined || this.sources.waiting(service) > 0) {
-            this.wantedSince.set(service, now);
+        const since = this.prefillWantedSince.get(service);
+        if (since === undefined || this.options.waiting(service) > 0) {
+            this.prefillWantedSince.set(service, now);
             return false;
         }
-        return now - since >= steadyTime;
+        return now - since >= sustainedDemandMilliseconds;
     }
 
-    /** Whether no engine has come or gone for a while: a plan by half of a starting pool would turn too many. */
+    /** Whether no engine has joined or left for a while: a plan for a half-started pool would convert too many engines. */
     private hasSettled(service: string, count: number, now: number): boolean {
-        const known = this.counts.get(service);
+        const known = this.engineCounts.get(service);
         if (known?.count !== count) {
-            this.counts.set(service, { count, since: now });
+            this.engineCounts.set(service, { count, since: now });
             return false;
         }
-        return now - known.since >= settleTime;
+        return now - known.since >= settleTimeMilliseconds;
     }
 
     private async order(change: StageChange): Promise<void> {
-        const { wire, holder, logger, clock, onOrdered } = this.sources;
+        const { wire, holder, logger, clock, onOrdered } = this.options;
         const { engine, stage } = change;
-        this.pending.set(engine.id, clock.monotonic() + unknownTime);
+        this.pending.set(engine.id, clock.monotonic() + unknownOutcomeMilliseconds);
         const call = wire.order({ engine, stage, holder, fence: this.fence });
-        onOrdered(engine, stage, unknownTime);
+        onOrdered(engine, stage, unknownOutcomeMilliseconds);
         const outcome = await this.send(engine, call);
         if (outcome !== "accepted" && outcome !== "unknown") {
             onOrdered(engine, stage, 0);
@@ -159,7 +159,7 @@
     }
 
     private async send(engine: Announced, call: ReturnType<DirectoryWire["order"]>): Promise<StageOrderOutcome> {
-        const { connections, wire, logger } = this.sources;
+        const { connections, wire, logger } = this.options;
         const result = await connections.call(
             {
                 server: engine,
@@ -167,16 +167,16 @@
                 path: call.path,
                 headers: Object.entries(call.headers).flat(),
                 body: call.body === undefined ? undefined : Buffer.from(call.body),
-                signal: AbortSignal.timeout(answerTime),
+                signal: AbortSignal.timeout(orderTimeoutMilliseconds),
             },
-            orderConnections,
+            connectionsPerEngine,
             1,
         );
         if (isAnswer(result)) {
             drain(result);
             return wire.orderOutcome(result.status);
         }
-        logger.warn("an order got no answer; it may still be carried out", { engine: engine.id, ...result });
+        logger.warn("an order got no answer; the engine may still execute it", { engine: engine.id, ...result });
         return "unknown";
     }
 }
