--- a/packages/basilpaddle/src/node/coordination/supervisor/__tests__/supervisor.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/__tests__/supervisor.spec.ts
@@ -2,31 +2,31 @@
 import type { Command, View } from "../../../protocol/index.js";
 import { commands } from "../../../state/__tests__/commands.js";
 import { Ledger, ViewState } from "../../../state/index.js";
-import { Hearing } from "../hearing.js";
-import { LogAge } from "../logAge.js";
-import { runLife, Supervisor } from "../supervisor.js";
+import { AppliedIndexHistory } from "../appliedIndexHistory.js";
+import { Hearing } from "../livenessTable.js";
+import { runRecordRetentionMilliseconds, Supervisor } from "../supervisor.js";
 
 const timing = { sessionTimeout: 4_000, backendTimeout: 5_000 };
 const stepInterval = 200;
 
-/** A leader's view and duties under a clock that the test moves. */
+/** A leader's view and supervisor with a clock that the test advances. */
 class Bench {
-    readonly hearing = Hearing.create();
+    readonly liveness = Hearing.create();
     readonly state = ViewState.create();
     readonly ledger = Ledger.create();
     wall = 1;
     now = 1_000_000;
     leadingSince: number | undefined = this.now;
     private index = 0;
-    private readonly supervisor = Supervisor.create("control-1", timing, this.hearing);
+    private readonly supervisor = Supervisor.create("control-1", timing, this.liveness);
 
     apply(...list: readonly Command[]): void {
         list.forEach(command => this.state.apply(++this.index, command));
     }
 
-    hear(...daemons: readonly string[]): void {
+    recordHeartbeats(...daemons: readonly string[]): void {
         daemons.forEach(daemon =>
-            this.hearing.heardSession(commands.session(daemon), { applied: 0, revision: 0 }, this.now)
+            this.liveness.heardSession(commands.session(daemon), { applied: 0, revision: 0 }, this.now)
         );
     }
 
@@ -41,12 +41,12 @@
         });
     }
 
-    /** Lets time pass in steps during which the given daemons are heard; gives the commands of the last step. */
+    /** Advances the time in steps, with heartbeats of the given daemons in each; returns the commands of the last step. */
     pass(milliseconds: number, ...heard: readonly string[]): readonly Command[] {
         let last: readonly Command[] = [];
         for (const end = this.now + milliseconds; this.now < end;) {
             this.now += stepInterval;
-            this.hear(...heard);
+            this.recordHeartbeats(...heard);
             last = this.step();
         }
         return last;
@@ -61,11 +61,11 @@
     return list.map(command => command.kind);
 }
 
-describe("the leader's duties", () => {
-    it("spread the leases over the daemons that were heard, the same way each time", () => {
+describe("the supervisor of a leader", () => {
+    it("distributes the leases over the daemons with recent heartbeats, deterministically", () => {
         const bench = new Bench();
         bench.apply(...["a", "b", "c", "cut"].map(name => commands.open(name)), commands.change("one", 0));
-        bench.hear("a", "b", "c");
+        bench.recordHeartbeats("a", "b", "c");
         const granted = bench.step();
         expect(kindsOf(granted)).to.deep.equal(["grantLease", "grantLease"]);
         expect(bench.step()).to.deep.equal(granted);
@@ -76,10 +76,10 @@
         expect(bench.step()).to.deep.equal([]);
     });
 
-    it("release the lease of a pool that isn't declared any more", () => {
+    it("releases the lease of a pool that is no longer declared", () => {
         const bench = new Bench();
         bench.apply(commands.open("a"), commands.grant("scheduler/old", "a"), commands.grant("orders", "a"));
-        bench.hear("a");
+        bench.recordHeartbeats("a");
         expect(bench.step()).to.deep.include({
             kind: "releaseLease",
             lease: "scheduler/old",
@@ -88,10 +88,10 @@
         });
     });
 
-    it("close a silent session, and give its leases to another one", () => {
+    it("closes a silent session, and grants its leases to another one", () => {
         const bench = new Bench();
         bench.apply(commands.open("a"), commands.open("b"), commands.grant("orders", "a"));
-        bench.hear("a", "b");
+        bench.recordHeartbeats("a", "b");
         bench.step();
         expect(bench.pass(timing.sessionTimeout - stepInterval, "b")).to.deep.equal([]);
         const closing = bench.pass(stepInterval, "b");
@@ -100,12 +100,12 @@
         expect(bench.step()).to.deep.equal([commands.grant("orders", "b")]);
     });
 
-    it("give everybody a full timeout under a new leader, whatever it heard as a follower", () => {
-        // Symptom: after a change of leader every session is closed and every backend server is gone. Sequence: a
-        // control daemon hears nobody for a minute, then becomes leader. Cause: silence counted from before that.
+    it("gives every session and backend server a full timeout under a new leader, whatever it received as a follower", () => {
+        // Guards against closing every session and marking every backend server as gone after a change of leader: a control
+        // daemon received no heartbeats for a minute, then became leader, and silence counted from before its election.
         const bench = new Bench();
         bench.apply(commands.open("a"), commands.announce("w", 1));
-        bench.hear("a");
+        bench.recordHeartbeats("a");
         bench.leadingSince = undefined;
         bench.pass(60_000);
         bench.leadingSince = bench.now;
@@ -114,29 +114,29 @@
         expect(kindsOf(bench.pass(stepInterval))).to.deep.equal(["closeSession"]);
     });
 
-    it("give everybody a full timeout also where leadership comes back after a moment", () => {
+    it("gives every session a full timeout also if leadership returns after a moment", () => {
         const bench = new Bench();
         bench.apply(commands.open("a"));
-        bench.hear("a");
+        bench.recordHeartbeats("a");
         bench.pass(3_000);
         bench.leadingSince = bench.now;
         expect(bench.pass(timing.sessionTimeout)).to.deep.equal([]);
     });
 
-    it("give everybody a full timeout after a pause of the leader itself", () => {
-        // Symptom and cause as above; the sequence: the leader's process is stopped for a while and goes on.
+    it("gives every session and backend server a full timeout after a pause of the leader itself", () => {
+        // The same failure as under a new leader, after the leader's process was stopped for a while and continued.
         const bench = new Bench();
         bench.apply(commands.open("a"), commands.announce("w", 1), commands.grant("orders", "a"));
-        bench.hear("a");
+        bench.recordHeartbeats("a");
         bench.step();
         bench.now += 30_000;
         expect(bench.step()).to.deep.equal([]);
         expect(kindsOf(bench.pass(timing.backendTimeout, "a"))).to.deep.equal(["markBackend"]);
     });
 
-    it("mark a silent backend server as gone, once, and none while most entry daemons are silent", () => {
-        // Symptom: every backend server is marked gone though it serves on. Sequence: the leader loses the way to most
-        // entry daemons, through which it hears of backend servers. Cause: that silence taken for theirs.
+    it("marks a silent backend server as gone, once, and none while most entry daemons are silent", () => {
+        // Guards against marking every backend server as gone while it is still serving: the leader lost the connection to
+        // most entry daemons, which relay the heartbeats of backend servers, and treated that silence as theirs.
         const bench = new Bench();
         const daemons = ["a", "b", "c"];
         bench.apply(
@@ -144,7 +144,7 @@
             commands.announce("w", 1),
             commands.grant("orders", "a"),
         );
-        bench.hear(...daemons);
+        bench.recordHeartbeats(...daemons);
         bench.step();
         expect(kindsOf(bench.pass(3_800, "a"))).not.to.include("markBackend");
         expect(kindsOf(bench.pass(3_800, ...daemons))).not.to.include("markBackend");
@@ -154,17 +154,17 @@
         expect(bench.step()).to.deep.equal([]);
     });
 
-    it("forget run records by the leader's monotonic time, and by no wall clock", () => {
-        // Symptom: a notice goes out twice. Sequence: a leader whose wall clock is a year ahead, or whose process just
-        // started, looks at a fresh record; the key comes again. Cause: the life of records counted by wall clocks.
+    it("expires run records by the leader's monotonic time, not by wall clocks", () => {
+        // Guards against a notice that is sent twice: a leader whose wall clock is a year ahead, or whose process just started,
+        // expired a fresh record before its key was retried, because the age of records was measured by wall clocks.
         const bench = new Bench();
         bench.wall = 365 * 24 * 3_600_000;
         bench.ledger.apply(1, commands.start("k", "t"));
         bench.step();
-        bench.now += runLife / 2;
+        bench.now += runRecordRetentionMilliseconds / 2;
         bench.ledger.apply(2, commands.start("l", "t"));
         bench.step();
-        bench.now += runLife / 2 - 1;
+        bench.now += runRecordRetentionMilliseconds / 2 - 1;
         expect(bench.step()).to.deep.equal([]);
         bench.now += 5_001;
         const [expiry, ...others] = bench.step();
@@ -177,15 +177,15 @@
         expect(bench.step()).to.deep.equal([]);
     });
 
-    it("sample the log's age in bounded memory over days", () => {
-        const age = LogAge.create(runLife);
+    it("samples the applied index in bounded memory over days", () => {
+        const history = AppliedIndexHistory.create(runRecordRetentionMilliseconds);
         for (let second = 0; second < 2 * 86_400; second++) {
-            age.note(second, second * 1_000);
+            history.record(second, second * 1_000);
         }
-        expect(age.size).to.be.at.most(runLife / 60_000 + 2);
-        expect(age.oldUpTo(2 * 86_400_000)).to.be.within(
-            2 * 86_400 - runLife / 1_000 - 61,
-            2 * 86_400 - runLife / 1_000,
+        expect(history.size).to.be.at.most(runRecordRetentionMilliseconds / 60_000 + 2);
+        expect(history.appliedBeforeRetention(2 * 86_400_000)).to.be.within(
+            2 * 86_400 - runRecordRetentionMilliseconds / 1_000 - 61,
+            2 * 86_400 - runRecordRetentionMilliseconds / 1_000,
         );
     });
 });
--- a/packages/basilpaddle/src/node/coordination/supervisor/inForce.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/inForce.ts
@@ -1,10 +1,10 @@
 import type { Timing, View } from "../../protocol/index.js";
-import type { Hearing } from "./hearing.js";
+import type { Hearing } from "./livenessTable.js";
 
-/** A change that a quorum holds. */
+/** A change that is committed by a quorum. */
 export type HeldChange = {
     readonly index: number;
-    /** Monotonic milliseconds at which this control daemon knew that a quorum holds it. */
+    /** Monotonic milliseconds at which this control daemon learned that it is committed. */
     readonly heldAt: number;
 };
 
@@ -13,53 +13,57 @@
     | { readonly kind: "inForce"; }
     | {
         readonly kind: "waiting";
-        /** Daemons with an open session that haven't confirmed it. */
+        /** Daemons with an open session that haven't confirmed the change. */
         readonly daemons: readonly string[];
-        /** Monotonic milliseconds after which it is in force in any case. */
+        /** Monotonic milliseconds from which it is in force in any case. */
         readonly until: number;
     };
 
 /**
- * Knows for each change whether it is in force everywhere. An entry daemon starts work only under a view lease, and
- * none is given or extended without the change once a quorum holds it. So it is in force as soon as every daemon that
- * may hold a lease has confirmed it, and at the latest when leases from before it have run out.
+ * Determines whether a change is in force on every daemon. An entry daemon starts work only under a view lease, and once a
+ * change is committed no lease is granted or extended without it. So the change is in force as soon as every daemon that
+ * may hold a lease has confirmed it, and at the latest when the leases from before it have expired.
  */
 export class InForce {
-    private readonly lease: number;
+    private readonly leaseMilliseconds: number;
 
-    private constructor(timing: Pick<Timing, "viewLease" | "clockDrift">, private lastClosing: number) {
-        this.lease = timing.viewLease * (1 + timing.clockDrift);
+    private constructor(timing: Pick<Timing, "viewLease" | "clockDrift">, private lastSessionClosedAt: number) {
+        this.leaseMilliseconds = timing.viewLease * (1 + timing.clockDrift);
     }
 
-    /** `now` is when this control daemon started: what happened to sessions before that isn't known. */
+    /** `now`: when this control daemon started; sessions may have been closed before that without its knowledge. */
     static create(timing: Pick<Timing, "viewLease" | "clockDrift">, now: number): InForce {
         return new InForce(timing, now);
     }
 
     /**
-     * Notes that a session ended without the daemon's own word, or may have ended unseen. Its daemon may hold a view
-     * lease for a while that no confirmation will tell of any more; without this, a change would be called in force
-     * while a daemon that was cut off still starts work by the old view.
+     * Records that a session was closed without the daemon's own request, or may have been closed unnoticed. Its daemon may
+     * still hold a view lease, and no confirmation will cover it any more; otherwise a change would be reported as in force
+     * while a partitioned daemon still starts work under the old view.
      */
     noteClosing(now: number): void {
-        this.lastClosing = Math.max(this.lastClosing, now);
+        this.lastSessionClosedAt = Math.max(this.lastSessionClosedAt, now);
     }
 
-    /** Whether the change is in force, as far as a leader can tell that became leader at the given time. */
-    status(change: HeldChange, leadingSince: number, view: View, hearing: Hearing, now: number): InForceStatus {
-        const until = Math.max(change.heldAt, leadingSince) + this.lease;
+    /** Whether the change is in force, as far as a leader can know that was elected at the given time. */
+    status(change: HeldChange, leadingSince: number, view: View, liveness: Hearing, now: number): InForceStatus {
+        const until = Math.max(change.heldAt, leadingSince) + this.leaseMilliseconds;
         if (now >= until) {
             return { kind: "inForce" };
         }
         const daemons = Object.values(view.sessions)
-            .filter(({ session }) => (hearing.session(session)?.applied ?? 0) < change.index)
+            .filter(({ session }) => (liveness.session(session)?.applied ?? 0) < change.index)
             .map(({ session }) => session.daemon);
-        // A daemon whose session was closed may have gone on by the voters' refusals for as long as the quorum was lost,
-        // however long ago the closing is. It counts as expired a view lease after this leader was elected, not before.
-        const closedExpire = Math.max(this.lastClosing, leadingSince) + this.lease;
-        if (daemons.length === 0 && now >= closedExpire) {
+        // While the quorum was lost, a daemon whose session was closed may have continued on the voters' refusals, however long
+        // ago the session was closed. Its lease counts as expired one view lease after this leader was elected, not before.
+        const closedSessionsExpireAt = Math.max(this.lastSessionClosedAt, leadingSince) + this.leaseMilliseconds;
+        if (daemons.length === 0 && now >= closedSessionsExpireAt) {
             return { kind: "inForce" };
         }
-        return { kind: "waiting", daemons, until: daemons.length === 0 ? Math.min(until, closedExpire) : until };
+        return {
+            kind: "waiting",
+            daemons,
+            until: daemons.length === 0 ? Math.min(until, closedSessionsExpireAt) : until,
+        };
     }
 }
