--- a/packages/basilpaddle/src/node/daemon/backends/__tests__/backendConnections.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/backends/__tests__/backendConnections.spec.ts
@@ -4,8 +4,8 @@
 import { createSilentLogger } from "../../../utils/index.js";
 import { BackendConnections, isAnswer, wholeBody } from "../index.js";
 
-/** A server that reads a request and then does what it is told with the connection. */
-async function serverThat(act: (socket: net.Socket) => void): Promise<{ server: net.Server; announced: Announced; }> {
+/** Starts a server that reads a request and then calls `act` with the connection. */
+async function startServer(act: (socket: net.Socket) => void): Promise<{ server: net.Server; announced: Announced; }> {
     const server = net.createServer(socket => {
         socket.on("error", () => undefined);
         socket.once("data", () => act(socket));
@@ -24,8 +24,8 @@
     return { server, announced };
 }
 
-async function bodyFrom(act: (socket: net.Socket) => void): Promise<string | undefined> {
-    const { server, announced } = await serverThat(act);
+async function receivedBody(act: (socket: net.Socket) => void): Promise<string | undefined> {
+    const { server, announced } = await startServer(act);
     const connections = BackendConnections.create(createSilentLogger());
     const signal = AbortSignal.timeout(5_000);
     const call = { server: announced, method: "GET", path: "/", headers: [], body: undefined, signal };
@@ -37,32 +37,31 @@
 }
 
 describe("connections to backend servers", () => {
-    // Symptom: a caller gets half an answer as a whole one, with status 200.
-    // Sequence: a server answers without a length, or says that the connection ends with the answer, and crashes midway;
-    // its host resets the connection.
-    // Cause: the HTTP library takes a reset for the end of an answer whose connection would have been closed anyway.
-    it("take an answer without a length that is reset for incomplete", async () => {
-        const body = await bodyFrom(socket => {
+    // Guards against half an answer that reaches the caller as complete, with status 200. A server answers without a length, or
+    // announces that the connection ends with the answer, and crashes midway, whereupon its host resets the connection. undici
+    // treats a reset as the end of an answer whose connection would have been closed anyway.
+    it("treat an answer without a length as incomplete if the connection is reset", async () => {
+        const body = await receivedBody(socket => {
             socket.write("HTTP/1.1 200 OK\r\n\r\nhalf of", () => setTimeout(() => socket.resetAndDestroy(), 20));
         });
         expect(body).to.equal(undefined);
     });
 
-    it("take an answer in chunks that is reset before its last chunk for incomplete", async () => {
+    it("treat a chunked answer as incomplete if the connection is reset before its last chunk", async () => {
         const head = "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n";
-        const body = await bodyFrom(socket => {
+        const body = await receivedBody(socket => {
             socket.write(`${head}4\r\nhalf\r\n`, () => setTimeout(() => socket.resetAndDestroy(), 20));
         });
         expect(body).to.equal(undefined);
     });
 
-    it("take an answer without a length that ends in good order for whole", async () => {
-        const body = await bodyFrom(socket => socket.end("HTTP/1.1 200 OK\r\n\r\nall of it"));
+    it("treat an answer without a length as complete if the connection ends regularly", async () => {
+        const body = await receivedBody(socket => socket.end("HTTP/1.1 200 OK\r\n\r\nall of it"));
         expect(body).to.equal("all of it");
     });
 
-    it("tell a server that nothing reached from one that may have run the request", async () => {
-        const { server, announced } = await serverThat(socket => socket.resetAndDestroy());
+    it("distinguish a server that received nothing from one that may have run the request", async () => {
+        const { server, announced } = await startServer(socket => socket.resetAndDestroy());
         const connections = BackendConnections.create(createSilentLogger());
         const signal = AbortSignal.timeout(5_000);
         const call = { server: announced, method: "POST", path: "/", headers: [], body: Buffer.from("x"), signal };
--- a/packages/basilpaddle/src/node/daemon/backends/answers.ts
+++ b/packages/basilpaddle/src/node/daemon/backends/answers.ts
@@ -1,6 +1,6 @@
 import type { BackendAnswer } from "./backendConnections.js";
 
-/** Reads the whole body of an answer; undefined where it broke off or grew over the limit. */
+/** Reads the whole body of an answer; undefined if it was cut short or exceeds the limit in bytes. */
 export async function wholeBody(answer: BackendAnswer, limit: number): Promise<Buffer | undefined> {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -14,19 +14,19 @@
         }
     }
     catch {
-        // The caller of this function treats an incomplete body like a connection that broke.
+        // Callers treat an incomplete body like a broken connection.
         return undefined;
     }
     return Buffer.concat(chunks);
 }
 
-/** Gives an answer up together with its connection: what would come next on it can't be trusted. */
+/** Abandons an answer and closes its connection, whose further data can't be trusted. */
 export function discard(answer: BackendAnswer): void {
     answer.body.on("error", () => undefined);
     answer.body.destroy();
 }
 
-/** Reads a short body away so that its connection can be used again. */
+/** Reads and discards a short body so that its connection can be reused. */
 export function drain(answer: BackendAnswer): void {
     answer.body.on("error", () => undefined);
     answer.body.resume();
--- a/packages/basilpaddle/src/node/daemon/backends/backendConnections.ts
+++ b/packages/basilpaddle/src/node/daemon/backends/backendConnections.ts
@@ -5,41 +5,41 @@
 import { afterPoll, type Logger } from "../../utils/index.js";
 
 /**
- * Milliseconds for a connection to come about; a host that is gone answers nothing at all. Short enough that a prompt's
- * KV cache, kept for half a second, can still be offered to another engine; a lost packet costs a second either way.
+ * Timeout for establishing a connection; a host that is gone sends no response at all. It is short enough that a prompt's KV
+ * cache, which is kept for half a second, can still be offered to another engine; a lost packet costs a second either way.
  */
-const connectTimeout = 250;
-/** Milliseconds that an idle connection is kept where the backend server names no time of its own. */
-const keepAliveTimeout = 8_000;
-/** Milliseconds before the named end of an idle connection after which it isn't used any more: a request may cross the end. */
-const keepAliveMargin = 1_000;
-/** Milliseconds without a call after which a backend server's connections are closed. */
-const idleLimit = 60_000;
-/** Part of a backend server's connections that gateways use together; the rest is for their uneven shares. */
-const connectionPart = 0.9;
-const noConnectionInTime = "NO_CONNECTION_IN_TIME";
-/** Codes of failures to connect: nothing was sent. */
-const connectFailures: ReadonlySet<string> = new Set([
+const connectTimeoutMilliseconds = 250;
+/** How long an idle connection is kept if the backend server announces no keep-alive time of its own. */
+const keepAliveTimeoutMilliseconds = 8_000;
+/** An idle connection isn't reused this close to its announced end: a request could arrive just as the server closes it. */
+const keepAliveMarginMilliseconds = 1_000;
+/** A backend server's connections are closed after this time without a call. */
+const idleTimeoutMilliseconds = 60_000;
+/** Fraction of a backend server's connection limit that the gateways share; the rest allows for uneven shares. */
+const sharedConnectionFraction = 0.9;
+const connectTimeoutCode = "NO_CONNECTION_IN_TIME";
+/** Error codes of failures to connect, after which nothing was sent. */
+const connectFailureCodes: ReadonlySet<string> = new Set([
     "ECONNREFUSED",
     "EHOSTUNREACH",
     "ENETUNREACH",
     "EADDRNOTAVAIL",
-    noConnectionInTime,
+    connectTimeoutCode,
 ]);
-/** The library's callback wants the value that this project leaves out; anything that isn't true does. */
+/** undici's callback expects null, which this project doesn't use; any falsy value works. */
 const noSocket = [undefined] as unknown as [never];
 const noError = [undefined] as unknown as [never];
 
 /**
- * Opens a connection. The library's own connector waits for up to a second longer than it is told, and it takes a reset
- * for the end of an answer whose connection would be closed anyway: a backend server that crashes in the middle of one
- * would give its caller half an answer as a whole one. A reset under another code is an error to it like any other.
+ * Opens a connection. undici's own connector may exceed its timeout by up to a second, and undici treats a connection reset
+ * as the regular end of an answer whose connection would be closed anyway: a backend server that crashes in the middle of
+ * such an answer would pass half of it off as complete. With another error code undici handles a reset as an error.
  */
 const connector: buildConnector.connector = (options, callback) => {
     const socket = net.connect({ host: options.hostname, port: Number(options.port), noDelay: true });
-    const cancel = afterPoll(connectTimeout, () => {
-        const error: NodeJS.ErrnoException = new Error(`no connection in ${connectTimeout} ms`);
-        error.code = noConnectionInTime;
+    const cancel = afterPoll(connectTimeoutMilliseconds, () => {
+        const error: NodeJS.ErrnoException = new Error(`no connection within ${connectTimeoutMilliseconds} ms`);
+        error.code = connectTimeoutCode;
         socket.destroy(error);
     });
     const fail = (error: Error): void => {
@@ -57,58 +57,61 @@
     });
 };
 
-/** Statuses of answers that never have a body. */
-const bodiless: ReadonlySet<number> = new Set([204, 304]);
+/** Status codes of answers that never have a body. */
+const bodilessStatuses: ReadonlySet<number> = new Set([204, 304]);
 
-/** The head of an answer, and its body as it comes. */
+/** The head of an answer, and its body as a stream. */
 export type BackendAnswer = {
     readonly status: number;
-    /** Names and values by turns, as they came. */
+    /** Alternating names and values, as received. */
     readonly rawHeaders: readonly string[];
     readonly headers: Readonly<Record<string, string | undefined>>;
     readonly body: Readable;
     /**
-     * Whether the answer itself says where it ends. One that only ends with its connection may have been broken off:
-     * nobody can tell, and it must not be passed on as one that is known to be whole.
+     * Whether the answer itself indicates where it ends. One that is ended only by its connection may have been cut short
+     * undetectably, and must not be forwarded as one that is known to be complete.
      */
     readonly framed: boolean;
 };
 
-/** How a call ended before its answer began. */
+/** How a call failed before its answer began. */
 export type CallFailure =
-    /** No connection came about: the backend server has seen nothing of the request. */
+    /** No connection was established: the backend server received nothing of the request. */
     | { readonly kind: "notSent"; readonly cause: string; }
-    /** The connection broke, or was given up, after the request may have been read. */
+    /** The connection broke, or the call was aborted, after the backend server may have read the request. */
     | { readonly kind: "broken"; readonly cause: string; };
 
-/** One call. */
+/** One HTTP call to a backend server. */
 export type BackendCall = {
     readonly server: Announced;
     readonly method: string;
     readonly path: string;
-    /** Names and values by turns. */
+    /** Alternating names and values. */
     readonly headers: readonly string[];
     readonly body: Buffer | undefined;
     readonly signal: AbortSignal;
 };
 
-/** Kept connections to backend servers, by incarnation: a new one at the same address gets none of the old one's. */
+/** Connection pools of backend servers, per incarnation: a new one at the same address reuses none of the old connections. */
 export class BackendConnections {
     private readonly pools = new Map<string, { readonly pool: Pool; usedAt: number; }>();
-    private readonly sweep: NodeJS.Timeout;
+    private readonly idleSweep: NodeJS.Timeout;
 
     private constructor(private readonly logger: Logger) {
-        this.sweep = setInterval(() => this.closeIdle(), idleLimit / 4);
-        this.sweep.unref();
+        this.idleSweep = setInterval(() => this.closeIdle(), idleTimeoutMilliseconds / 4);
+        this.idleSweep.unref();
     }
 
     static create(logger: Logger): BackendConnections {
         return new BackendConnections(logger);
     }
 
-    /** Sends a request; gives the head of the answer. `limit`: connections that all gateways may open to the server. */
+    /** Sends a request and returns the head of the answer. `limit`: connections that all gateways together may open to the server. */
     async call(call: BackendCall, limit: number, gateways: number): Promise<BackendAnswer | CallFailure> {
-        const pool = this.pool(call.server, Math.max(2, Math.floor(limit * connectionPart / Math.max(1, gateways))));
+        const pool = this.pool(
+            call.server,
+            Math.max(2, Math.floor(limit * sharedConnectionFraction / Math.max(1, gateways))),
+        );
         try {
             const answer = await pool.request({
                 method: call.method as "GET",
@@ -117,37 +120,37 @@
                 body: call.body,
                 signal: call.signal,
                 responseHeaders: "raw",
-                // Every time limit is this system's own: those of the library would end a stream between two events.
+                // This system enforces all timeouts itself: undici's own would abort a stream between two events.
                 headersTimeout: 0,
                 bodyTimeout: 0,
             });
             const rawHeaders = (answer.headers as unknown as readonly string[]).map(String);
-            const headers = named(rawHeaders);
+            const headers = headersByName(rawHeaders);
             const framed = headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined
-                || bodiless.has(answer.statusCode) || call.method === "HEAD";
+                || bodilessStatuses.has(answer.statusCode) || call.method === "HEAD";
             return { status: answer.statusCode, rawHeaders, headers, body: answer.body, framed };
         }
         catch (error) {
             const { code, message } = error as NodeJS.ErrnoException;
-            const kind = code !== undefined && connectFailures.has(code) ? "notSent" : "broken";
+            const kind = code !== undefined && connectFailureCodes.has(code) ? "notSent" : "broken";
             return { kind, cause: typeof code === "string" ? code : message };
         }
     }
 
-    /** Closes the connections to an incarnation that has ended. */
+    /** Closes the connections to an incarnation that has ended or is idle; calls in progress can finish. */
     forget(id: string): void {
         const known = this.pools.get(id);
         if (known !== undefined) {
             this.pools.delete(id);
             void known.pool.close().catch((error: unknown) => {
-                this.logger.debug("closing connections failed", { id, error });
+                this.logger.debug("failed to close connections of a backend server", { id, error });
             });
         }
     }
 
-    /** Closes everything. */
+    /** Closes all connections immediately. */
     async close(): Promise<void> {
-        clearInterval(this.sweep);
+        clearInterval(this.idleSweep);
         const pools = [...this.pools.values()];
         this.pools.clear();
         await Promise.all(pools.map(({ pool }) => pool.destroy()));
@@ -162,8 +165,8 @@
         const pool = new Pool(`http://${server.address}`, {
             connections,
             pipelining: 1,
-            keepAliveTimeout,
-            keepAliveTimeoutThreshold: keepAliveMargin,
+            keepAliveTimeout: keepAliveTimeoutMilliseconds,
+            keepAliveTimeoutThreshold: keepAliveMarginMilliseconds,
             connect: connector,
         });
         this.pools.set(server.id, { pool, usedAt: performance.now() });
@@ -171,7 +174,7 @@
     }
 
     private closeIdle(): void {
-        const since = performance.now() - idleLimit;
+        const since = performance.now() - idleTimeoutMilliseconds;
         this.pools.forEach(({ usedAt }, id) => {
             if (usedAt < since) {
                 this.forget(id);
@@ -180,13 +183,13 @@
     }
 }
 
-/** Whether the call has an answer. */
+/** Whether the call was answered. */
 export function isAnswer(result: BackendAnswer | CallFailure): result is BackendAnswer {
     return "status" in result;
 }
 
-/** Headers by their names in lower case; of one that came twice, the first counts. */
-function named(rawHeaders: readonly string[]): Record<string, string | undefined> {
+/** Headers by lower-case name; of a repeated header the first value is used. */
+function headersByName(rawHeaders: readonly string[]): Record<string, string | undefined> {
     const headers: Record<string, string | undefined> = Object.create(Object.prototype) as Record<string, string>;
     for (let position = 0; position + 1 < rawHeaders.length; position += 2) {
         headers[rawHeaders[position]!.toLowerCase()] ??= rawHeaders[position + 1]!;
--- a/packages/basilpaddle/src/node/daemon/backends/engineCall.ts
+++ b/packages/basilpaddle/src/node/daemon/backends/engineCall.ts
@@ -1,4 +1,4 @@
-/** An HTTP call to an engine. */
+/** An encoded HTTP call to an engine. */
 export type EngineCall = {
     readonly method: "POST" | "DELETE" | "GET";
     readonly path: string;
