--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/group.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/group.ts
@@ -5,10 +5,10 @@
 import { createSilentLogger, SeededRandomness, SystemClock } from "../../../utils/index.js";
 import { AgreementReplica, type AgreementReplicaOptions, FixedPeers, initialise } from "../index.js";
 
-/** Short times, so that a test of an election takes a fraction of a second. */
+/** Short timeouts, so that an election in a test takes a fraction of a second. */
 export const shortTiming = { heartbeatInterval: 10, electionTimeout: 60, viewLease: 120, clockDrift: 0.02 };
 
-/** A state machine that keeps the keys of the runs it was given. */
+/** A state machine that records the key of each applied command, or its kind if it has no key. */
 export class KeyList extends StateMachine {
     keys: string[] = [];
 
@@ -30,7 +30,7 @@
     }
 }
 
-/** A command that isn't part of the view, told apart by its key. */
+/** A command that isn't a view command, identified by its key. */
 export function commandOf(key: string): Command {
     return { kind: "releaseRun", key, token: "token", at: 1 };
 }
@@ -55,14 +55,14 @@
     override close(): void {}
 }
 
-/** Replicas in one process, on disks in memory unless others are given, over links that can be cut. */
+/** Replicas in one process, on in-memory disks by default, connected by links that can be cut. */
 export class Group {
     readonly replicas = new Map<string, AgreementReplica>();
     readonly machines = new Map<string, KeyList>();
     readonly disks = new Map<string, Disk>();
-    /** Directions that are cut, as `from>to`. */
+    /** Directions of links that are cut, as `from>to`. */
     readonly cuts = new Set<string>();
-    /** Keys that were proposed more than once, because an election came in between. */
+    /** Keys that were proposed more than once because an election happened in between. */
     readonly resent = new Set<string>();
 
     private constructor(
@@ -70,7 +70,7 @@
         private readonly overrides: (name: string) => Partial<AgreementReplicaOptions>,
     ) {}
 
-    /** Initialises and starts all. */
+    /** Initialises and starts all replicas. */
     static async create(
         names: readonly string[],
         overrides: Partial<AgreementReplicaOptions> | ((name: string) => Partial<AgreementReplicaOptions>) = {},
@@ -86,7 +86,7 @@
         return group;
     }
 
-    /** Starts a replica on its disk, or on another one. */
+    /** Starts a replica on its current disk, or on another one. */
     async start(name: string, disk = this.disks.get(name)!): Promise<AgreementReplica> {
         this.disks.set(name, disk);
         const stateMachine = KeyList.create();
@@ -108,14 +108,14 @@
         return replica;
     }
 
-    /** Stops a replica as a kill would. */
+    /** Stops a replica like a killed process. */
     async kill(name: string): Promise<void> {
         const replica = this.replicas.get(name)!;
         this.replicas.delete(name);
-        await replica.abandon();
+        await replica.stopWithoutHandover();
     }
 
-    /** Cuts or mends both directions between a replica and all others. */
+    /** Cuts or restores both directions between a replica and all others. */
     isolate(name: string, cut: boolean): void {
         for (const peer of this.names.filter(other => other !== name)) {
             for (const direction of [`${name}>${peer}`, `${peer}>${name}`]) {
@@ -129,7 +129,7 @@
         }
     }
 
-    /** The name of a leader that a quorum follows, other than the given one. */
+    /** The name of a leader that a quorum has confirmed, other than the given one. */
     async leader(except?: string): Promise<string> {
         return await until("a leader", async () => {
             for (const [name, replica] of this.replicas) {
@@ -141,7 +141,7 @@
         });
     }
 
-    /** Gets a command applied by whoever leads. One whose outcome stayed undecided is sent again, and may then be applied twice. */
+    /** Proposes a command to the leader until it is applied. With an undecided outcome it is resent, and may be applied twice. */
     async propose(key: string): Promise<void> {
         let tries = 0;
         await until(`a result for ${key}`, async () => {
@@ -154,14 +154,14 @@
         });
     }
 
-    /** The keys that a replica applied, each resend taken for its original; any other repetition stays. */
+    /** The keys that a replica applied, without the repetitions that resending caused; any other repetition is kept. */
     keysAt(name: string): readonly string[] {
         const { keys } = this.machines.get(name)!;
         return keys.filter((key, position) => key !== keys[position - 1] || !this.resent.has(key));
     }
 
     async close(): Promise<void> {
-        await Promise.all([...this.replicas.values()].map(replica => replica.abandon()));
+        await Promise.all([...this.replicas.values()].map(replica => replica.stopWithoutHandover()));
     }
 
     private link(from: string, to: string): Link {
@@ -174,11 +174,11 @@
     }
 }
 
-/** Looks again and again until there is something; fails after a generous time. */
-export async function until<Value>(what: string, look: () => Promise<Value | undefined>): Promise<Value> {
+/** Polls until there is a value; fails after 20 seconds. */
+export async function until<Value>(what: string, poll: () => Promise<Value | undefined>): Promise<Value> {
     const end = performance.now() + 20_000;
     while (performance.now() < end) {
-        const value = await look();
+        const value = await poll();
         if (value !== undefined) {
             return value;
         }
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/membership.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/membership.spec.ts
@@ -1,124 +1,124 @@
 import { expect } from "chai";
-import { silence, Steps, viewLease } from "./steps.js";
+import { silence, StepDriver, viewLease } from "./stepDriver.js";
 
 const [a, b, c] = ["a#x", "b#x", "c#x"] as const;
-const newcomer = "c#new";
+const newMember = "c#new";
 
-describe("a change of the membership", () => {
-    let steps: Steps;
+describe("manageMembership", () => {
+    let driver: StepDriver;
 
     beforeEach(() => {
-        steps = Steps.create([a, b, c]);
-        steps.advance(silence);
-        steps.elect(a);
-        steps.propose(a, "change");
-        steps.settle();
+        driver = StepDriver.create([a, b, c]);
+        driver.advance(silence);
+        driver.elect(a);
+        driver.propose(a, "change");
+        driver.settle();
     });
 
-    /** Lets heartbeats go round among a and b until c counts as dead. */
+    /** Exchanges heartbeats between a and b until c is considered dead. */
     function loseC(): void {
-        steps.states.delete(c);
-        beat(8);
+        driver.states.delete(c);
+        exchangeHeartbeats(8);
     }
 
-    function beat(times: number): void {
+    function exchangeHeartbeats(times: number): void {
         for (let round = 0; round < times; round += 1) {
-            steps.advance(100, [a, b]);
-            steps.settle();
+            driver.advance(100, [a, b]);
+            driver.settle();
         }
     }
 
     function join(identity: string): void {
-        steps.handle(a, { kind: "message", from: identity, message: { kind: "join" } });
+        driver.handle(a, { kind: "message", from: identity, message: { kind: "join" } });
     }
 
-    it("takes a newcomer in as a learner first, and promotes it only once it holds what is committed", () => {
-        // Symptom: a committed entry is gone after a repair. The newcomer got a vote while it was empty, and made a
-        // quorum with a voter that lagged.
+    it("adds a new member as a learner first, and promotes it only once it has all committed entries", () => {
+        // With a vote, a new member whose log is still empty could form a quorum with a lagging voter, and a committed entry
+        // would be lost.
         loseC();
-        join(newcomer);
-        steps.settle();
-        const learning = { voters: [a, b, c], learners: [newcomer] };
-        expect(steps.states.get(a)!.log.membership).to.deep.equal(learning);
-        beat(20);
-        expect(steps.states.get(a)!.log.membership).to.deep.equal(learning);
-        steps.startEmpty(newcomer);
-        const committed = steps.states.get(a)!.committed;
-        beat(30);
-        expect(steps.states.get(newcomer)!.committed).to.be.at.least(committed);
-        expect(steps.states.get(a)!.log.membership).to.deep.equal({ voters: [a, b, newcomer], learners: [] });
+        join(newMember);
+        driver.settle();
+        const learning = { voters: [a, b, c], learners: [newMember] };
+        expect(driver.states.get(a)!.log.membership).to.deep.equal(learning);
+        exchangeHeartbeats(20);
+        expect(driver.states.get(a)!.log.membership).to.deep.equal(learning);
+        driver.startEmpty(newMember);
+        const committed = driver.states.get(a)!.committed;
+        exchangeHeartbeats(30);
+        expect(driver.states.get(newMember)!.committed).to.be.at.least(committed);
+        expect(driver.states.get(a)!.log.membership).to.deep.equal({ voters: [a, b, newMember], learners: [] });
     });
 
-    it("waits until the one before is committed", () => {
-        // Symptom: two leaders in one term after a host joined twice in a row. Two memberships that were both uncommitted
-        // had quorums without a voter in common.
+    it("waits until the previous change is committed", () => {
+        // After a host has joined twice in a row, the quorums of the two uncommitted memberships may have no voter in common,
+        // and could elect two leaders in one term.
         loseC();
-        steps.away.add(b);
-        join(newcomer);
-        steps.settle();
+        driver.disconnected.add(b);
+        join(newMember);
+        driver.settle();
         join("c#newer");
-        const { membership, membershipIndex } = steps.states.get(a)!.log;
-        expect(membershipIndex).to.be.greaterThan(steps.states.get(a)!.committed);
-        expect(membership.learners).to.deep.equal([newcomer]);
+        const { membership, membershipIndex } = driver.states.get(a)!.log;
+        expect(membershipIndex).to.be.greaterThan(driver.states.get(a)!.committed);
+        expect(membership.learners).to.deep.equal([newMember]);
     });
 
     it("waits until an entry of the leader's own term is committed", () => {
-        // Symptom: as above, across a change of leader. The new leader changed a membership while the one that its
-        // predecessor had begun could still come to be committed.
+        // Two leaders in one term are also possible after a change of leader, if the new one changes the membership while a
+        // change that its predecessor began may still be committed.
         loseC();
-        steps.away.add(a);
-        beat(8);
-        steps.states.get(b)!.electionAt = Number.POSITIVE_INFINITY;
-        steps.away.delete(a);
-        steps.states.get(b)!.heardAt = Number.NEGATIVE_INFINITY;
-        steps.stuckDisks.add(a);
-        steps.elect(a);
-        steps.handle(a, { kind: "synced", write: steps.states.get(a)!.lastWrite });
-        steps.stuckDisks.add(b);
-        steps.settle();
-        steps.handle(b, { kind: "synced", write: steps.states.get(b)!.lastWrite });
-        steps.settle();
-        expect(steps.leads(a)).to.equal(true);
-        const { leadership, committed } = steps.states.get(a)!;
+        driver.disconnected.add(a);
+        exchangeHeartbeats(8);
+        driver.states.get(b)!.electionAt = Number.POSITIVE_INFINITY;
+        driver.disconnected.delete(a);
+        driver.states.get(b)!.leaderContactAt = Number.NEGATIVE_INFINITY;
+        driver.stalledDisks.add(a);
+        driver.elect(a);
+        driver.handle(a, { kind: "synced", write: driver.states.get(a)!.lastWrite });
+        driver.stalledDisks.add(b);
+        driver.settle();
+        driver.handle(b, { kind: "synced", write: driver.states.get(b)!.lastWrite });
+        driver.settle();
+        expect(driver.isLeading(a)).to.equal(true);
+        const { leadership, committed } = driver.states.get(a)!;
         expect(committed).to.be.lessThan(leadership!.firstIndex);
-        steps.now += 500;
-        const answer = { kind: "appended" as const, term: steps.states.get(a)!.term, matched: 1, round: 1 };
-        steps.handle(a, { kind: "message", from: b, message: { ...answer, sentAt: steps.now } });
-        steps.now += 200;
-        join(newcomer);
-        expect(steps.leads(a)).to.equal(true);
-        expect(steps.states.get(a)!.log.membership).to.deep.equal({ voters: [a, b, c], learners: [] });
+        driver.now += 500;
+        const answer = { kind: "appended" as const, term: driver.states.get(a)!.term, matched: 1, round: 1 };
+        driver.handle(a, { kind: "message", from: b, message: { ...answer, sentAt: driver.now } });
+        driver.now += 200;
+        join(newMember);
+        expect(driver.isLeading(a)).to.equal(true);
+        expect(driver.states.get(a)!.log.membership).to.deep.equal({ voters: [a, b, c], learners: [] });
     });
 
-    it("lets the voters rest for a view lease between two changes, and after an election", () => {
-        // Symptom: an entry daemon starts work on an old configuration while it believes that the quorum is lost.
-        // Sequence: it goes on by refusals of the voters that it knows; a disk is repaired in two quick changes, and the
-        // new voters accept a change of the configuration. Cause: more than one set of voters that it was never told of.
+    it("keeps the voters unchanged for a view lease between two changes, and after an election", () => {
+        // Guards against an entry daemon that starts work under an old configuration while it considers the quorum lost:
+        // it extends its view lease by refusals of the voters that it knows, while a lost disk is replaced in two quick
+        // changes, and the new voters accept a configuration change. It can allow for one unknown set of voters, not more.
         loseC();
-        join(newcomer);
-        steps.startEmpty(newcomer);
-        const changes: { readonly at: number; readonly voters: string; }[] = [{ at: steps.now, voters: "" }];
+        join(newMember);
+        driver.startEmpty(newMember);
+        const changes: { readonly at: number; readonly voters: string; }[] = [{ at: driver.now, voters: "" }];
         for (let round = 0; round < 60; round += 1) {
-            beat(1);
-            const voters = steps.states.get(a)!.log.membership.voters.join();
+            exchangeHeartbeats(1);
+            const voters = driver.states.get(a)!.log.membership.voters.join();
             if (voters !== changes.at(-1)!.voters) {
-                changes.push({ at: steps.now, voters });
+                changes.push({ at: driver.now, voters });
             }
         }
         expect(changes.slice(1).map(({ voters }) => voters)).to.deep.equal([
             [a, b, c].join(),
             [a, b].join(),
-            [a, b, newcomer].join(),
+            [a, b, newMember].join(),
         ]);
         const [, , removed, promoted] = changes;
-        expect(removed!.at - steps.states.get(a)!.leadership!.since).to.be.at.least(viewLease);
+        expect(removed!.at - driver.states.get(a)!.leadership!.since).to.be.at.least(viewLease);
         expect(promoted!.at - removed!.at).to.be.at.least(viewLease);
     });
 
-    it("doesn't push out a voter that lives", () => {
-        // Symptom: a voter loses its place. A second process was started under its name, with an empty folder.
-        join(newcomer);
-        beat(10);
-        expect(steps.states.get(a)!.log.membership).to.deep.equal({ voters: [a, b, c], learners: [] });
+    it("doesn't remove a live voter", () => {
+        // A second process that is started under the name of a voter, with an empty folder, must not replace it.
+        join(newMember);
+        exchangeHeartbeats(10);
+        expect(driver.states.get(a)!.log.membership).to.deep.equal({ voters: [a, b, c], learners: [] });
     });
 });
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/openGroup.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/openGroup.spec.ts
@@ -4,12 +4,12 @@
 import { AgreementReplica, initialise, Peers } from "../index.js";
 import { shortTiming, until } from "./group.js";
 
-/** Replicas that reach each other by name, whoever they are. */
+/** Replicas that reach each other by name, without a fixed list of members. */
 class Mesh {
     readonly replicas = new Map<string, AgreementReplica>();
     readonly states = new Map<string, DocumentState>();
 
-    /** Starts a member. Only founders begin with a prepared folder. */
+    /** Starts a member. Only founders start with an initialised folder. */
     async start(name: string, seeds: readonly string[], founders: readonly string[] = []): Promise<void> {
         const disk = MemoryDisk.create();
         if (founders.includes(name)) {
@@ -38,7 +38,7 @@
     async kill(name: string): Promise<void> {
         const replica = this.replicas.get(name);
         this.replicas.delete(name);
-        await replica?.abandon();
+        await replica?.stopWithoutHandover();
     }
 
     async leader(): Promise<AgreementReplica> {
@@ -60,7 +60,7 @@
         });
     }
 
-    /** Waits until just these are the voters, each of them alive. */
+    /** Waits until the voters are exactly the named members. */
     async voters(names: readonly string[]): Promise<void> {
         await until(`voters ${names.join()}`, async () => {
             const { voters } = (await this.leader()).standing();
@@ -119,18 +119,17 @@
 
     afterEach(() => mesh.close());
 
-    // Symptom: a machine that replaces a lost one never becomes a member.
-    // Sequence: all that it knows are a few members, none of which leads; it asks them for a place.
-    it("takes in a machine that knows one member only, which doesn't lead", async () => {
+    // A replacement machine may know only a few members, none of them the leader, and would never join the group.
+    it("adds a machine that knows only one member, which isn't the leader", async () => {
         const leader = (await mesh.leader()).standing().identity.split("#")[0]!;
         const follower = founders.find(name => name !== leader)!;
         await mesh.start("d", [follower]);
         await until("the document at d", async () => mesh.states.get("d")!.current().version === 1 ? true : undefined);
     });
 
-    // Symptom: after a machine was replaced for good, the loss of one more stops the group.
-    // Cause: the voter that is gone never comes back under its name, so nothing would take its place.
-    it("puts a member that stands by in the place of a voter that is gone, and bears the next loss", async () => {
+    // A permanently lost machine never comes back under its name, so no new identity replaces it. If it remained a voter, the
+    // loss of one more would stop the group.
+    it("replaces a lost voter by a standby learner, and tolerates the next loss", async () => {
         await mesh.start("d", founders);
         await mesh.kill("b");
         await mesh.voters(["a", "c", "d"]);
@@ -143,22 +142,22 @@
         );
     });
 
-    it("grows to its number of voters and not beyond", async () => {
+    it("grows to its target number of voters and not beyond", async () => {
         await mesh.start("d", founders);
         await mesh.start("e", founders);
-        await until("two that stand by", async () => {
+        await until("two learners on standby", async () => {
             return (await mesh.leader()).standing().learners.length === 2 ? true : undefined;
         });
         await mesh.voters(founders);
     });
 
-    it("forgets a member that stood by and is gone", async () => {
+    it("removes a standby learner that is gone", async () => {
         await mesh.start("d", founders);
-        await until("one that stands by", async () => {
+        await until("one learner on standby", async () => {
             return (await mesh.leader()).standing().learners.length === 1 ? true : undefined;
         });
         await mesh.kill("d");
-        await until("none that stands by", async () => {
+        await until("no learner on standby", async () => {
             return (await mesh.leader()).standing().learners.length === 0 ? true : undefined;
         });
     });
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/randomRuns.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/randomRuns.spec.ts
@@ -2,7 +2,7 @@
 import { agreementRuns } from "../../../../../../../simulation/agreement/runs.js";
 
 describe("the agreement protocol under random faults", () => {
-    it("keeps its promises, and the group gets whole again", () => {
+    it("keeps its invariants, and the group recovers", () => {
         fc.assert(agreementRuns(), { seed: 20_261_202, numRuns: 60, endOnFailure: false });
     });
 });
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/replica.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/replica.spec.ts
@@ -30,16 +30,16 @@
         }
     }
 
-    it("applies commands in one order everywhere, in memory", async () => {
+    it("applies commands in the same order at all replicas, in memory", async () => {
         group = await Group.create(["a", "b", "c"]);
         await group.propose("one");
         await group.propose("two");
         await allHold(["one", "two"]);
     });
 
-    // Symptom: after a loss of power everywhere requests wait for an election before any configuration is in force.
-    // Sequence: all replicas start again; each holds the whole log, and none knows what of it is committed.
-    it("knows at once what it knew to be committed before a restart", async () => {
+    // After all replicas lost power, each restarts with the whole log, but doesn't know from it which entries are committed.
+    // Requests would have to wait for an election before any configuration is in force.
+    it("applies at startup the entries that it knew to be committed before a restart", async () => {
         let mark = { index: 0, term: 0 };
         group = await Group.create(["a", "b", "c"], {
             committed: identity => identity === "a#test" ? mark : undefined,
@@ -61,24 +61,24 @@
         expect(await restarted({ index: index + 5, term }), "beyond the log").to.deep.equal([]);
     });
 
-    it("names the leader to who asks another replica", async () => {
+    it("names the leader when a proposal is made to another replica", async () => {
         group = await Group.create(["a", "b", "c"]);
         const leader = await group.leader();
         const other = group.names.find(name => name !== leader)!;
-        await until("word of the leader", async () => group.replicas.get(other)!.standing().leader);
+        await until("leader known to the other replica", async () => group.replicas.get(other)!.standing().leader);
         expect(await group.replicas.get(other)!.propose(commandOf("x"), 100)).to.deep.equal({
             kind: "notLeader",
             leader,
         });
     });
 
-    it("works alone", async () => {
+    it("works as a group of one", async () => {
         group = await Group.create(["a"]);
         await group.propose("one");
         await allHold(["one"]);
     });
 
-    it("keeps everything through a restart of all, on disk", async () => {
+    it("keeps all entries through a restart of all replicas, on disk", async () => {
         group = await Group.create(["a", "b", "c"], { compaction: { after: 5, keep: 2 } }, folderDisk);
         const keys = Array.from({ length: 12 }, (_, index) => `key-${index}`);
         for (const key of keys) {
@@ -94,7 +94,7 @@
         await allHold([...keys, "last"]);
     });
 
-    it("goes on after its leader is killed, and the killed one catches up by snapshot", async () => {
+    it("continues after its leader is killed, and the killed replica catches up by snapshot", async () => {
         group = await Group.create(["a", "b", "c"], { compaction: { after: 5, keep: 2 } });
         await group.propose("one");
         const killed = await group.leader();
@@ -107,9 +107,9 @@
         await allHold(["one", ...keys]);
     });
 
-    it("takes a voter with a lost disk back as a learner, and then stands the loss of another host", async () => {
-        // Symptom: a committed entry is gone. A voter whose disk is lost comes back empty and votes under its old
-        // identity; with another voter that lagged it makes a quorum that holds nothing.
+    it("adds a voter with a lost disk again as a learner, and then tolerates the loss of another host", async () => {
+        // A voter whose disk was lost comes back empty. If it voted under its old identity, it could form a quorum with a
+        // lagging voter, and a committed entry would be lost.
         group = await Group.create(["a", "b", "c"]);
         await group.propose("one");
         const leader = await group.leader();
@@ -119,7 +119,7 @@
         await group.start(lost!, MemoryDisk.create());
         const identity = group.replicas.get(lost!)!.standing().identity;
         expect(identity).not.to.equal(`${lost}#test`);
-        await until("repaired membership", async () => {
+        await until("membership with the new identity", async () => {
             const { voters } = group.replicas.get(leader)!.standing();
             return voters.length === 3 && voters.includes(identity) ? true : undefined;
         });
@@ -128,9 +128,9 @@
         await allHold(["one", "two", "three"]);
     });
 
-    it("gives a voter whose log is damaged a new identity, and sets the damaged files aside", async () => {
-        // Symptom: an accepted change is gone, though no disk was lost. One byte of a log went bad; the voter started
-        // on what was left and voted as before.
+    it("gives a voter whose log is damaged a new identity, and renames the damaged files", async () => {
+        // One byte of the log is corrupted. An accepted change would be lost if the voter started with the remaining entries
+        // and voted as before.
         group = await Group.create(["a", "b", "c"]);
         await group.propose("one");
         const damaged = group.names.find(name => !group.replicas.get(name)!.standing().leading)!;
@@ -146,9 +146,9 @@
         await allHold(["one"]);
     });
 
-    it("stops when its disk fails, and doesn't acknowledge what it couldn't write", async () => {
-        // Symptom: an accepted change is gone after a disk reported an error once. The next sync passed, since the
-        // kernel had dropped the pages that it couldn't write.
+    it("stops when its disk fails, and doesn't acknowledge entries that it couldn't write", async () => {
+        // After a failed sync the kernel drops the pages that it couldn't write, so the next sync succeeds. A replica that
+        // continued would lose an accepted change.
         const failures: unknown[] = [];
         let failing = false;
         const disk = MemoryDisk.create();
@@ -169,15 +169,15 @@
         expect([failures.length, group.machines.get("a")!.keys]).to.deep.equal([1, ["one"]]);
     });
 
-    it("isn't initialised over a folder that holds something", async () => {
-        // Symptom: a new, empty group beside the old one, or a voter without memory. A host whose identity file was
-        // lost was initialised again.
+    it("isn't initialised in a folder that isn't empty", async () => {
+        // Initialising a host again after its identity file was lost would create an empty group beside the old one, or a
+        // voter that doesn't remember its votes and entries.
         group = await Group.create(["a"]);
         const outcome = await initialise(group.disks.get("a")!, "test", "a", ["a"]).then(() => "", String);
         expect(outcome).to.include("isn't empty");
     });
 
-    it("hands leadership over when it is closed", async () => {
+    it("hands over leadership when it is closed", async () => {
         group = await Group.create(["a", "b", "c"]);
         await group.propose("one");
         const leader = await group.leader();
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/startup.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/startup.spec.ts
@@ -7,7 +7,7 @@
 import { openFolder } from "../startup.js";
 import { commandOf, Group, KeyList, shortTiming, until } from "./group.js";
 
-class Listening extends Link {
+class RecordingLink extends Link {
     readonly sent: unknown[] = [];
 
     override request(): Promise<never> {
@@ -28,30 +28,30 @@
 }
 
 describe("a data folder", () => {
-    it("gives the same identity back, whenever power was lost while the log was cut", async () => {
-        // Symptom: a voter is lost to each power cut that hits a compaction. The log was cut first, and the snapshot
-        // that holds what the log no longer does wasn't there yet.
+    it("keeps its identity whenever power is lost during a compaction of the log", async () => {
+        // If a compaction rewrote the log before the snapshot that covers the removed entries exists, a power cut in between
+        // would cost the voter its identity.
         const disk = MemoryDisk.create();
-        const left: MemoryDisk[] = [];
+        const crashedDisks: MemoryDisk[] = [];
         const replace = disk.replace.bind(disk);
         disk.replace = async (name, bytes) => {
             await replace(name, bytes);
-            left.push(disk.crash());
+            crashedDisks.push(disk.crash());
         };
         const group = await Group.create(["a"], { compaction: { after: 3, keep: 1 } }, async () => disk);
         for (let index = 0; index < 10; index += 1) {
             await group.propose(`key-${index}`);
         }
         await group.close();
-        expect(left.length).to.be.greaterThan(6);
-        // The first two replacements make the folder: without its identity file it isn't one yet.
-        for (const crashed of left.slice(2)) {
+        expect(crashedDisks.length).to.be.greaterThan(6);
+        // The first two replacements initialise the folder, and the identity file is the second of them.
+        for (const crashed of crashedDisks.slice(2)) {
             expect(await identityOn(crashed, "a")).to.equal("a#test");
         }
     });
 
     it("with another host's log isn't trusted", async () => {
-        // Symptom: two votes of one voter. A folder was restored from a copy of another host's.
+        // A folder restored from a copy of another host's folder could let one voter vote twice.
         const [one, other] = [MemoryDisk.create(), MemoryDisk.create()];
         await initialise(one, "test", "a", ["a", "b"]);
         await initialise(other, "test", "b", ["a", "b"]);
@@ -61,10 +61,10 @@
 });
 
 describe("a replica on a host whose disk was lost", () => {
-    it("leaves what is meant for the identity before it alone", async () => {
-        // Symptom: two leaders in one term. A vote was asked of the voter that had stood on the host, and the new
-        // replica, which remembers no vote, gave it.
-        const link = new Listening();
+    it("ignores messages to its previous identity", async () => {
+        // The new replica doesn't know the votes of the one that ran on the host before. If it answered vote requests sent to
+        // the old identity, two leaders could be elected in one term.
+        const link = new RecordingLink();
         const disk = MemoryDisk.create();
         const replica = await AgreementReplica.create({
             name: "a",
@@ -93,6 +93,6 @@
         ask(replica.standing().identity);
         expect(replica.standing().term).to.equal(9);
         expect((await replica.propose(commandOf("x"), 50)).kind).to.equal("notLeader");
-        await replica.abandon();
+        await replica.stopWithoutHandover();
     });
 });
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/steps.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/stepDriver.ts
@@ -7,59 +7,59 @@
 import { recover } from "../storage.js";
 
 const electionTimeout = 600;
-/** Long enough to see the pause between two changes of the voters. */
+/** Long enough to show the interval between two changes of the voters. */
 export const viewLease = 1_000;
-/** Milliseconds after a start in which a replica takes no part. */
+/** Milliseconds after a start in which a replica takes no part in the protocol. */
 export const silence = 2 * electionTimeout;
 
 type Sent = { readonly from: string; readonly to: string; readonly message: Message; };
 
-/** Replicas driven by hand: time passes, messages travel and writes get synced only where a test says so. */
-export class Steps {
+/** Calls `step` of several replicas under the control of a test: time, messages and syncs advance only on request. */
+export class StepDriver {
     now = 0;
     readonly states = new Map<string, AgreementState>();
     /** Everything written, by identity, whether or not it was synced. */
     readonly disks = new Map<string, LogRecord[]>();
     readonly effects: { readonly identity: string; readonly effect: Effect; }[] = [];
     sent: Sent[] = [];
-    /** Identities whose messages, to and from, get lost. */
-    readonly away = new Set<string>();
-    /** Identities whose writes don't get synced. */
-    readonly stuckDisks = new Set<string>();
+    /** Identities whose messages are lost, in both directions. */
+    readonly disconnected = new Set<string>();
+    /** Identities whose writes aren't synced. */
+    readonly stalledDisks = new Set<string>();
 
     private constructor(readonly voters: readonly string[]) {}
 
-    static create(voters: readonly string[]): Steps {
-        const steps = new Steps(voters);
+    static create(voters: readonly string[]): StepDriver {
+        const driver = new StepDriver(voters);
         voters.forEach(identity => {
             const base = { index: 0, term: 0, membership: { voters: [...voters], learners: [] }, view: 0 };
-            steps.disks.set(identity, [{ kind: "base", owner: identity, base }]);
-            steps.start(identity);
+            driver.disks.set(identity, [{ kind: "base", owner: identity, base }]);
+            driver.start(identity);
         });
-        return steps;
+        return driver;
     }
 
-    /** Starts a replica from what was written. */
+    /** Starts a replica from its written records. */
     start(identity: string): void {
         const records = this.disks.get(identity)!.map((record, offset) => ({ offset, record }));
-        this.startFrom(identity, recover(records, undefined, identity));
+        this.startRecovered(identity, recover(records, undefined, identity));
     }
 
-    /** Starts a replica without a place in the group. */
+    /** Starts a replica that isn't a member of the group. */
     startEmpty(identity: string): void {
         const base = { index: 0, term: 0, membership: { voters: [], learners: [] }, view: 0 };
         this.disks.set(identity, [{ kind: "base", owner: identity, base }]);
         this.start(identity);
     }
 
-    /** Makes a replica lead by its election timer alone, and lets the group settle. */
+    /** Lets the election timer of a replica expire, and delivers messages until none is left. */
     elect(identity: string): void {
         this.states.get(identity)!.electionAt = this.now;
         this.handle(identity, { kind: "tick" });
         this.settle();
     }
 
-    /** Lets time pass for all replicas that are given, or all. */
+    /** Advances the time, and ticks the given replicas, or all. */
     advance(milliseconds: number, identities: Iterable<string> = this.states.keys()): void {
         this.now += milliseconds;
         [...identities].forEach(identity => this.handle(identity, { kind: "tick" }));
@@ -78,28 +78,28 @@
             }
             else if (effect.kind === "write") {
                 this.disks.get(identity)!.push(...effect.records);
-                if (!this.stuckDisks.has(identity)) {
+                if (!this.stalledDisks.has(identity)) {
                     this.handle(identity, { kind: "synced", write: effect.write });
                 }
             }
         }
     }
 
-    /** Lets messages travel until none is on its way. */
+    /** Delivers messages until none is left. */
     settle(): void {
         for (let next = this.sent.shift(); next !== undefined; next = this.sent.shift()) {
             const { from, to, message } = next;
-            if (this.states.has(to) && !this.away.has(from) && !this.away.has(to)) {
+            if (this.states.has(to) && !this.disconnected.has(from) && !this.disconnected.has(to)) {
                 this.handle(to, { kind: "message", from, message });
             }
         }
     }
 
-    leads(identity: string): boolean {
+    isLeading(identity: string): boolean {
         return this.states.get(identity)!.leadership !== undefined;
     }
 
-    private startFrom(identity: string, recovered: Recovered): void {
+    private startRecovered(identity: string, recovered: Recovered): void {
         const options = {
             identity,
             peers: () => this.voters.filter(other => other !== identity).map(other => other.split("#")[0]!),
@@ -110,9 +110,11 @@
     }
 }
 
-/** A log that holds entries of the given terms. */
+/** A log with entries of the given terms. */
 export function logOfTerms(terms: readonly number[]): EntryLog {
     const log = EntryLog.create({ index: 0, term: 0, membership: { voters: [], learners: [] }, view: 0 });
-    terms.forEach((term, place) => log.append({ index: place + 1, term, kind: "viewCommand", data: Buffer.alloc(0) }));
+    terms.forEach((term, position) =>
+        log.append({ index: position + 1, term, kind: "viewCommand", data: Buffer.alloc(0) })
+    );
     return log;
 }
--- a/packages/basilpaddle/src/node/coordination/agreement/election.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/election.ts
@@ -1,16 +1,16 @@
 import { Invariant } from "../../state/index.js";
-import { encodeContent, quorumOf } from "./entry.js";
+import { encodeContent, quorumSize } from "./entry.js";
 import type { MessageOf } from "./message.js";
-import { appendOwn, broadcast, quorumContact } from "./replication.js";
+import { appendAsLeader, broadcast, quorumContactAt } from "./replication.js";
 import type { AgreementState } from "./state.js";
 
-/** Follows from now on, in the given term. A leader that does so has lost its leadership. */
-export function follow(state: AgreementState, term: number, leader: string | undefined): void {
-    Invariant.hold(term >= state.term, "terms never go back");
+/** Makes the replica a follower in the given term. A leader loses its leadership. */
+export function becomeFollower(state: AgreementState, term: number, leader: string | undefined): void {
+    Invariant.hold(term >= state.term, "the term never decreases");
     if (term > state.term) {
         state.term = term;
         state.vote = undefined;
-        state.heardAt = Number.NEGATIVE_INFINITY;
+        state.leaderContactAt = Number.NEGATIVE_INFINITY;
         state.recordBallot();
     }
     state.leader = leader;
@@ -21,16 +21,16 @@
     endLeadership(state);
 }
 
-/** Puts the next election off by a random time, so that voters seldom stand at once. */
+/** Restarts the election timer with a random timeout, so that voters rarely start elections at the same time. */
 export function resetElectionTimer(state: AgreementState): void {
-    state.electionAt = state.now + state.timeout * (1 + state.options.randomness.fraction());
+    state.electionAt = state.now + state.electionTimeout * (1 + state.options.randomness.fraction());
 }
 
 /**
- * Asks whether an election would be won. Without this a voter that was cut off comes back with a high term, and
- * deposes a leader that everybody else can reach.
+ * Starts a pre-vote, which asks the other voters whether they would grant a vote. Without it, a voter that was cut
+ * off would return with a high term and depose a leader that all others can reach.
  */
-export function canvass(state: AgreementState): void {
+export function startPreVote(state: AgreementState): void {
     resetElectionTimer(state);
     if (!state.isVoter()) {
         return;
@@ -38,47 +38,47 @@
     state.changeRole("canvass");
     state.leader = undefined;
     state.votes = new Set([state.self]);
-    if (state.votes.size >= quorumOf(state.log.membership)) {
-        stand(state, false);
+    if (state.votes.size >= quorumSize(state.log.membership)) {
+        startElection(state, false);
         return;
     }
-    askForVotes(state, true, false);
+    requestVotes(state, true, false);
 }
 
-/** Stands for election in the next term. */
-export function stand(state: AgreementState, handover: boolean): void {
+/** Starts an election in the next term. `handover` is set if the leader requested it. */
+export function startElection(state: AgreementState, handover: boolean): void {
     state.changeRole("stand");
     state.term += 1;
     state.vote = state.self;
     state.leader = undefined;
-    state.heardAt = Number.NEGATIVE_INFINITY;
+    state.leaderContactAt = Number.NEGATIVE_INFINITY;
     state.recordBallot();
     resetElectionTimer(state);
     state.votes = new Set([state.self]);
-    if (state.votes.size >= quorumOf(state.log.membership)) {
-        win(state);
+    if (state.votes.size >= quorumSize(state.log.membership)) {
+        becomeLeader(state);
         return;
     }
-    askForVotes(state, false, handover);
+    requestVotes(state, false, handover);
 }
 
-/** Answers a request for a vote. */
+/** Handles a vote or pre-vote request. */
 export function onRequestVote(state: AgreementState, from: string, request: MessageOf<"requestVote">): void {
-    const refusedForLeader = hasLiveLeader(state) && !request.handover;
+    const hasLeaderToKeep = hasLiveLeader(state) && !request.handover;
     if (request.trial) {
-        const granted = request.term > state.term && !refusedForLeader && isUpToDate(state, request);
+        const granted = request.term > state.term && !hasLeaderToKeep && isUpToDate(state, request);
         const term = granted ? request.term : state.term;
         state.sendSynced(from, { kind: "voteAnswer", term, trial: true, granted });
         return;
     }
-    if (refusedForLeader) {
+    if (hasLeaderToKeep) {
         return;
     }
     if (request.term > state.term) {
-        follow(state, request.term, undefined);
+        becomeFollower(state, request.term, undefined);
     }
-    const free = request.term === state.term && (state.vote === undefined || state.vote === from);
-    const granted = free && isUpToDate(state, request);
+    const canVote = request.term === state.term && (state.vote === undefined || state.vote === from);
+    const granted = canVote && isUpToDate(state, request);
     if (granted && state.vote === undefined) {
         state.vote = from;
         state.recordBallot();
@@ -87,11 +87,11 @@
     state.sendSynced(from, { kind: "voteAnswer", term: state.term, trial: false, granted });
 }
 
-/** Counts a vote. */
+/** Counts a granted vote or pre-vote, and proceeds once a quorum has granted it. */
 export function onVoteAnswer(state: AgreementState, from: string, answer: MessageOf<"voteAnswer">): void {
     if (!answer.granted) {
         if (answer.term > state.term) {
-            follow(state, answer.term, undefined);
+            becomeFollower(state, answer.term, undefined);
         }
         return;
     }
@@ -102,35 +102,37 @@
         return;
     }
     state.votes.add(from);
-    if (state.votes.size < quorumOf(state.log.membership)) {
+    if (state.votes.size < quorumSize(state.log.membership)) {
         return;
     }
     if (answer.trial) {
-        stand(state, false);
+        startElection(state, false);
     }
     else {
-        win(state);
+        becomeLeader(state);
     }
 }
 
-/** Stands at once where the leader asks for it. */
+/** Starts an election immediately if the current leader requests it in order to hand over. */
 export function onStandNow(state: AgreementState, from: string, request: MessageOf<"standNow">): void {
     if (request.term === state.term && state.leader === from && state.role === "follower" && state.isVoter()) {
-        stand(state, true);
+        startElection(state, true);
     }
 }
 
 /**
- * Gives leadership up when no quorum answered anything asked within the last election timeout. A leader that is cut
- * off, or that wakes from a freeze, would otherwise go on as one beside its successor.
+ * Steps down if no quorum has responded to messages sent within the last election timeout. A leader that is cut off,
+ * or whose process resumes after a freeze, would otherwise keep acting as leader alongside its successor.
  */
-export function giveUpWithoutQuorum(state: AgreementState): void {
-    if (state.leadership !== undefined && state.now - quorumContact(state, state.leadership) > state.timeout) {
-        follow(state, state.term, undefined);
+export function stepDownWithoutQuorum(state: AgreementState): void {
+    if (
+        state.leadership !== undefined && state.now - quorumContactAt(state, state.leadership) > state.electionTimeout
+    ) {
+        becomeFollower(state, state.term, undefined);
     }
 }
 
-function win(state: AgreementState): void {
+function becomeLeader(state: AgreementState): void {
     state.changeRole("win");
     state.leader = state.self;
     state.electionAt = Number.POSITIVE_INFINITY;
@@ -141,14 +143,14 @@
         heartbeatAt: state.now,
         progress: new Map(),
         confirmations: [],
-        joining: new Set(),
-        votersRestSince: undefined,
+        joinRequests: new Set(),
+        votersUnchangedSince: undefined,
         handOverUntil: undefined,
     };
     state.effect({ kind: "leadership", leading: true });
-    // Entries of earlier terms count as committed only below one of this term: before that, a quorum that holds them
-    // can still be overruled by a later leader.
-    appendOwn(state, state.leadership, "noop", encodeContent({ voters: [], learners: [] }));
+    // Entries of earlier terms are committed only through a later entry of this term: until then, a later leader can
+    // overwrite them even if a quorum holds them.
+    appendAsLeader(state, state.leadership, "noop", encodeContent({ voters: [], learners: [] }));
     broadcast(state, state.leadership);
 }
 
@@ -162,7 +164,7 @@
     state.effect({ kind: "leadership", leading: false });
 }
 
-function askForVotes(state: AgreementState, trial: boolean, handover: boolean): void {
+function requestVotes(state: AgreementState, trial: boolean, handover: boolean): void {
     const term = trial ? state.term + 1 : state.term;
     const last = { index: state.log.lastIndex, term: state.log.lastTerm };
     for (const voter of state.log.membership.voters) {
@@ -173,7 +175,7 @@
 }
 
 function hasLiveLeader(state: AgreementState): boolean {
-    return state.leadership !== undefined || state.now - state.heardAt < state.timeout;
+    return state.leadership !== undefined || state.now - state.leaderContactAt < state.electionTimeout;
 }
 
 function isUpToDate(state: AgreementState, request: MessageOf<"requestVote">): boolean {
--- a/packages/basilpaddle/src/node/coordination/agreement/message.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/message.ts
@@ -3,18 +3,18 @@
 
 const index = z.int().min(0);
 const term = index;
-/** When the leader asked, on its own monotonic clock; it comes back with the answer and means nothing elsewhere. */
-const asked = { round: index, sentAt: z.number() };
+/** The leader's round, and the send time on its own monotonic clock. Replies echo both; nobody else interprets them. */
+const roundFields = { round: index, sentAt: z.number() };
 
-/** What replicas say to each other. Each message is sent once and may be lost, doubled, late or out of order. */
+/** The messages between replicas. Each is sent once and may be lost, duplicated, delayed or reordered. */
 export const messageSchema = z.discriminatedUnion("kind", [
     z.object({
         kind: z.literal("requestVote"),
         term,
         last: positionSchema,
-        /** A question without consequences: would you vote for me in this term? */
+        /** A pre-vote: asks whether a vote would be granted, without changing the receiver's term or vote. */
         trial: z.boolean(),
-        /** The leader asked for this election, so that its being alive is no reason to refuse. */
+        /** The leader requested this election, so that a live leader is no reason to refuse the vote. */
         handover: z.boolean(),
     }),
     z.object({ kind: z.literal("voteAnswer"), term, trial: z.boolean(), granted: z.boolean() }),
@@ -24,12 +24,12 @@
         previous: positionSchema,
         entries: z.array(entrySchema),
         committed: index,
-        ...asked,
+        ...roundFields,
     }),
-    /** The log agrees with the leader's up to `matched`, and is synced that far. */
-    z.object({ kind: z.literal("appended"), term, matched: index, ...asked }),
-    /** The log doesn't hold the previous entry. `hint` is the last place that may agree. */
-    z.object({ kind: z.literal("conflict"), term, hint: positionSchema, ...asked }),
+    /** The log matches the leader's up to `matched`, and is synced up to there. */
+    z.object({ kind: z.literal("appended"), term, matched: index, ...roundFields }),
+    /** The log doesn't contain the previous entry. `hint` is the last position that may match. */
+    z.object({ kind: z.literal("conflict"), term, hint: positionSchema, ...roundFields }),
     z.object({
         kind: z.literal("snapshotChunk"),
         term,
@@ -38,30 +38,30 @@
         total: index,
         bytes: bytesSchema,
         checksum: z.int().min(0),
-        ...asked,
+        ...roundFields,
     }),
-    /** Bytes of the snapshot at `index` held so far. */
-    z.object({ kind: z.literal("chunkTaken"), term, index, offset: index, ...asked }),
-    /** Stand for election now. */
+    /** Acknowledges the first `offset` bytes of the snapshot at `index`. */
+    z.object({ kind: z.literal("chunkTaken"), term, index, offset: index, ...roundFields }),
+    /** The leader requests the receiver to start an election now. */
     z.object({ kind: z.literal("standNow"), term }),
-    /** A replica without a place in the group asks to be taken in. */
+    /** A replica that isn't a member, or may no longer be one, requests to join the group. */
     z.object({ kind: z.literal("join") }),
-    /** Answers `join` where this replica doesn't lead but knows who does. */
+    /** Reply to `join` from a replica that isn't the leader but knows it. */
     z.object({ kind: z.literal("joinAt"), leader: z.string() }),
 ]);
 
-/** What travels between replicas. */
+/** A message between replicas, with its group and receiver. */
 export const envelopeSchema = z.object({
-    /** The group; unknown to a replica that was not yet taken in. */
+    /** Name of the group; undefined if the sender hasn't joined one yet. */
     cluster: z.string().optional(),
-    /** Identity of the receiver, so that a new replica on the same host isn't taken for the old one; its name in `join`. */
+    /** Identity of the receiver, so that a new replica on a host isn't mistaken for the old one; in `join`, its name. */
     to: z.string(),
     body: messageSchema,
 });
 
-/** What replicas say to each other. */
+/** A message between replicas. */
 export type Message = z.infer<typeof messageSchema>;
-/** What travels between replicas. */
+/** A message between replicas, with its group and receiver. */
 export type Envelope = z.infer<typeof envelopeSchema>;
-/** One kind of message. */
+/** The message of one kind. */
 export type MessageOf<Kind extends Message["kind"]> = Extract<Message, { kind: Kind; }>;
--- a/packages/basilpaddle/src/node/coordination/agreement/peers.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/peers.ts
@@ -1,15 +1,15 @@
 import { type Link, type Network, parseAddress } from "../../transport/index.js";
 
-/** How a replica reaches the other members of its group. */
+/** The links from a replica to the other members of its group. */
 export abstract class Peers {
-    /** Names of control daemons that are known from the start, this one perhaps among them. */
+    /** Names of the control daemons that are known at startup, possibly including this one. */
     abstract names(): readonly string[];
 
-    /** The link to a control daemon; undefined where the name means nobody. */
+    /** The link to a control daemon; undefined if there is none for the name. */
     abstract link(name: string): Link | undefined;
 }
 
-/** Control daemons that the settings list, and no others. */
+/** A fixed set of control daemons, as listed in the settings. */
 export class FixedPeers extends Peers {
     private constructor(private readonly links: ReadonlyMap<string, Link>) {
         super();
@@ -29,8 +29,8 @@
 }
 
 /**
- * Control daemons whose names are their peer addresses, "IP:PORT". A machine that replaces a lost one comes at an
- * address that no settings file names; since the membership is made of names, every member can still reach it.
+ * Control daemons whose names are their peer addresses, "IP:PORT". A machine that replaces a lost one has an address
+ * that no settings file lists; since the membership consists of names, every member can still reach it.
  */
 export class AddressedPeers extends Peers {
     private readonly links = new Map<string, Link>();
@@ -43,7 +43,7 @@
         super();
     }
 
-    /** `seeds`: names to begin with, looked at anew each time since settings may change. */
+    /** `seeds` returns the names known at startup; it is called each time since the settings may change. */
     static create(network: Network, self: string, seeds: () => readonly string[]): AddressedPeers {
         return new AddressedPeers(network, self, seeds);
     }
--- a/packages/basilpaddle/src/node/coordination/agreement/replica.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/replica.ts
@@ -2,72 +2,72 @@
 import { type Disk, type Identity, type LogFileOptions, type StateMachine, writeIdentity } from "../../state/index.js";
 import type { Clock, Logger, Randomness } from "../../utils/index.js";
 import { type Proposal, Replica, type ReplicaStanding } from "../replica.js";
-import type { AgreementEvent, Effect, Proposed } from "./effect.js";
+import type { AgreementEvent, Effect, ProposedCommand } from "./effect.js";
 import { decodeCommand, encodeContent, type Entry, nameOf } from "./entry.js";
 import { type Envelope, envelopeSchema } from "./message.js";
 import type { Peers } from "./peers.js";
 import { ProposalTable } from "./proposalTable.js";
 import { openFolder } from "./startup.js";
-import { AgreementState, type AgreementTiming, type CommittedMark, type OpenGroup } from "./state.js";
+import { AgreementState, type AgreementTiming, type CommittedMark, type OpenGroupOptions } from "./state.js";
 import { deadline, step } from "./step.js";
 import type { Storage } from "./storage.js";
 
-/** Largest command in bytes: it has to fit into a frame with its envelope. */
+/** Largest command in bytes; it has to fit into a frame together with its envelope. */
 export const commandLimit = 8 * 1024 * 1024;
 
-/** What a replica needs. */
+/** Options of `AgreementReplica`. */
 export type AgreementReplicaOptions = {
     /** Name of this control daemon. */
     readonly name: string;
-    /** The data folder; one that was neither initialised nor used before gives a replica that asks to be taken in. */
+    /** The data folder. If it was neither initialised nor used before, the replica requests to join the group. */
     readonly disk: Disk;
-    /** How the other control daemons are reached. */
+    /** The links to the other control daemons. */
     readonly peers: Peers;
-    /** How daemons that no settings file names are taken in. @default they aren't */
-    readonly open?: OpenGroup;
-    /** Milliseconds after a start in which the replica takes no part. @default twice the election timeout */
+    /** How daemons that no settings file lists are added. @default they aren't */
+    readonly open?: OpenGroupOptions;
+    /** Milliseconds after a start in which the replica takes no part in the protocol. @default twice the election timeout */
     readonly silence?: number;
-    /** Most milliseconds after that time until it first stands for election. @default one to two election timeouts */
+    /** Most milliseconds after that time until the first election. @default one to two election timeouts */
     readonly firstElection?: number;
     readonly stateMachine: StateMachine;
     readonly timing: AgreementTiming;
     readonly clock: Clock;
     readonly randomness: Randomness;
     readonly logger: Logger;
-    readonly compaction?: Partial<Compaction>;
-    /** The newest entry that was known to be committed before a restart, by identity; applied at once. @default none */
+    readonly compaction?: Partial<CompactionOptions>;
+    /** The last entry known to be committed before a restart, by identity; applied at startup. @default none */
     readonly committed?: (identity: string) => CommittedMark | undefined;
     readonly log?: LogFileOptions;
-    /** Called once if the replica had to stop: its disk failed, or a promise of the protocol was broken. */
+    /** Called once if the replica had to stop: its disk failed, or an invariant of the protocol was violated. */
     readonly onFailure?: (error: unknown) => void;
 };
 
-/** When the log is cut. */
-export type Compaction = {
-    /** Entries applied since the last snapshot after which the next is made. @default 10000 */
+/** When the log is compacted. */
+export type CompactionOptions = {
+    /** Number of entries applied since the last snapshot after which the next one is made. @default 10000 */
     readonly after: number;
-    /** Entries kept below a snapshot, so that a replica a little behind needs no snapshot. @default 1000 */
+    /** Number of entries kept before a snapshot, so that a slightly lagging replica needs no snapshot. @default 1000 */
     readonly keep: number;
 };
 
 type AppliedListener = Parameters<Replica["onApplied"]>[0];
 type LeadershipListener = Parameters<Replica["onLeadership"]>[0];
 
-/** A replica by the project's own agreement protocol: drives the pure step with a clock, a disk and links. */
+/** A replica of the project's own agreement protocol: runs the pure `step` with a clock, a disk and links. */
 export class AgreementReplica extends Replica {
     private readonly proposals: ProposalTable;
     private readonly confirmations = new Map<number, (held: boolean) => void>();
     private readonly appliedListeners = new Set<AppliedListener>();
     private readonly leadershipListeners = new Set<LeadershipListener>();
-    private readonly compaction: Compaction;
+    private readonly compaction: CompactionOptions;
     private readonly events: AgreementEvent[] = [];
-    private gathered: Proposed[] = [];
+    private batchedProposals: ProposedCommand[] = [];
     private stepping = false;
     private stopped = false;
     private lastToken = 0;
     private applied: number;
-    private wakeAt = Number.POSITIVE_INFINITY;
-    private cancelWake: (() => void) | undefined;
+    private tickAt = Number.POSITIVE_INFINITY;
+    private cancelTick: (() => void) | undefined;
 
     private constructor(
         private readonly options: AgreementReplicaOptions,
@@ -81,7 +81,7 @@
         this.applied = state.committed;
     }
 
-    /** Opens the data folder, restores the state machine from it, and takes part after the time of silence. */
+    /** Opens the data folder and restores the state machine from it. The replica takes part after its initial silence. */
     static async create(options: AgreementReplicaOptions): Promise<AgreementReplica> {
         const { disk, name, randomness, logger, clock, timing } = options;
         const { identity, storage, recovered } = await openFolder(disk, name, options.log ?? {}, randomness, logger);
@@ -95,7 +95,7 @@
         }
         const replica = new AgreementReplica(options, identity, storage, state);
         state.recoveredEntries().forEach(entry => replica.apply(entry));
-        replica.scheduleWake();
+        replica.scheduleTick();
         return replica;
     }
 
@@ -105,23 +105,23 @@
         }
         const data = encodeContent(command);
         if (data.length > commandLimit) {
-            throw new RangeError(`A command of ${data.length} bytes is over the limit of ${commandLimit}.`);
+            throw new RangeError(`A command of ${data.length} bytes exceeds the limit of ${commandLimit} bytes.`);
         }
         const token = this.nextToken();
         const kind = isViewCommand(command) ? "viewCommand" : "command";
         const settled = this.proposals.open(token, timeout);
-        // Proposals of one turn go into one write and one message to each voter.
-        if (this.gathered.length === 0) {
-            queueMicrotask(() => this.proposeGathered());
+        // Proposals made in the same turn of the event loop share one write and one message to each voter.
+        if (this.batchedProposals.length === 0) {
+            queueMicrotask(() => this.proposeBatch());
         }
-        this.gathered.push({ token, kind, data });
+        this.batchedProposals.push({ token, kind, data });
         return settled;
     }
 
     override receive(from: string, message: unknown): void {
         const envelope = envelopeSchema.safeParse(message);
         if (!envelope.success) {
-            this.options.logger.warn("a voter sent something that isn't a message", { from });
+            this.options.logger.warn("ignoring an invalid message from another replica", { from });
             return;
         }
         const { to, body, cluster } = envelope.data;
@@ -133,7 +133,7 @@
     }
 
     override standing(): ReplicaStanding {
-        this.wakeIfLate();
+        this.tickIfOverdue();
         const { state } = this;
         const { membership } = state.log;
         return {
@@ -148,7 +148,7 @@
             lastIndex: state.log.lastIndex,
             committedIndex: state.committed,
             committedTerm: state.log.termAt(state.committed) ?? 0,
-            appendedView: state.log.view,
+            appendedView: state.log.lastViewIndex,
         };
     }
 
@@ -182,13 +182,13 @@
         await this.storage.close();
     }
 
-    /** Stops as a kill would: nothing is handed over. What is being written still gets written. */
-    async abandon(): Promise<void> {
-        this.stop("the replica was abandoned");
+    /** Stops like a killed process, without handing over leadership. Writes in progress are still completed. */
+    async stopWithoutHandover(): Promise<void> {
+        this.stop("the replica was stopped without a handover");
         await this.storage.close();
     }
 
-    /** Syncs of the log made so far. */
+    /** Number of log syncs so far. */
     syncs(): number {
         return this.storage.syncs();
     }
@@ -210,10 +210,10 @@
         });
     }
 
-    private noteRole(role: AgreementState["role"], leader: string | undefined): void {
+    private logRoleChange(role: AgreementState["role"], leader: string | undefined): void {
         const { state, options } = this;
         if (state.role !== role || state.leader !== leader) {
-            options.logger.info("the role in the group changed", {
+            options.logger.info("replica role changed", {
                 from: role,
                 role: state.role,
                 term: state.term,
@@ -224,19 +224,19 @@
         }
     }
 
-    private proposeGathered(): void {
-        const proposals = this.gathered;
-        this.gathered = [];
+    private proposeBatch(): void {
+        const proposals = this.batchedProposals;
+        this.batchedProposals = [];
         this.dispatch({ kind: "propose", proposals });
     }
 
     private dispatch(event: AgreementEvent): void {
         if (this.stopped) {
-            this.refuse(event);
+            this.rejectEvent(event);
             return;
         }
         this.events.push(event);
-        // A listener that proposes something comes in here while a step's effects are being carried out.
+        // A listener that proposes a command calls this while the effects of a step are being executed.
         if (this.stepping) {
             return;
         }
@@ -244,8 +244,8 @@
         try {
             for (let next = this.events.shift(); next !== undefined; next = this.events.shift()) {
                 const { role, leader } = this.state;
-                step(this.state, next, this.options.clock.monotonic()).forEach(effect => this.carryOut(effect));
-                this.noteRole(role, leader);
+                step(this.state, next, this.options.clock.monotonic()).forEach(effect => this.execute(effect));
+                this.logRoleChange(role, leader);
                 this.compactIfDue();
             }
         }
@@ -255,10 +255,10 @@
         finally {
             this.stepping = false;
         }
-        this.scheduleWake();
+        this.scheduleTick();
     }
 
-    private carryOut(effect: Effect): void {
+    private execute(effect: Effect): void {
         switch (effect.kind) {
             case "write":
             case "save":
@@ -278,10 +278,10 @@
                 effect.entries.forEach(entry => this.apply(entry));
                 return;
             case "leadership":
-                this.changeLeadership(effect.leading);
+                this.notifyLeadership(effect.leading);
                 return;
             case "proposed":
-                this.proposals.place(effect.token, effect.position);
+                this.proposals.recordPosition(effect.token, effect.position);
                 return;
             case "refused":
                 this.proposals.refuse(effect.token, effect.leader === undefined ? undefined : nameOf(effect.leader));
@@ -300,13 +300,13 @@
     private apply(entry: Entry): void {
         this.applied = entry.index;
         if (entry.kind !== "command" && entry.kind !== "viewCommand") {
-            this.proposals.passed(entry);
+            this.proposals.settleOverwritten(entry);
             return;
         }
         const command = decodeCommand(entry);
         const result = this.options.stateMachine.apply(entry.index, command);
         this.appliedListeners.forEach(listener => listener(entry.index, command, result));
-        this.proposals.applied(entry, result);
+        this.proposals.settleApplied(entry, result);
     }
 
     private compactIfDue(): void {
@@ -317,15 +317,15 @@
         }
     }
 
-    private changeLeadership(leading: boolean): void {
-        this.options.logger.info(leading ? "leading" : "no longer leading", { term: this.state.term });
+    private notifyLeadership(leading: boolean): void {
+        this.options.logger.info(leading ? "became the leader" : "no longer the leader", { term: this.state.term });
         if (!leading) {
-            this.proposals.abandonAll("leadership ended before a quorum was known to hold it");
+            this.proposals.abandonAll("leadership ended before the command was known to be committed");
         }
         this.leadershipListeners.forEach(listener => listener(leading));
     }
 
-    /** A replica that wasn't yet taken in learns the name of its group from the leader that takes it in. */
+    /** Whether a message belongs to this replica's group. Before it has joined one, it takes the name from the message. */
     private isOwnCluster(cluster: string | undefined, kind: Envelope["body"]["kind"]): boolean {
         if (this.identity.cluster !== undefined) {
             return cluster === this.identity.cluster || (cluster === undefined && kind === "join");
@@ -337,27 +337,27 @@
         return cluster !== undefined;
     }
 
-    private wakeIfLate(): void {
+    private tickIfOverdue(): void {
         if (this.options.clock.monotonic() >= deadline(this.state)) {
             this.dispatch({ kind: "tick" });
         }
     }
 
-    private scheduleWake(): void {
+    private scheduleTick(): void {
         const due = deadline(this.state);
-        // Most steps put the deadline off; the timer that is already set then looks again.
-        if (this.stopped || (this.cancelWake !== undefined && this.wakeAt <= due) || !Number.isFinite(due)) {
+        // Most steps postpone the deadline; the timer that is already set then checks it again.
+        if (this.stopped || (this.cancelTick !== undefined && this.tickAt <= due) || !Number.isFinite(due)) {
             return;
         }
-        this.cancelWake?.();
-        this.wakeAt = due;
-        this.cancelWake = this.options.clock.after(Math.max(1, due - this.options.clock.monotonic()), () => {
-            this.cancelWake = undefined;
+        this.cancelTick?.();
+        this.tickAt = due;
+        this.cancelTick = this.options.clock.after(Math.max(1, due - this.options.clock.monotonic()), () => {
+            this.cancelTick = undefined;
             this.dispatch({ kind: "tick" });
         });
     }
 
-    private refuse(event: AgreementEvent): void {
+    private rejectEvent(event: AgreementEvent): void {
         if (event.kind === "propose") {
             event.proposals.forEach(({ token }) => this.proposals.refuse(token, undefined));
         }
@@ -370,7 +370,7 @@
         if (this.stopped) {
             return;
         }
-        this.options.logger.fatal("the replica stops: it can't keep its promises any more", { error });
+        this.options.logger.fatal("the replica stops after an unrecoverable error", { error });
         this.stop("the replica failed");
         this.options.onFailure?.(error);
     }
@@ -381,8 +381,8 @@
         }
         const wasLeading = this.state.leadership !== undefined;
         this.stopped = true;
-        this.cancelWake?.();
-        this.events.splice(0).forEach(event => this.refuse(event));
+        this.cancelTick?.();
+        this.events.splice(0).forEach(event => this.rejectEvent(event));
         this.proposals.abandonAll(reason);
         [...this.confirmations.values()].forEach(settle => settle(false));
         this.state.leadership = undefined;
--- a/packages/basilpaddle/src/node/coordination/agreement/replication.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/replication.ts
@@ -1,17 +1,17 @@
 import { Invariant } from "../../state/index.js";
-import { type Entry, quorumOf } from "./entry.js";
+import { type Entry, quorumSize } from "./entry.js";
 import type { MessageOf } from "./message.js";
 import { sendChunk } from "./snapshotTransfer.js";
 import type { AgreementState, Leadership, Progress } from "./state.js";
 
-/** Bytes of entries in one message. */
-const batchBytes = 512 * 1024;
+/** Bytes of entries in one message; a larger entry is sent alone. */
+const maximumBatchBytes = 512 * 1024;
 const defaultBatchEntries = 1_024;
-/** Messages with entries that may be on their way to one member. */
-const windowSize = 32;
+/** Messages with entries that may be sent to one member before it answers. */
+const maximumInFlightMessages = 32;
 
-/** Puts an entry of the leader's own into its log. */
-export function appendOwn(
+/** Appends a new entry to the leader's log, and returns its index. */
+export function appendAsLeader(
     state: AgreementState,
     leadership: Leadership,
     kind: Entry["kind"],
@@ -23,7 +23,7 @@
     return index;
 }
 
-/** Keeps one progress for each member of the newest membership. */
+/** Keeps one `Progress` for each other member of the latest membership. */
 function trackMembers(state: AgreementState, leadership: Leadership): void {
     const others = state.others();
     for (const identity of [...leadership.progress.keys()]) {
@@ -46,7 +46,7 @@
     }
 }
 
-/** Starts a round: asks every member something, whether or not there are entries to send. */
+/** Starts a round: sends every member a message to answer, whether or not there are entries to send. */
 export function broadcast(state: AgreementState, leadership: Leadership): void {
     leadership.round += 1;
     leadership.heartbeatAt = state.now + state.options.timing.heartbeatInterval;
@@ -55,7 +55,7 @@
     }
 }
 
-/** Sends every member what it lacks. */
+/** Sends new entries to every member that is neither being probed nor receiving a snapshot. */
 export function replicate(state: AgreementState, leadership: Leadership): void {
     for (const [identity, progress] of leadership.progress) {
         if (!progress.probing && progress.transfer === undefined) {
@@ -64,15 +64,15 @@
     }
 }
 
-/** When a quorum of voters, this one included, was last known to follow: the time at which it was asked. */
-export function quorumContact(state: AgreementState, leadership: Leadership): number {
+/** Until when a quorum of voters, this one included, is known to have followed: send time of the messages it answered. */
+export function quorumContactAt(state: AgreementState, leadership: Leadership): number {
     return quorumValue(state, identity => {
         return identity === state.self ? state.now : leadership.progress.get(identity)?.contactAt ?? 0;
     });
 }
 
-/** Begins a round and answers once a quorum has answered that or a later one. */
-export function confirm(state: AgreementState, token: number): void {
+/** Starts a round, and confirms leadership once a quorum has answered it or a later one. */
+export function confirmLeadership(state: AgreementState, token: number): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
         state.effect({ kind: "confirmed", token, held: false });
@@ -83,26 +83,26 @@
     settleConfirmations(state, leadership);
 }
 
-/** Takes in entries, or a sign of life, of the leader. */
+/** Handles entries, or an empty heartbeat, from the leader. */
 export function onAppend(state: AgreementState, from: string, message: MessageOf<"append">): void {
-    const asked = { round: message.round, sentAt: message.sentAt, term: state.term };
+    const echoed = { round: message.round, sentAt: message.sentAt, term: state.term };
     const { previous, entries } = message;
     const last = previous.index + entries.length;
     if (last < state.log.base.index) {
-        state.sendSynced(from, { kind: "appended", matched: last, ...asked });
+        state.sendSynced(from, { kind: "appended", matched: last, ...echoed });
         return;
     }
     if (previous.index >= state.log.base.index && state.log.termAt(previous.index) !== previous.term) {
-        Invariant.hold(previous.index > state.committed, "the leader's log holds every committed entry");
-        state.sendSynced(from, { kind: "conflict", hint: hintFor(state, message), ...asked });
+        Invariant.hold(previous.index > state.committed, "the leader's log contains every committed entry");
+        state.sendSynced(from, { kind: "conflict", hint: conflictHint(state, message), ...echoed });
         return;
     }
-    entries.forEach(entry => takeEntry(state, entry));
+    entries.forEach(entry => appendReceived(state, entry));
     state.commit(Math.min(message.committed, last));
-    state.sendSynced(from, { kind: "appended", matched: last, ...asked });
+    state.sendSynced(from, { kind: "appended", matched: last, ...echoed });
 }
 
-/** Notes that a member's log agrees up to an index. */
+/** Records that a member's log matches up to an index, and sends it the entries that follow. */
 export function onAppended(
     state: AgreementState,
     leadership: Leadership,
@@ -113,7 +113,7 @@
     if (progress === undefined) {
         return;
     }
-    Invariant.hold(answer.matched <= state.log.lastIndex, "a member acknowledges only what the leader sent");
+    Invariant.hold(answer.matched <= state.log.lastIndex, "a member acknowledges only entries that the leader sent");
     progress.inFlight = Math.max(0, progress.inFlight - 1);
     progress.matched = Math.max(progress.matched, answer.matched);
     progress.next = Math.max(progress.next, progress.matched + 1);
@@ -124,14 +124,14 @@
     if (progress.transfer !== undefined && progress.matched >= progress.transfer.snapshot.description.index) {
         progress.transfer = undefined;
     }
-    noteContact(state, leadership, progress, answer);
+    recordContact(state, leadership, progress, answer);
     advanceCommit(state, leadership);
     if (state.leadership === leadership && progress.transfer === undefined) {
         sendTo(state, leadership, from, progress, false);
     }
 }
 
-/** Goes back to where a member's log may agree. */
+/** Goes back to the last position at which a member's log may match, and probes there. */
 export function onConflict(
     state: AgreementState,
     leadership: Leadership,
@@ -142,37 +142,37 @@
     if (progress === undefined) {
         return;
     }
-    noteContact(state, leadership, progress, answer);
-    // A late answer must not lead back behind what is known to agree.
+    recordContact(state, leadership, progress, answer);
+    // A delayed answer must not move back before an index that is known to match.
     if (answer.hint.index < progress.matched || answer.hint.index >= progress.next) {
         return;
     }
-    let agreeing = Math.min(answer.hint.index, state.log.lastIndex);
-    while (agreeing > state.log.base.index && state.log.termAt(agreeing)! > answer.hint.term) {
-        agreeing -= 1;
+    let matchingIndex = Math.min(answer.hint.index, state.log.lastIndex);
+    while (matchingIndex > state.log.base.index && state.log.termAt(matchingIndex)! > answer.hint.term) {
+        matchingIndex -= 1;
     }
-    if (agreeing === state.log.base.index && state.log.base.term > answer.hint.term) {
-        // Nothing that the log still holds agrees: the next entry to send lies in the snapshot.
-        agreeing -= 1;
+    if (matchingIndex === state.log.base.index && state.log.base.term > answer.hint.term) {
+        // No entry left in the log matches: the next entry to send is covered by the snapshot.
+        matchingIndex -= 1;
     }
-    progress.next = Math.max(agreeing, progress.matched) + 1;
+    progress.next = Math.max(matchingIndex, progress.matched) + 1;
     progress.probing = true;
     progress.inFlight = 0;
     sendTo(state, leadership, from, progress, true);
 }
 
-/** Commits what a quorum has synced, if it is of this term. */
+/** Commits up to the last entry that a quorum has synced, if that entry is of this term. */
 export function advanceCommit(state: AgreementState, leadership: Leadership): void {
-    const held = quorumValue(state, identity => {
+    const syncedByQuorum = quorumValue(state, identity => {
         return identity === state.self ? state.syncedIndex : leadership.progress.get(identity)?.matched ?? 0;
     });
-    if (held > state.committed && state.log.termAt(held) === state.term) {
-        state.commit(held);
+    if (syncedByQuorum > state.committed && state.log.termAt(syncedByQuorum) === state.term) {
+        state.commit(syncedByQuorum);
     }
 }
 
-/** Notes an answer: when the question was sent, and which round it belongs to. */
-export function noteContact(
+/** Records an answer: the send time of the message that it answers, and its round. */
+export function recordContact(
     state: AgreementState,
     leadership: Leadership,
     progress: Progress,
@@ -183,11 +183,11 @@
     settleConfirmations(state, leadership);
 }
 
-/** The highest value that a quorum of the voters reaches. */
+/** The highest value that a quorum of the voters has reached. */
 function quorumValue(state: AgreementState, valueOf: (identity: string) => number): number {
     const membership = state.log.membership;
     const values = membership.voters.map(valueOf).sort((one, other) => other - one);
-    return values[quorumOf(membership) - 1] ?? 0;
+    return values[quorumSize(membership) - 1] ?? 0;
 }
 
 function settleConfirmations(state: AgreementState, leadership: Leadership): void {
@@ -204,25 +204,25 @@
     leadership: Leadership,
     identity: string,
     progress: Progress,
-    asking: boolean,
+    sendEmpty: boolean,
 ): void {
     if (progress.transfer !== undefined || progress.next <= state.log.base.index) {
         sendChunk(state, leadership, identity, progress);
         return;
     }
     const limit = state.options.batchEntries ?? defaultBatchEntries;
-    let asked = !asking;
-    while (progress.next <= state.log.lastIndex && progress.inFlight < windowSize) {
-        const entries = state.log.batch(progress.next, batchBytes, limit);
+    let sent = !sendEmpty;
+    while (progress.next <= state.log.lastIndex && progress.inFlight < maximumInFlightMessages) {
+        const entries = state.log.batch(progress.next, maximumBatchBytes, limit);
         sendAppend(state, leadership, identity, progress.next - 1, entries);
-        asked = true;
+        sent = true;
         if (progress.probing) {
             return;
         }
         progress.next += entries.length;
         progress.inFlight += 1;
     }
-    if (!asked) {
+    if (!sent) {
         sendAppend(state, leadership, identity, progress.next - 1, []);
     }
 }
@@ -245,7 +245,7 @@
     });
 }
 
-function takeEntry(state: AgreementState, entry: Entry): void {
+function appendReceived(state: AgreementState, entry: Entry): void {
     if (entry.index <= state.log.base.index) {
         return;
     }
@@ -259,8 +259,8 @@
     state.appendEntry(entry);
 }
 
-/** The last place at which this log may agree with one that holds the previous entry. */
-function hintFor(state: AgreementState, message: MessageOf<"append">): { index: number; term: number; } {
+/** The last position at which this log may match one that contains the previous entry of the message. */
+function conflictHint(state: AgreementState, message: MessageOf<"append">): { index: number; term: number; } {
     let index = Math.min(message.previous.index, state.log.lastIndex);
     while (index > state.log.base.index && state.log.termAt(index)! > message.previous.term) {
         index -= 1;
--- a/packages/basilpaddle/src/node/coordination/agreement/role.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/role.ts
@@ -2,8 +2,8 @@
 import { Invariant } from "../../state/index.js";
 
 /**
- * The lifecycle of a replica. `silent` is the time after the start in which it takes no part; `canvassing` asks
- * whether it would be elected, `candidate` stands for election.
+ * The roles of a replica. In `silent`, after the start, it takes no part in the protocol; in `canvassing` it runs a
+ * pre-vote, in `candidate` an election.
  */
 const machine = setup({
     types: {
@@ -23,17 +23,17 @@
     },
 });
 
-/** What a replica is at the moment. */
+/** The current role of a replica. */
 export type Role = SnapshotFrom<typeof machine>["value"];
-/** What changes a replica's role. */
+/** An event that changes a replica's role. */
 export type RoleChange = "speak" | "canvass" | "stand" | "win" | "follow";
 
 /** The role that every replica starts in. */
-export const firstRole: Role = "silent";
+export const initialRole: Role = "silent";
 
-/** The role after a change; a change that the lifecycle doesn't know is a broken promise. */
+/** The role after a change. A change that the current role doesn't allow violates an invariant. */
 export function nextRole(role: Role, change: RoleChange): Role {
     const snapshot = machine.resolveState({ value: role });
-    Invariant.hold(snapshot.can({ type: change }), `a ${role} replica can't ${change}`);
+    Invariant.hold(snapshot.can({ type: change }), `the role ${role} doesn't allow the change ${change}`);
     return getNextSnapshot(machine, snapshot, { type: change }).value;
 }
--- a/packages/basilpaddle/src/node/coordination/agreement/snapshotTransfer.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/snapshotTransfer.ts
@@ -5,10 +5,10 @@
 
 const defaultChunkBytes = 256 * 1024;
 
-/** Sends a member the next chunk of a snapshot, or the same one again where no answer came. */
+/** Sends a member the next chunk of a snapshot, or the same one again if it wasn't acknowledged. */
 export function sendChunk(state: AgreementState, leadership: Leadership, identity: string, progress: Progress): void {
     if (progress.transfer === undefined) {
-        Invariant.hold(state.snapshot !== undefined, "what the log no longer holds is in the snapshot");
+        Invariant.hold(state.snapshot !== undefined, "entries removed from the log are in the snapshot");
         progress.transfer = { snapshot: state.snapshot, offset: 0 };
     }
     const { snapshot, offset } = progress.transfer;
@@ -27,32 +27,32 @@
     });
 }
 
-/** Takes in a chunk; with the last one the snapshot replaces what this replica held. */
+/** Handles a chunk; after the last one, the snapshot replaces the state of this replica. */
 export function onChunk(state: AgreementState, from: string, message: MessageOf<"snapshotChunk">): void {
     const { description, round, sentAt } = message;
-    const asked = { round, sentAt, term: state.term };
+    const echoed = { round, sentAt, term: state.term };
     if (description.index <= state.committed) {
-        state.incoming = undefined;
-        state.sendSynced(from, { kind: "appended", matched: description.index, ...asked });
+        state.incomingSnapshot = undefined;
+        state.sendSynced(from, { kind: "appended", matched: description.index, ...echoed });
         return;
     }
-    if (state.incoming?.index !== description.index || state.incoming.term !== description.term) {
-        state.incoming = { index: description.index, term: description.term, chunks: [], offset: 0 };
+    if (state.incomingSnapshot?.index !== description.index || state.incomingSnapshot.term !== description.term) {
+        state.incomingSnapshot = { index: description.index, term: description.term, chunks: [], offset: 0 };
     }
-    const incoming = state.incoming;
+    const incoming = state.incomingSnapshot;
     if (message.offset === incoming.offset && crc32(message.bytes) === message.checksum) {
         incoming.chunks.push(message.bytes);
         incoming.offset += message.bytes.length;
     }
     if (incoming.offset < message.total) {
-        state.sendSynced(from, { kind: "chunkTaken", index: incoming.index, offset: incoming.offset, ...asked });
+        state.sendSynced(from, { kind: "chunkTaken", index: incoming.index, offset: incoming.offset, ...echoed });
         return;
     }
-    install(state, message, Buffer.concat(incoming.chunks));
-    state.sendSynced(from, { kind: "appended", matched: description.index, ...asked });
+    installSnapshot(state, message, Buffer.concat(incoming.chunks));
+    state.sendSynced(from, { kind: "appended", matched: description.index, ...echoed });
 }
 
-/** Goes on with the next chunk. */
+/** Handles the acknowledgement of a chunk, and sends the next one. */
 export function onChunkTaken(
     state: AgreementState,
     leadership: Leadership,
@@ -64,17 +64,17 @@
     if (progress === undefined || transfer?.snapshot.description.index !== answer.index) {
         return;
     }
-    // A doubled answer would send the same chunk once more; only one that moves on counts, or one that starts anew.
+    // A duplicate would send the same chunk again, so only an answer that advances the offset, or restarts at 0, counts.
     if (answer.offset > transfer.offset || answer.offset === 0) {
         transfer.offset = answer.offset;
         sendChunk(state, leadership, from, progress);
     }
 }
 
-function install(state: AgreementState, message: MessageOf<"snapshotChunk">, data: Uint8Array): void {
+function installSnapshot(state: AgreementState, message: MessageOf<"snapshotChunk">, data: Uint8Array): void {
     const { description } = message;
     const snapshot = { description, data };
-    state.incoming = undefined;
+    state.incomingSnapshot = undefined;
     state.replaceLog(description);
     state.effect({ kind: "restore", snapshot });
     state.save(snapshot);
--- a/packages/basilpaddle/src/node/coordination/agreement/startup.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/startup.ts
@@ -10,12 +10,12 @@
 import type { Recovered } from "./state.js";
 import { initialiseStorage, Storage } from "./storage.js";
 
-/** What a replica starts from. */
+/** The identity and the stored state that a replica starts with. */
 export type Startup = { readonly identity: Identity; readonly storage: Storage; readonly recovered: Recovered; };
 
 /**
- * Prepares an empty data folder for a voter that the group starts with. It is the only way in which a group begins:
- * a replica that finds its folder empty never forms a group by itself, or lost disks would make a new, empty one.
+ * Prepares an empty data folder for an initial voter of the group. This is the only way to form a group: a replica that
+ * finds its folder empty never forms one by itself, or the loss of several disks would lead to a new, empty group.
  */
 export async function initialise(
     disk: Disk,
@@ -26,12 +26,12 @@
     const present = await disk.list();
     if (present.length > 0) {
         throw new Error(
-            `The data folder of ${name} isn't empty: it holds ${present.join(", ")}. `
-                + "A voter whose state was lost must not be initialised again; start it, and it joins anew.",
+            `The data folder of ${name} isn't empty: it contains ${present.join(", ")}. `
+                + "A voter whose state was lost must not be initialised again; start it, and it joins as a new member.",
         );
     }
     if (!names.includes(name)) {
-        throw new Error(`${name} isn't among the voters that the group starts with: ${names.join(", ")}.`);
+        throw new Error(`${name} isn't one of the initial voters of the group: ${names.join(", ")}.`);
     }
     const initialVoters = names.map(voter => `${voter}#${cluster}`);
     const identity: Identity = { version: 1, cluster, name, identity: `${name}#${cluster}`, initialVoters };
@@ -40,7 +40,7 @@
     return identity;
 }
 
-/** Opens a data folder. One that is empty or can't be trusted gives a new identity, which joins as a learner. */
+/** Opens a data folder. If it is empty or damaged, the replica gets a new identity, which joins as a learner. */
 export async function openFolder(
     disk: Disk,
     name: string,
@@ -54,7 +54,9 @@
             checkName(identity, name);
             const { storage, recovered, cut } = await Storage.create(disk, identity.identity, options);
             if (cut > 0) {
-                logger.warn("cut an incomplete last record off the log; it was never acknowledged", { bytes: cut });
+                logger.warn("removed an incomplete last record from the log; it was never acknowledged", {
+                    bytes: cut,
+                });
             }
             return { identity, storage, recovered };
         }
@@ -63,28 +65,28 @@
         if (!(error instanceof Damage)) {
             throw error;
         }
-        logger.error("the data folder can't be trusted; joining under a new identity", { cause: error.message });
+        logger.error("the data folder is damaged; joining the group under a new identity", { cause: error.message });
     }
-    return openAnew(disk, name, options, randomness, logger);
+    return startWithNewIdentity(disk, name, options, randomness, logger);
 }
 
-async function openAnew(
+async function startWithNewIdentity(
     disk: Disk,
     name: string,
     options: LogFileOptions,
     randomness: Randomness,
     logger: Logger,
 ): Promise<Startup> {
-    const mark = randomness.identifier();
+    const suffix = randomness.identifier();
     for (const file of await disk.list()) {
         if (!file.startsWith("untrusted-")) {
-            await disk.rename(file, `untrusted-${mark}-${file}`);
+            await disk.rename(file, `untrusted-${suffix}-${file}`);
         }
     }
-    const identity: Identity = { version: 1, name, identity: `${name}#${mark}`, initialVoters: [] };
+    const identity: Identity = { version: 1, name, identity: `${name}#${suffix}`, initialVoters: [] };
     await initialiseStorage(disk, identity.identity, { voters: [], learners: [] });
     await writeIdentity(disk, identity);
-    logger.info("no state to go on from; asking the leader for a place", { identity: identity.identity });
+    logger.info("no usable stored state; requesting to join the group", { identity: identity.identity });
     const { storage, recovered } = await Storage.create(disk, identity.identity, options);
     return { identity, storage, recovered };
 }
--- a/packages/basilpaddle/src/node/coordination/agreement/step.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/step.ts
@@ -1,60 +1,67 @@
 import { Invariant } from "../../state/index.js";
-import type { AgreementEvent, Effect, Proposed } from "./effect.js";
-import { canvass, follow, giveUpWithoutQuorum, onRequestVote, onStandNow, onVoteAnswer } from "./election.js";
-import { askToJoin, isLive, manageMembership, onJoin, onJoinAt } from "./membership.js";
+import type { AgreementEvent, Effect, ProposedCommand } from "./effect.js";
+import {
+    becomeFollower,
+    onRequestVote,
+    onStandNow,
+    onVoteAnswer,
+    startPreVote,
+    stepDownWithoutQuorum,
+} from "./election.js";
+import { isLive, manageMembership, onJoin, onJoinAt, requestToJoin } from "./membership.js";
 import type { Message, MessageOf } from "./message.js";
 import {
     advanceCommit,
-    appendOwn,
+    appendAsLeader,
     broadcast,
-    confirm,
+    confirmLeadership,
     onAppend,
     onAppended,
     onConflict,
-    quorumContact,
+    quorumContactAt,
     replicate,
 } from "./replication.js";
 import { onChunk, onChunkTaken } from "./snapshotTransfer.js";
 import type { AgreementState, Leadership } from "./state.js";
 
-type FromLeader = MessageOf<"append"> | MessageOf<"snapshotChunk">;
-type ToLeader = MessageOf<"appended"> | MessageOf<"conflict"> | MessageOf<"chunkTaken">;
+type LeaderMessage = MessageOf<"append"> | MessageOf<"snapshotChunk">;
+type FollowerReply = MessageOf<"appended"> | MessageOf<"conflict"> | MessageOf<"chunkTaken">;
 
 /**
- * One step of a replica: what happened, and when on a monotonic clock; gives what is to be done. The clock is looked
- * at first, so that a replica that wakes from a freeze gives its leadership up before it acts as a leader.
+ * Handles one event of a replica at the given time of a monotonic clock, and returns the effects to execute. Timers are
+ * checked first, so that a replica that resumes after a freeze gives up its leadership before it acts as a leader.
  */
 export function step(state: AgreementState, event: AgreementEvent, now: number): Effect[] {
     state.now = Math.max(state.now, now);
     const committed = state.committed;
-    onTime(state);
+    onTimers(state);
     handle(state, event);
     if (state.leadership !== undefined) {
         advanceCommit(state, state.leadership);
         manageMembership(state, state.leadership);
         handOverWhenReady(state, state.leadership);
     }
-    Invariant.hold(state.committed >= committed, "what is committed stays so");
+    Invariant.hold(state.committed >= committed, "the committed index never decreases");
     return state.finish();
 }
 
-/** When the replica next has something to do by itself. */
+/** When the replica's next timer is due, on the clock given to `step`. */
 export function deadline(state: AgreementState): number {
     if (state.role === "silent") {
         return state.silentUntil;
     }
     if (state.leadership === undefined) {
-        return Math.min(state.electionAt, state.joinAt);
+        return Math.min(state.electionAt, state.nextJoinAt);
     }
-    return Math.min(state.leadership.heartbeatAt, quorumContact(state, state.leadership) + state.timeout + 1);
+    return Math.min(state.leadership.heartbeatAt, quorumContactAt(state, state.leadership) + state.electionTimeout + 1);
 }
 
-function onTime(state: AgreementState): void {
+function onTimers(state: AgreementState): void {
     if (state.role === "silent") {
-        endSilence(state);
+        endStartupSilence(state);
         return;
     }
-    giveUpWithoutQuorum(state);
+    stepDownWithoutQuorum(state);
     if (state.leadership !== undefined) {
         if (state.now >= state.leadership.heartbeatAt) {
             broadcast(state, state.leadership);
@@ -62,23 +69,24 @@
         return;
     }
     if (state.now >= state.electionAt) {
-        canvass(state);
+        startPreVote(state);
     }
-    if (state.leadership === undefined && state.now >= state.joinAt) {
-        askToJoin(state);
+    if (state.leadership === undefined && state.now >= state.nextJoinAt) {
+        requestToJoin(state);
     }
 }
 
 /**
- * A replica that has just started takes no part for twice the election timeout. An entry daemon that found a quorum's
- * processes dead serves on under its last view, sure that none of them accepts a change within that time.
+ * Ends the initial silence. By default a replica takes no part in the protocol for twice the election timeout after its
+ * start: an entry daemon that found the processes of a quorum dead continues to serve under its last view, and relies on
+ * none of them accepting a change within that time.
  */
-function endSilence(state: AgreementState): void {
+function endStartupSilence(state: AgreementState): void {
     if (state.now >= state.silentUntil) {
         state.changeRole("speak");
         const { firstElection, randomness } = state.options;
         state.electionAt = state.now + (firstElection === undefined
-            ? state.timeout * (1 + randomness.fraction())
+            ? state.electionTimeout * (1 + randomness.fraction())
             : firstElection * randomness.fraction());
     }
 }
@@ -99,14 +107,14 @@
             state.synced(event.write);
             return;
         case "confirm":
-            confirm(state, event.token);
+            confirmLeadership(state, event.token);
             return;
         case "compact":
             onCompact(state, event.index, event.data, event.keep);
             return;
         case "handOver":
             if (state.leadership !== undefined) {
-                state.leadership.handOverUntil = state.now + state.timeout;
+                state.leadership.handOverUntil = state.now + state.electionTimeout;
             }
             return;
     }
@@ -122,12 +130,12 @@
             return;
         case "append":
         case "snapshotChunk":
-            onLeader(state, from, message);
+            onLeaderMessage(state, from, message);
             return;
         case "appended":
         case "conflict":
         case "chunkTaken":
-            onAnswer(state, from, message);
+            onFollowerReply(state, from, message);
             return;
         case "standNow":
             onStandNow(state, from, message);
@@ -141,7 +149,7 @@
     }
 }
 
-function onLeader(state: AgreementState, from: string, message: FromLeader): void {
+function onLeaderMessage(state: AgreementState, from: string, message: LeaderMessage): void {
     if (message.term < state.term) {
         const { round, sentAt } = message;
         const hint = { index: 0, term: 0 };
@@ -152,8 +160,8 @@
         message.term > state.term || (state.leadership === undefined && (state.leader ?? from) === from),
         "a term has one leader",
     );
-    follow(state, message.term, from);
-    state.heardAt = state.now;
+    becomeFollower(state, message.term, from);
+    state.leaderContactAt = state.now;
     if (message.kind === "append") {
         onAppend(state, from, message);
     }
@@ -162,9 +170,9 @@
     }
 }
 
-function onAnswer(state: AgreementState, from: string, answer: ToLeader): void {
+function onFollowerReply(state: AgreementState, from: string, answer: FollowerReply): void {
     if (answer.term > state.term) {
-        follow(state, answer.term, undefined);
+        becomeFollower(state, answer.term, undefined);
         return;
     }
     const leadership = state.leadership;
@@ -182,7 +190,7 @@
     }
 }
 
-function onPropose(state: AgreementState, proposals: readonly Proposed[]): void {
+function onPropose(state: AgreementState, proposals: readonly ProposedCommand[]): void {
     const leadership = state.leadership;
     if (leadership === undefined || leadership.handOverUntil !== undefined) {
         const leader = leadership === undefined ? state.leader : undefined;
@@ -190,11 +198,11 @@
         return;
     }
     Invariant.hold(
-        state.now - quorumContact(state, leadership) <= state.timeout,
-        "a leader takes proposals only while a quorum answers it",
+        state.now - quorumContactAt(state, leadership) <= state.electionTimeout,
+        "a leader accepts proposals only while a quorum answers it",
     );
     for (const { token, kind, data } of proposals) {
-        const index = appendOwn(state, leadership, kind, data);
+        const index = appendAsLeader(state, leadership, kind, data);
         state.effect({ kind: "proposed", token, position: { index, term: state.term } });
     }
     replicate(state, leadership);
@@ -204,11 +212,11 @@
     if (index <= (state.snapshot?.description.index ?? 0) || index > state.committed) {
         return;
     }
-    state.save({ description: state.log.describe(index), data });
+    state.save({ description: state.log.describeSnapshot(index), data });
     state.log.compact(Math.max(state.log.base.index, index - keep));
 }
 
-/** Asks the voter that has everything to stand, or takes leadership up again when none got there in time. */
+/** Requests a live voter with the complete log to start an election; resumes as leader if none has it in time. */
 function handOverWhenReady(state: AgreementState, leadership: Leadership): void {
     if (leadership.handOverUntil === undefined) {
         return;
--- a/packages/basilpaddle/src/node/coordination/agreement/storage.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/storage.ts
@@ -13,9 +13,9 @@
 import type { Recovered } from "./state.js";
 
 /** Name of the log file. */
-export const logFile = "log";
+export const logFileName = "log";
 /** Name of the snapshot file. */
-export const snapshotFile = "snapshot";
+export const snapshotFileName = "snapshot";
 
 const recordSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("base"), owner: z.string(), base: snapshotDescriptionSchema }),
@@ -24,26 +24,26 @@
 ]);
 
 type Write = Extract<Effect, { kind: "write" | "save"; }>;
-type PlacedRecord = { readonly offset: number; readonly record: LogRecord; };
+type RecordAtOffset = { readonly offset: number; readonly record: LogRecord; };
 
 /** Writes an empty log for a replica that starts with the given membership. */
 export async function initialiseStorage(disk: Disk, owner: string, membership: Membership): Promise<void> {
     const base = { index: 0, term: 0, membership, view: 0 };
     const records: LogRecord[] = [{ kind: "base", owner, base }, { kind: "ballot", term: 0 }];
-    await LogFile.initialise(disk, logFile, records.map(encodeStored));
+    await LogFile.initialise(disk, logFileName, records.map(encodeStored));
 }
 
-/** The files of one replica: log and snapshot. */
+/** The log and snapshot files of one replica. */
 export class Storage {
     private constructor(private readonly disk: Disk, private readonly log: LogFile) {}
 
-    /** Opens the files and gives what they hold. Throws `Damage` where they can't be trusted. */
+    /** Opens the files and returns their content. Throws `Damage` if they are damaged. */
     static async create(
         disk: Disk,
         owner: string,
         options: LogFileOptions,
     ): Promise<{ readonly storage: Storage; readonly recovered: Recovered; readonly cut: number; }> {
-        const { file, records, cut } = await LogFile.create(disk, logFile, options);
+        const { file, records, cut } = await LogFile.create(disk, logFileName, options);
         try {
             const snapshot = await loadSnapshot(disk);
             const placed = records.map(({ offset, body }) => ({ offset, record: decodeRecord(offset, body) }));
@@ -55,20 +55,20 @@
         }
     }
 
-    /** Comes back once the write is synced. Writes last in the order of the calls. */
+    /** Resolves once the write is synced. Writes become durable in the order of the calls. */
     write(write: Write): Promise<void> {
         const records = write.records.map(encodeStored);
         if (write.kind === "write") {
             return this.log.append(records);
         }
         const { description, data } = write.snapshot;
-        // The snapshot first: a log that no longer holds the entries before it is worth nothing without it.
+        // The snapshot is written first: without it, a log that no longer has the entries before it is useless.
         return this.log.rewrite(records, () => {
-            return writeSnapshot(this.disk, snapshotFile, { description: encodeStored(description), data });
+            return writeSnapshot(this.disk, snapshotFileName, { description: encodeStored(description), data });
         });
     }
 
-    /** Syncs made so far. */
+    /** Number of syncs so far. */
     syncs(): number {
         return this.log.syncs();
     }
@@ -78,58 +78,62 @@
     }
 }
 
-/** Rebuilds term, vote and log from the records, and joins them with the snapshot. */
+/** Rebuilds term, vote and log from the records, and reconciles the log with the snapshot. */
 export function recover(
-    records: readonly PlacedRecord[],
+    records: readonly RecordAtOffset[],
     snapshot: Snapshot | undefined,
     owner: string,
 ): Recovered {
     const first = records[0]?.record;
     if (first?.kind !== "base") {
-        throw Damage.create(logFile, records[0]?.offset ?? 0, "the log doesn't begin with its base");
+        throw Damage.create(logFileName, records[0]?.offset ?? 0, "the log doesn't begin with a base record");
     }
     if (first.owner !== owner) {
-        throw Damage.create(logFile, records[0]!.offset, `it is the log of ${first.owner}, not of ${owner}`);
+        throw Damage.create(logFileName, records[0]!.offset, `the log belongs to ${first.owner}, not to ${owner}`);
     }
     const log = EntryLog.create(first.base);
     let ballot: Extract<LogRecord, { kind: "ballot"; }> = { kind: "ballot", term: 0 };
     for (const { offset, record } of records.slice(1)) {
         if (record.kind === "base") {
-            throw Damage.create(logFile, offset, "a second base");
+            throw Damage.create(logFileName, offset, "a second base record");
         }
         if (record.kind === "ballot") {
             ballot = record;
             continue;
         }
         if (record.entry.index <= log.base.index || record.entry.index > log.lastIndex + 1) {
-            throw Damage.create(logFile, offset, `entry ${record.entry.index} doesn't follow ${log.lastIndex}`);
+            throw Damage.create(logFileName, offset, `entry ${record.entry.index} doesn't follow ${log.lastIndex}`);
         }
         log.truncate(record.entry.index);
         log.append(record.entry);
     }
-    return { term: ballot.term, vote: ballot.vote, log: joinSnapshot(log, snapshot), snapshot };
+    return { term: ballot.term, vote: ballot.vote, log: reconcileWithSnapshot(log, snapshot), snapshot };
 }
 
-function joinSnapshot(log: EntryLog, snapshot: Snapshot | undefined): EntryLog {
-    const reached = snapshot?.description.index ?? 0;
-    if (log.base.index > reached) {
-        throw Damage.create(snapshotFile, 0, `it reaches ${reached}, but the log begins after ${log.base.index}`);
+function reconcileWithSnapshot(log: EntryLog, snapshot: Snapshot | undefined): EntryLog {
+    const snapshotIndex = snapshot?.description.index ?? 0;
+    if (log.base.index > snapshotIndex) {
+        throw Damage.create(
+            snapshotFileName,
+            0,
+            `the snapshot ends at ${snapshotIndex}, but the log begins after ${log.base.index}`,
+        );
     }
-    // A snapshot was taken in and the process died before the log was replaced: the old log is of no use.
-    if (snapshot !== undefined && log.termAt(reached) !== snapshot.description.term) {
+    // The process died after a received snapshot was written and before the log was replaced: the old log is obsolete.
+    if (snapshot !== undefined && log.termAt(snapshotIndex) !== snapshot.description.term) {
         return EntryLog.create(snapshot.description);
     }
     return log;
 }
 
 async function loadSnapshot(disk: Disk): Promise<Snapshot | undefined> {
-    const stored = await readSnapshot(disk, snapshotFile);
+    const stored = await readSnapshot(disk, snapshotFileName);
     if (stored === undefined) {
         return undefined;
     }
     const description = snapshotDescriptionSchema.safeParse(decode(stored.description));
     if (!description.success) {
-        throw Damage.create(snapshotFile, 0, "its description has the wrong form");
+        throw Damage.create(snapshotFileName, 0, "invalid snapshot description");
     }
     return { description: description.data, data: stored.data };
 }
@@ -137,7 +141,7 @@
 function decodeRecord(offset: number, body: Uint8Array): LogRecord {
     const record = recordSchema.safeParse(decode(body));
     if (!record.success) {
-        throw Damage.create(logFile, offset, "a record has the wrong form");
+        throw Damage.create(logFileName, offset, "invalid log record");
     }
     return record.data;
 }
