--- a/packages/basilpaddle/src/node/coordination/replica.ts
+++ b/packages/basilpaddle/src/node/coordination/replica.ts
@@ -1,55 +1,55 @@
 import type { Command, CommandResult } from "../protocol/index.js";
 
-/** What became of a proposal, as far as this replica can tell. */
+/** The outcome of a proposal, as far as this replica knows it. */
 export type Proposal =
     | { readonly kind: "result"; readonly index: number; readonly result: CommandResult; }
     | { readonly kind: "notLeader"; readonly leader: string | undefined; }
-    /** The command may or may not come to be held by a quorum. */
+    /** The command may or may not be committed. */
     | { readonly kind: "undecided"; readonly reason: string; };
 
-/** What a replica knows of itself and its group. */
+/** The status of a replica, and of its group as the replica knows it. */
 export type ReplicaStanding = {
-    /** Identity of this replica: its name and a part that a lost disk doesn't bring back. */
+    /** Identity of this replica: its name and a suffix that changes if its disk is lost. */
     readonly identity: string;
-    /** Whether its vote counts: it is in the newest membership as a voter and trusts its own disk. */
+    /** Whether its vote counts: it is a voter of the latest membership in its log, and hasn't stopped. */
     readonly voting: boolean;
-    /** Identities of the voters of the newest membership in its log, committed or not. */
+    /** Identities of the voters of the latest membership in its log, committed or not. */
     readonly voters: readonly string[];
     readonly learners: readonly string[];
     readonly term: number;
-    /** Name of the leader, where one is known. */
+    /** Name of the leader; undefined if none is known. */
     readonly leader: string | undefined;
     readonly leading: boolean;
-    /** Monotonic milliseconds at which this replica became leader; only while leading. */
+    /** Monotonic milliseconds at which this replica became leader; undefined unless it leads. */
     readonly leadingSince: number | undefined;
     readonly lastIndex: number;
     readonly committedIndex: number;
     /** Term of the entry at `committedIndex`. */
     readonly committedTerm: number;
-    /** Index of the newest view command in its log, committed or not; from the snapshot where the log holds none. */
+    /** Index of the latest view command in its log, committed or not; from the snapshot if the log has none. */
     readonly appendedView: number;
 };
 
-/** One copy of the replicated log, with the state machine that it feeds. */
+/** One copy of the replicated log, with the state machine that its entries are applied to. */
 export abstract class Replica {
-    /** Proposes a command; settles once it was applied here, or at the latest after the given milliseconds. */
+    /** Proposes a command; settles once it was applied locally, or after `timeout` milliseconds at the latest. */
     abstract propose(command: Command, timeout: number): Promise<Proposal>;
 
-    /** Takes in a message of another replica. */
+    /** Handles a message from another replica. */
     abstract receive(from: string, message: unknown): void;
 
-    /** What the replica knows now. */
+    /** The current status. */
     abstract standing(): ReplicaStanding;
 
-    /** Whether this replica led throughout a round trip to a quorum that began after the call. */
+    /** Whether this replica led throughout a round trip to a quorum begun after the call; false after `timeout` milliseconds. */
     abstract confirmLeadership(timeout: number): Promise<boolean>;
 
-    /** Calls the listener after each applied command, in order; the returned function takes it off. */
+    /** Calls the listener after each applied command, in order; the returned function removes it. */
     abstract onApplied(listener: (index: number, command: Command, result: CommandResult) => void): () => void;
 
-    /** Calls the listener when this replica's leadership begins or ends. */
+    /** Calls the listener when this replica's leadership begins or ends; the returned function removes it. */
     abstract onLeadership(listener: (leading: boolean) => void): () => void;
 
-    /** Hands leadership over where it can, syncs, and stops. */
+    /** Hands over leadership if possible, syncs, and stops. */
     abstract close(): Promise<void>;
 }
