--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/decisions.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/decisions.spec.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { checkTraffic, trafficSchema } from "../../../protocol/index.js";
-import { RepeatBudget, SharedRepeatBudget } from "../repeatBudget.js";
 import { RouteTable } from "../routeTable.js";
 import { ServerChoice } from "../serverChoice.js";
+import { RepeatBudget, SharedRepeatBudget } from "../serviceRetryBudget.js";
 import { planStages } from "../stagePlan.js";
 import { announced, engines, route, rule } from "./fakes.js";
 
@@ -12,7 +12,7 @@
     { name: "t", healthPath: "/", connectionLimit: 10 },
 ];
 
-describe("the route table", () => {
+describe("RouteTable", () => {
     const table = RouteTable.create({
         version: 1,
         routes: [
@@ -28,24 +28,24 @@
         limits,
     });
 
-    it("takes the longest prefix of the host, without its port and in any case", () => {
+    it("matches the longest prefix of the host, regardless of its port and case", () => {
         expect(table.match("H.example:80", "/a/b/c?x=/")?.name).to.equal("long");
         expect(table.match("h.example", "/a/c")?.name).to.equal("short");
         expect(table.match("h.example", "/a")?.name).to.equal(undefined);
         expect(table.match("x.example", "/a/b/c")).to.equal(undefined);
     });
 
-    it("splits by weight, the same way for the same identifier", () => {
+    it("splits by weight, with the same result for the same identifier", () => {
         const split = table.match("other.example", "/")!;
-        const drawn = Array.from({ length: 2_000 }, (_, number) => table.serviceOf(split, `id-${number}`)?.name);
-        const part = drawn.filter(name => name === "t").length / drawn.length;
+        const selected = Array.from({ length: 2_000 }, (_, number) => table.serviceOf(split, `id-${number}`)?.name);
+        const part = selected.filter(name => name === "t").length / selected.length;
         expect(part).to.be.within(0.07, 0.13);
-        expect(table.serviceOf(split, "id-7")?.name).to.equal(drawn[7]);
+        expect(table.serviceOf(split, "id-7")?.name).to.equal(selected[7]);
     });
 });
 
 describe("a configuration", () => {
-    it("is refused with all that is wrong between its parts", () => {
+    it("is refused with all findings between its parts", () => {
         const findings = checkTraffic({
             version: 1,
             routes: [
@@ -68,8 +68,8 @@
     });
 });
 
-describe("the budget for repeats", () => {
-    it("stays, over all gateways, within the ratio and the slack of every window", () => {
+describe("ServiceRetryBudget", () => {
+    it("stays within the ratio and the slack in every window, over all gateways", () => {
         const rules = { ratio: 0.2, window: 10_000, slack: 50 };
         const gateways = Array.from({ length: 8 }, () => RepeatBudget.create(rules));
         const taken: number[] = [];
@@ -91,44 +91,43 @@
         expect(taken.length).to.be.above(100);
     });
 
-    it("takes back a repeat that reached no server", () => {
+    it("accepts the return of a retry that reached no server", () => {
         const budget = RepeatBudget.create({ ratio: 0, window: 1_000, slack: 2 });
         expect([budget.take(5_000, 1), budget.take(5_001, 1)]).to.deep.equal([true, false]);
         budget.giveBack(5_002);
         expect(budget.take(5_003, 1)).to.equal(true);
     });
 
-    it("forgets what is older than the window", () => {
+    it("doesn't count retries older than the window", () => {
         const budget = RepeatBudget.create({ ratio: 0, window: 1_000, slack: 2 });
         expect([budget.take(5_000, 1), budget.take(5_001, 1)]).to.deep.equal([true, false]);
         expect(budget.take(6_200, 1)).to.equal(true);
     });
 });
 
-describe("what the leader lends of the allowance for repeats", () => {
+describe("SharedRetryBudget", () => {
     const rules = { ratio: 0.2, window: 10_000, slack: 422 };
 
-    // Symptom: requests are turned away for want of a repeat though most gateways haven't spent any of their part.
-    // Sequence: a fifth of the engines crash; of 191 gateways, each with a part of one repeat in ten seconds, some have
-    // three requests there and most have none.
-    // Cause: equal parts of what all share, however few each of them is.
-    it("serves the gateways that faults hit, where equal parts are a repeat each", () => {
-        const sharers = 191;
-        const gateways = Array.from({ length: sharers }, () => RepeatBudget.create(rules));
+    // Guards against requests that are refused for lack of a retry although most gateways haven't used any of their share: a
+    // fifth of the engines crash, and of 191 gateways with a share of one retry in ten seconds each, some have three
+    // requests at these engines and most have none.
+    it("lends retries to the gateways that faults affect, when equal shares are one retry each", () => {
+        const gatewayCount = 191;
+        const gateways = Array.from({ length: gatewayCount }, () => RepeatBudget.create(rules));
         const shared = SharedRepeatBudget.create(rules, 0);
-        let alone = 0;
+        let local = 0;
         let lent = 0;
         for (let number = 0; number < 100; number++) {
             const now = 20_000 + number * 20;
-            const own = gateways[number * 7 % 40]!.take(now, sharers);
-            alone += own ? 1 : 0;
+            const own = gateways[number * 7 % 40]!.take(now, gatewayCount);
+            local += own ? 1 : 0;
             lent += !own && shared.lend(now, undefined) ? 1 : 0;
         }
-        expect(alone).to.equal(40);
-        expect(alone + lent).to.equal(100);
+        expect(local).to.equal(40);
+        expect(local + lent).to.equal(100);
     });
 
-    it("stays with all gateways' own parts within the allowance of every window", () => {
+    it("stays within the allowance of every window together with the local shares of all gateways", () => {
         const gateways = Array.from({ length: 191 }, () => RepeatBudget.create({ ...rules, ratio: 0 }));
         const shared = SharedRepeatBudget.create(rules, 0);
         const taken: number[] = [];
@@ -144,32 +143,32 @@
         }
     });
 
-    // Sequence: a leader lends all, and dies; the next one would lend the same again within the window.
-    it("is nothing in a leader's first window", () => {
+    // A leader may lend everything and crash; the next one would then lend the same again within the window.
+    it("lends nothing during a leader's first window while reports of gateways are missing", () => {
         const shared = SharedRepeatBudget.create(rules, 50_000);
         expect(shared.lend(59_900, undefined)).to.equal(false);
         expect(shared.lend(60_100, undefined)).to.equal(true);
     });
 
-    // Symptom: more repeats in one window than the allowance holds, around a change of leader.
-    // Sequence: the old leader lends all it may, in the second before it loses the leadership; gateways tell what they
-    // borrowed with their next watch, a second later; the new leader lends as much again meanwhile.
-    it("stays within the allowance with two leaders, one of which nobody has told of yet", () => {
-        const sharers = Array.from({ length: 5 }, () => RepeatBudget.create({ ...rules, ratio: 0 }));
+    // Guards against more retries in one window than the allowance after a change of leader: the old leader lends everything in
+    // its last second, gateways report what they borrowed with their next watch request, a second later, and the new leader
+    // lends as much again meanwhile.
+    it("stays within the allowance with two leaders, if the retries lent by the first aren't reported yet", () => {
+        const gateways = Array.from({ length: 5 }, () => RepeatBudget.create({ ...rules, ratio: 0 }));
         const before = SharedRepeatBudget.create(rules, 0);
         const after = SharedRepeatBudget.create(rules, 50_000);
         let taken = 0;
         for (let now = 49_000; now < 51_000; now += 2) {
-            const own = sharers[now / 2 % 5]!.take(now, 5);
+            const own = gateways[now / 2 % 5]!.take(now, 5);
             const lent = now < 50_000 ? before.lend(now, undefined) : after.lend(now, 0);
             taken += Number(own) + Number(lent);
         }
         expect(taken).to.be.at.most(rules.slack);
     });
 
-    // Symptom: after all directories lost power, repeats are refused for ten seconds, just when engines crash.
-    // Cause: the new leader didn't ask the gateways, which had lived on, what they had borrowed.
-    it("is what gateways haven't borrowed from the leader before, once all have told", () => {
+    // Guards against retries being refused for ten seconds after a power loss of all directories, just when engines crash: the
+    // new leader didn't use the reports of the gateways, which kept running, of what they had borrowed.
+    it("lends what gateways haven't borrowed from the previous leader, once all have reported", () => {
         const shared = SharedRepeatBudget.create(rules, 50_000);
         expect(shared.lend(50_500, undefined)).to.equal(false);
         const lent = Array.from({ length: 100 }, (_, number) => shared.lend(51_000, 20 + number));
@@ -177,11 +176,14 @@
     });
 });
 
-describe("the choice among servers", () => {
+describe("ServerChoice", () => {
     const servers = ["x", "y", "z"].map(id => announced({ id }));
     const none = new Set<string>();
 
-    /** Calls of a gateway, one after the other; each server takes its time and fails its part of them. */
+    /**
+     * Makes sequential calls of one gateway; `times` and `failing`: duration and failure ratio of each server's calls. Returns
+     * each server's fraction of the calls.
+     */
     function shares(times: readonly number[], failing: readonly number[], calls = 600): number[] {
         const choice = ServerChoice.create("a");
         const counts = [0, 0, 0];
@@ -197,19 +199,19 @@
         return counts.map(count => count / calls);
     }
 
-    it("gives a slow server little", () => {
+    it("sends few calls to a slow server", () => {
         expect(shares([20, 20, 100], [0, 0, 0])[2]).to.be.below(0.15);
     });
 
-    it("gives a server that fails nearly half of its calls little, though its health is good", () => {
+    it("sends few calls to a server that fails nearly half of them although its health checks pass", () => {
         expect(shares([20, 20, 20], [0, 0, 0.45])[2]).to.be.below(0.25);
     });
 
-    it("doesn't shun servers that all fail alike", () => {
+    it("doesn't avoid servers that all fail equally often", () => {
         Array.from(shares([20, 20, 20], [0.14, 0.14, 0.14])).forEach(share => expect(share).to.be.above(0.1));
     });
 
-    it("gives none to a server that can't be reached, for a while", () => {
+    it("sends no calls to an unreachable server for a while", () => {
         const choice = ServerChoice.create("a");
         choice.began("x");
         choice.ended(servers[0]!, "unreachable", 400, 1_000);
@@ -217,7 +219,7 @@
         expect(choice.choose([servers[0]!], none, 1_100)?.id).to.equal("x");
     });
 
-    it("spreads open calls", () => {
+    it("spreads concurrent calls over the servers", () => {
         const choice = ServerChoice.create("a");
         const chosen = servers.map(() => {
             const server = choice.choose(servers, none, 1_000)!;
@@ -228,8 +230,8 @@
     });
 });
 
-describe("the plan of stages", () => {
-    it("turns engines until both stages have their part of the work, from the fullest failure domains", () => {
+describe("planStages", () => {
+    it("changes engines of the largest failure domains until both stages have their share of the work", () => {
         const changes = planStages(engines(5, 8), rule);
         expect(changes.map(change => change.stage)).to.deep.equal(["decode", "decode"]);
         const left = new Set(
@@ -239,16 +241,15 @@
         expect([...left].sort()).to.deep.equal(["a", "b", "c"]);
     });
 
-    it("changes nothing that is right, and makes one engine read prompts where none does", () => {
+    it("changes nothing if the stages are right, and makes one engine a prefill engine if there is none", () => {
         expect(planStages(engines(3, 10), rule)).to.deep.equal([]);
         expect(planStages(engines(0, 4), rule).map(change => change.stage)).to.deep.equal(["prefill"]);
         expect(planStages(engines(0, 1), rule)).to.deep.equal([]);
     });
 
-    // Load pattern: long prompts with short answers, and the other way round, on a pool whose stages were planned for usual
-    // requests. Symptom: one stage is full while the other stands idle, for as long as the pool lives.
-    // Cause: the plan went by constants, and a pool never got a prefill engine back.
-    it("follows what requests were seen to take of the pool", () => {
+    // Guards against one stage staying full while the other is idle: long prompts with short answers, or the reverse, on a
+    // pool whose stages were planned for typical requests. The plan used constants only, and never added a prefill engine.
+    it("follows the observed resources of requests", () => {
         const long = { readingTime: 400, holdTime: 2_000, cacheTokens: 12_000 };
         expect(planStages(engines(3, 10), rule, long).map(change => change.stage)).to.deep.equal([
             "prefill",
@@ -262,7 +263,7 @@
         ]);
     });
 
-    it("leaves stages alone that are off by an engine, as means of a burst may say", () => {
+    it("changes nothing if the stages are off by one engine, as the averages of a burst may suggest", () => {
         const slightly = { readingTime: 130, holdTime: 3_200, cacheTokens: 3_670 };
         expect(planStages(engines(3, 10), rule, slightly)).to.deep.equal([]);
         expect(planStages(engines(4, 9), rule, slightly)).to.deep.equal([]);
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/directoryWatcher.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/directoryWatcher.spec.ts
@@ -5,7 +5,7 @@
 
 const names = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"];
 
-describe("the watcher of directories", () => {
+describe("DirectoryWatcher", () => {
     let directories: FakeDirectories;
     let watcher: DirectoryWatcher | undefined;
     let documents: number[];
@@ -34,7 +34,7 @@
         return watcher;
     }
 
-    it("learns all directories from one, and reaches most of them only once it does", async () => {
+    it("discovers all directories from one, and reports a majority only once it reaches one", async () => {
         directories.all[1]!.reachable = false;
         directories.all[2]!.reachable = false;
         const made = watch(names.slice(0, 1));
@@ -44,7 +44,7 @@
         await until(() => made.reachesMajority());
     });
 
-    it("never takes an older configuration, whichever directory sends it", async () => {
+    it("never applies an older configuration, whichever directory sends it", async () => {
         directories.all[0]!.version = 5;
         directories.all[1]!.version = 3;
         directories.all[2]!.version = 4;
@@ -56,9 +56,9 @@
         expect(documents.at(-1)).to.equal(5);
     });
 
-    // Symptom: a gateway stays on an old configuration though others tell of a newer one.
-    // Sequence: the directory nearby, which brings configurations, is cut off from the group.
-    it("fetches from another directory what the one nearby doesn't have", async () => {
+    // Guards against a gateway that stays on an old configuration although other directories announce a newer one: the
+    // directory in its failure domain, which sends it configurations, is partitioned from the group.
+    it("fetches a newer configuration from another directory if the preferred one doesn't have it", async () => {
         directories.all[1]!.failureDomain = "b";
         const made = watch(names);
         await until(() => made.reachesMajority());
@@ -67,7 +67,7 @@
         expect(directories.all[1]!.documentsSent).to.equal(0);
     });
 
-    it("believes the leader that most of the directories name", async () => {
+    it("uses the leader that most directories name", async () => {
         directories.all[0]!.leader = names[0]!;
         directories.all[1]!.leader = names[2]!;
         directories.all[2]!.leader = names[2]!;
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/fakeDirectories.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/fakeDirectories.ts
@@ -2,16 +2,16 @@
 import { packText, type Placing, type Watch, type Watched } from "../../../protocol/index.js";
 import { Link, type LinkFailure, Network } from "../../../transport/index.js";
 
-/** Milliseconds for which a fake directory holds a watch without news. */
-const holdTime = 20;
+/** How long a fake directory holds a watch request without changes open. */
+const watchHoldMilliseconds = 20;
 
-/** A directory as its watchers see it; the test changes what it says. */
+/** A fake directory; tests change its fields to change what it answers. */
 export class FakeDirectory {
     version = -1;
     failureDomain = "a";
     leader: string | undefined;
     reachable = true;
-    /** Whether it answers nothing about places, as a frozen one does; what it was asked meanwhile it answers afterwards. */
+    /** Whether it delays answers to placement messages, as a suspended process does; it answers them once this is false. */
     frozen = false;
     readonly placings: Placing[] = [];
     documentsSent = 0;
@@ -21,8 +21,8 @@
     async answer(body: unknown, timeout: number): Promise<Either<LinkFailure, unknown>> {
         const message = body as { readonly kind: string; };
         if (!this.reachable) {
-            await pause(Math.min(timeout, holdTime));
-            return Left({ kind: "unreachable", message: "cut" });
+            await pause(Math.min(timeout, watchHoldMilliseconds));
+            return Left({ kind: "unreachable", message: "unreachable" });
         }
         if (message.kind === "watch") {
             return Right(await this.watch(body as Watch));
@@ -36,7 +36,7 @@
 
     private async watch(watch: Watch): Promise<Watched> {
         if (watch.version >= this.version) {
-            await pause(holdTime);
+            await pause(watchHoldMilliseconds);
         }
         const newer = watch.wantsDocument && this.version > watch.version;
         this.documentsSent += newer ? 1 : 0;
@@ -60,7 +60,7 @@
             if (performance.now() >= until) {
                 return Left({ kind: "timeout", message: "frozen" });
             }
-            await pause(Math.min(holdTime, timeout));
+            await pause(Math.min(watchHoldMilliseconds, timeout));
         }
         if (message.kind === "probe" && this.leader === this.name) {
             return Right({ kind: "leading", term: 1 });
@@ -110,12 +110,12 @@
     override close(): void {}
 }
 
-/** Looks again and again; fails after a generous time. */
-export async function until(look: () => boolean): Promise<void> {
+/** Polls the condition until it is true; throws after 20 seconds. */
+export async function until(condition: () => boolean): Promise<void> {
     const end = performance.now() + 20_000;
-    while (!look()) {
+    while (!condition()) {
         if (performance.now() > end) {
-            throw new Error("it didn't come to be within 20 seconds");
+            throw new Error("the condition didn't become true within 20 seconds");
         }
         await pause(5);
     }
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/fakes.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/fakes.ts
@@ -7,7 +7,7 @@
     TrafficRoute,
 } from "../../../protocol/index.js";
 
-/** A backend server's announcement with what the test doesn't care about filled in. */
+/** A backend server's announcement, with defaults for the fields that a test doesn't set. */
 export function announced(given: Partial<Announced> & { readonly id: string; }): Announced {
     return {
         service: "pool",
@@ -20,7 +20,7 @@
     };
 }
 
-/** Engines of one pool: so many for each stage. */
+/** Announcements of one pool's engines, with the given number for each stage. */
 export function engines(prefill: number, decode: number): Announced[] {
     const of = (stage: "prefill" | "decode", count: number): Announced[] => {
         return Array.from({ length: count }, (_, number) => {
@@ -31,10 +31,10 @@
     return [...of("prefill", prefill), ...of("decode", decode)];
 }
 
-/** What the engines of the test's pool have in common. */
+/** The rule of the test pool's engines. */
 export const rule: EngineRule = { slots: 96, cacheTokens: 34_000, handleLife: 500, stageSwitch: 6_000 };
 
-/** A configuration with that pool and nothing else. */
+/** A configuration with only that pool. */
 export const poolTraffic: Traffic = {
     version: 1,
     routes: [],
@@ -42,7 +42,7 @@
     limits: { headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1 },
 };
 
-/** A usual demand: 3,200 tokens in, 900 out, its first event due in 900 ms. */
+/** A typical placement request: 3,200 prompt tokens, 900 tokens of answer, first event due within 900 ms. */
 export function demand(attempt: string, given: Partial<PlaceDemand> = {}): PlaceDemand {
     return {
         attempt,
@@ -60,17 +60,17 @@
     };
 }
 
-/** Attempts that were placed by the decisions. */
+/** Attempts that the decisions place. */
 export function placed(decisions: readonly PlaceDecision[]): string[] {
     return decisions.filter(decision => decision.kind === "placed").map(decision => decision.attempt);
 }
 
-/** Attempts that were refused by the decisions. */
+/** Attempts that the decisions refuse. */
 export function refused(decisions: readonly PlaceDecision[]): string[] {
     return decisions.filter(decision => decision.kind === "refused").map(decision => decision.attempt);
 }
 
-/** A route with what the test doesn't care about filled in. */
+/** A route, with defaults for the fields that a test doesn't set. */
 export function route(given: Partial<TrafficRoute>): TrafficRoute {
     return {
         name: "r",
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/linkQuality.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/linkQuality.spec.ts
@@ -1,15 +1,15 @@
 import { expect } from "chai";
 import type { LinkStalls } from "../../../protocol/index.js";
-import { EnginePlaces } from "../enginePlaces.js";
 import { placingForAll } from "../enginePool.js";
 import { LinkQuality, PauseWatch, stallRateOf } from "../linkQuality.js";
+import { EnginePlaces } from "../placementQueue.js";
 import { ServerChoice } from "../serverChoice.js";
 import { announced, demand, rule } from "./fakes.js";
 
 const domains = ["near", "far", "other"] as const;
-/** Milliseconds between two events of a stream, and of one whose packet was lost. */
-const usualPause = 50;
-const lostPause = 290;
+/** Milliseconds between two events of a stream, normally and if a packet is lost. */
+const typicalPause = 50;
+const packetLossPause = 290;
 
 function engine(failureDomain: string, number: number): ReturnType<typeof announced> {
     return announced({
@@ -20,14 +20,14 @@
     });
 }
 
-/** Streams of two engines of each domain for a while; every so many events from a domain one stalls. */
-function played(
+/** Simulates the streams of two engines of each domain; `stallEvery`: number of events per stall for a domain. */
+function simulateStreams(
     stallEvery: Partial<Record<string, number>>,
     milliseconds: number,
     links = LinkQuality.create(),
 ): LinkQuality {
     let count = 0;
-    for (let now = 0; now < milliseconds; now += usualPause) {
+    for (let now = 0; now < milliseconds; now += typicalPause) {
         for (const domain of domains) {
             for (const number of [0, 1]) {
                 count += 1;
@@ -39,15 +39,15 @@
     return links;
 }
 
-// Symptom: a gateway's streams are late by single pauses of 200 ms and more, while first events are in time.
-// Sequence: the links of its failure domain lose 4 packets in 100; engines are chosen by how full they are.
-// Cause: nothing looked at where the gateway stands, or at the pauses in what it passes on.
-describe("the quality of links", () => {
-    it("is told by pauses that are longer than a run's own usual ones", () => {
+// Guards against streams that are late by single pauses of 200 ms and more, while first events are in time: the links of the
+// gateway's failure domain lose 4 packets in 100, and engines used to be selected by their load only, without regard to the
+// gateway's failure domain or the pauses in its streams.
+describe("link quality", () => {
+    it("counts pauses as stalls that are longer than a run's typical pause", () => {
         const pauses = PauseWatch.create();
         let now = 0;
         const after = (pause: number): boolean => pauses.event(now += pause);
-        expect([after(0), after(usualPause), after(usualPause), after(lostPause), after(1)]).to.deep.equal([
+        expect([after(0), after(typicalPause), after(typicalPause), after(packetLossPause), after(1)]).to.deep.equal([
             false,
             false,
             false,
@@ -57,36 +57,36 @@
         const slow = PauseWatch.create();
         now = 0;
         const stalls = Array.from({ length: 20 }, () => slow.event(now += 280)).filter(stalled => stalled);
-        expect(stalls, "a slow engine's usual pauses").to.deep.equal([]);
+        expect(stalls, "a slow engine's typical pauses").to.deep.equal([]);
     });
 
-    it("finds the domains whose links stall within two seconds", () => {
-        const stalls = played({ far: 25, other: 25 }, 2_000).stalls(2_000);
+    it("detects the domains whose links stall within two seconds", () => {
+        const stalls = simulateStreams({ far: 25, other: 25 }, 2_000).stalls(2_000);
         expect(stalls.map(({ failureDomain }) => failureDomain)).to.deep.equal(["far", "other"]);
         stalls.forEach(({ rate }) => expect(rate).to.be.within(0.004, 0.05));
     });
 
-    it("says nothing where all domains stall alike, or one engine does", () => {
-        expect(played({ near: 25, far: 25, other: 25 }, 4_000).stalls(4_000)).to.deep.equal([]);
-        const links = played({}, 1_000);
-        for (let now = 1_000; now < 2_000; now += usualPause) {
+    it("reports no domain if all stall equally often, or only one engine stalls", () => {
+        expect(simulateStreams({ near: 25, far: 25, other: 25 }, 4_000).stalls(4_000)).to.deep.equal([]);
+        const links = simulateStreams({}, 1_000);
+        for (let now = 1_000; now < 2_000; now += typicalPause) {
             links.event(engine("far", 0), true, now);
         }
         expect(links.stalls(2_000)).to.deep.equal([]);
-        const lonely = LinkQuality.create();
-        for (let now = 0; now < 4_000; now += usualPause) {
-            domains.forEach(domain => lonely.event(engine(domain, 0), domain === "far" && now % 400 === 0, now));
+        const single = LinkQuality.create();
+        for (let now = 0; now < 4_000; now += typicalPause) {
+            domains.forEach(domain => single.event(engine(domain, 0), domain === "far" && now % 400 === 0, now));
         }
-        expect(lonely.stalls(4_000), "a domain with one engine").to.deep.equal([]);
+        expect(single.stalls(4_000), "a domain with one engine").to.deep.equal([]);
     });
 
-    it("is forgotten with time, and engines that are gone with it", () => {
-        const links = played({ far: 25 }, 3_000);
+    it("expires over time, also for engines that are gone", () => {
+        const links = simulateStreams({ far: 25 }, 3_000);
         expect(stallRateOf(links.stalls(3_000), "far")).to.be.above(0.004);
         expect(links.stalls(200_000)).to.deep.equal([]);
     });
 
-    it("is learned on links of other figures too: few streams, rare losses, engines that are slow by themselves", () => {
+    it("detects stalls with few streams, rare losses and engines that are slow by themselves as well", () => {
         const links = LinkQuality.create();
         for (let now = 0; now < 12_000; now += 200) {
             const number = Math.floor(now / 200);
@@ -99,26 +99,26 @@
     });
 });
 
-describe("placing for a gateway whose links lose packets", () => {
+describe("placement for a gateway whose links lose packets", () => {
     function pool(): EnginePlaces {
-        const places = EnginePlaces.create(placingForAll);
-        const readers = domains.map((failureDomain, number) => {
+        const queue = EnginePlaces.create(placingForAll);
+        const prefills = domains.map((failureDomain, number) => {
             const address = `10.0.1.${number}:1`;
-            return announced({ id: `reader-${failureDomain}`, failureDomain, stage: "prefill", address });
+            return announced({ id: `prefill-${failureDomain}`, failureDomain, stage: "prefill", address });
         });
-        const runners = domains.flatMap(domain => [engine(domain, 0), engine(domain, 1)]);
-        places.setEngines([...readers, ...runners], rule);
-        return places;
+        const decodes = domains.flatMap(domain => [engine(domain, 0), engine(domain, 1)]);
+        queue.setEngines([...prefills, ...decodes], rule);
+        return queue;
     }
 
-    const lossy = [{ failureDomain: "far", rate: 0.02 }, { failureDomain: "other", rate: 0.02 }];
+    const lossyLinks = [{ failureDomain: "far", rate: 0.02 }, { failureDomain: "other", rate: 0.02 }];
 
-    function placedAt(places: EnginePlaces, count: number, linkStalls: LinkStalls): string[] {
+    function placementDomains(queue: EnginePlaces, count: number, linkStalls: LinkStalls): string[] {
         return Array.from({ length: count }, (_, number) => {
-            const decisions = places.ask(demand(`d-${number}`, { linkStalls }), number);
-            // Prompts that queue send the rest elsewhere, whatever the links are like.
+            const decisions = queue.ask(demand(`d-${number}`, { linkStalls }), number);
+            // Otherwise the queue of prompts would move the other requests elsewhere, whatever the links are like.
             if (linkStalls.length > 0) {
-                places.prefilled(`d-${number}`, number);
+                queue.prefilled(`d-${number}`, number);
             }
             return decisions;
         })
@@ -126,19 +126,19 @@
             .map(decision => decision.kind === "placed" ? decision.decode.split("-")[0]! : "refused");
     }
 
-    it("takes the engines beside it while these have room, and the others then", () => {
+    it("uses engines in its own domain while they have room, and then the others", () => {
         const near = 16;
-        expect(new Set(placedAt(pool(), near, lossy))).to.deep.equal(new Set(["near"]));
-        expect(placedAt(pool(), near + 6, lossy).slice(-3)).not.to.include("refused");
-        expect(new Set(placedAt(pool(), near + 6, lossy)).size).to.be.above(1);
+        expect(new Set(placementDomains(pool(), near, lossyLinks))).to.deep.equal(new Set(["near"]));
+        expect(placementDomains(pool(), near + 6, lossyLinks).slice(-3)).not.to.include("refused");
+        expect(new Set(placementDomains(pool(), near + 6, lossyLinks)).size).to.be.above(1);
     });
 
-    it("spreads over all where links are sound", () => {
-        expect(new Set(placedAt(pool(), 12, [])).size).to.equal(3);
+    it("spreads over all domains if the links are healthy", () => {
+        expect(new Set(placementDomains(pool(), 12, [])).size).to.equal(3);
     });
 
-    it("has plain requests answered beside it too, until that server is loaded", () => {
-        const links = played({ far: 25, other: 25 }, 4_000);
+    it("sends plain requests to the server in its own domain until that one is loaded", () => {
+        const links = simulateStreams({ far: 25, other: 25 }, 4_000);
         const choice = ServerChoice.create("near", links);
         const servers = domains.map(domain => announced({ id: domain, failureDomain: domain }));
         const chosen = Array.from({ length: 6 }, () => {
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/membershipOfServers.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/membershipOfServers.spec.ts
@@ -4,46 +4,45 @@
 import { announced } from "./fakes.js";
 
 describe("announcements", () => {
-    it("are passed on only where they say something new", () => {
-        const heard = Announcements.create(1_000);
-        expect(heard.take(announced({ id: "i", sequence: 1 }), 0)).to.equal(true);
-        expect(heard.take(announced({ id: "i", sequence: 2 }), 1_000)).to.equal(false);
-        expect(heard.take(announced({ id: "i", sequence: 3, state: "draining" }), 2_000)).to.equal(true);
-        expect(heard.since(1).map(one => one.state)).to.deep.equal(["draining"]);
-    });
-
-    // Symptom: a server that said it drains gets work again.
-    // Sequence: its heartbeat of before is held up by a cut and comes after the one that says so.
-    it("that are late change nothing", () => {
-        const heard = Announcements.create(1_000);
-        heard.take(announced({ id: "i", sequence: 5, state: "draining" }), 0);
-        expect(heard.take(announced({ id: "i", sequence: 4, state: "ready" }), 10)).to.equal(false);
-        expect(heard.since(0)[0]).to.include({ state: "draining" });
-    });
-
-    it("end with leaving, also of a server that was never heard here", () => {
-        const heard = Announcements.create(1_000);
-        expect(heard.leave("i", 0)).to.equal(true);
-        expect(heard.take(announced({ id: "i", sequence: 9 }), 10)).to.equal(false);
-        expect(heard.since(0).map(one => [one.id, one.state])).to.deep.equal([["i", "left"]]);
-    });
-
-    it("turn silent after some missed heartbeats, once, and come back", () => {
-        const heard = Announcements.create(1_000);
-        heard.take(announced({ id: "i", sequence: 1 }), 0);
-        expect(heard.markSilent(2_500)).to.equal(false);
-        expect(heard.markSilent(3_500)).to.equal(true);
-        expect(heard.markSilent(3_600)).to.equal(false);
-        expect(heard.take(announced({ id: "i", sequence: 2 }), 4_000)).to.equal(true);
+    it("are forwarded only if they contain a change", () => {
+        const announcements = Announcements.create(1_000);
+        expect(announcements.take(announced({ id: "i", sequence: 1 }), 0)).to.equal(true);
+        expect(announcements.take(announced({ id: "i", sequence: 2 }), 1_000)).to.equal(false);
+        expect(announcements.take(announced({ id: "i", sequence: 3, state: "draining" }), 2_000)).to.equal(true);
+        expect(announcements.since(1).map(one => one.state)).to.deep.equal(["draining"]);
+    });
+
+    // Guards against a draining server that receives requests again: a network partition delays an earlier heartbeat until
+    // after the one that announces draining.
+    it("change nothing if they are older than the known one", () => {
+        const announcements = Announcements.create(1_000);
+        announcements.take(announced({ id: "i", sequence: 5, state: "draining" }), 0);
+        expect(announcements.take(announced({ id: "i", sequence: 4, state: "ready" }), 10)).to.equal(false);
+        expect(announcements.since(0)[0]).to.include({ state: "draining" });
+    });
+
+    it("end when the server leaves, even if it never sent a heartbeat here", () => {
+        const announcements = Announcements.create(1_000);
+        expect(announcements.leave("i", 0)).to.equal(true);
+        expect(announcements.take(announced({ id: "i", sequence: 9 }), 10)).to.equal(false);
+        expect(announcements.since(0).map(one => [one.id, one.state])).to.deep.equal([["i", "left"]]);
+    });
+
+    it("become silent once after some missed heartbeats, and ready again with the next one", () => {
+        const announcements = Announcements.create(1_000);
+        announcements.take(announced({ id: "i", sequence: 1 }), 0);
+        expect(announcements.markSilent(2_500)).to.equal(false);
+        expect(announcements.markSilent(3_500)).to.equal(true);
+        expect(announcements.markSilent(3_600)).to.equal(false);
+        expect(announcements.take(announced({ id: "i", sequence: 2 }), 4_000)).to.equal(true);
     });
 });
 
-// Symptom: after a directory was paused for two seconds no engine was ready for the rest of the day.
-// Sequence: the engines' heartbeats go to a second directory meanwhile, and then to the first one again. The second one
-// misses them and says so; the first one hears them all the time, and has nothing new to say.
-// Cause: a heartbeat without news goes nowhere, so nobody contradicts the silence.
+// Guards against a pool without any ready engine after a directory was paused for two seconds. Meanwhile the engines send
+// their heartbeats to a second directory, and later to the first one again. The second one announces them as silent; the
+// first one receives heartbeats without a change, which aren't forwarded, so that nothing corrects the silent state.
 describe("the silence of a backend server at one directory", () => {
-    const moved = (): { readonly first: Announcements; readonly second: Announcements; } => {
+    const movedServer = (): { readonly first: Announcements; readonly second: Announcements; } => {
         const first = Announcements.create(1_000);
         const second = Announcements.create(1_000);
         first.take(announced({ id: "i", sequence: 1 }), 0);
@@ -55,84 +54,84 @@
         return { first, second };
     };
 
-    it("is contradicted by another directory that hears it", () => {
-        const { first, second } = moved();
-        const [word] = second.since(0);
+    it("is refuted by another directory that receives its heartbeats", () => {
+        const { first, second } = movedServer();
+        const [silent] = second.since(0);
         const before = first.newest();
-        expect([word!.state, first.refutes(word!)]).to.deep.equal(["silent", true]);
+        expect([silent!.state, first.refutes(silent!)]).to.deep.equal(["silent", true]);
         const table = InstanceTable.create();
         [...second.since(0), ...first.since(before)].forEach(one => table.take(one));
         expect(table.all().map(one => one.state)).to.deep.equal(["ready"]);
     });
 
-    it("stands where nobody has heard it since, or all miss it", () => {
-        const { first, second } = moved();
-        const [word] = second.since(0);
-        expect(first.refutes({ ...word!, sequence: 8 })).to.equal(false);
+    it("remains if no directory has a newer heartbeat, or all have missed it", () => {
+        const { first, second } = movedServer();
+        const [silent] = second.since(0);
+        expect(first.refutes({ ...silent!, sequence: 8 })).to.equal(false);
         first.markSilent(20_000);
-        expect(first.refutes(word!)).to.equal(false);
-        expect(second.refutes(word!)).to.equal(false);
+        expect(first.refutes(silent!)).to.equal(false);
+        expect(second.refutes(silent!)).to.equal(false);
     });
 });
 
-// Symptom: for a second after a loss of power everywhere all work goes to the first backend server that is heard of.
-// Sequence: directories start again and know nobody; heartbeats come in one by one over their interval.
-describe("backend servers that are remembered over a restart of their directories", () => {
-    const recalled = (): Announcements => {
-        const heard = Announcements.create(1_000);
-        ["i", "j"].forEach(id => heard.recall(announced({ id, sequence: 40 }), 0));
-        return heard;
+// Guards against all requests going to the first backend servers that send a heartbeat, for a second after a power loss of
+// all hosts: directories restart without any known server, and heartbeats arrive one by one over their interval.
+describe("backend servers that are restored after a restart of their directories", () => {
+    const restored = (): Announcements => {
+        const announcements = Announcements.create(1_000);
+        ["i", "j"].forEach(id => announcements.recall(announced({ id, sequence: 40 }), 0));
+        return announcements;
     };
 
-    // Symptom: after a restart of all directories each tells each gateway every server that any of them had heard.
-    // Cause: what a directory remembered was what it believed, in place of what it had heard itself: the words of a thousand
-    // servers are 130 KB, and came to each gateway as often as there are directories.
-    it("are those that the directory heard itself, or remembered already", () => {
-        const heard = Announcements.create(1_000);
-        heard.take(announced({ id: "own", sequence: 1 }), 0);
-        heard.take(announced({ id: "draining", sequence: 1, state: "draining" }), 0);
-        heard.recall(announced({ id: "recalled", sequence: 1 }), 0);
-        heard.recall(announced({ id: "elsewhere", sequence: 1 }), 0);
-        heard.confirm(announced({ id: "elsewhere", sequence: 2 }));
-        heard.leave("left", 0);
-        expect(heard.memorable().map(({ id }) => id)).to.deep.equal(["own", "draining", "recalled"]);
-    });
-
-    it("are told at once, and again with their first heartbeat", () => {
-        const heard = recalled();
-        expect(heard.since(0).map(one => [one.id, one.state])).to.deep.equal([["i", "ready"], ["j", "ready"]]);
-        expect(heard.take(announced({ id: "i", sequence: 41 }), 500)).to.equal(true);
-        expect(heard.take(announced({ id: "i", sequence: 42 }), 1_500)).to.equal(false);
-    });
-
-    it("are silent after two heartbeats that didn't come", () => {
-        const heard = recalled();
-        heard.take(announced({ id: "i", sequence: 41 }), 500);
-        expect(heard.markSilent(1_900)).to.equal(false);
-        expect(heard.markSilent(2_100)).to.equal(true);
-        expect(heard.since(0).map(one => [one.id, one.state])).to.deep.include(["j", "silent"]);
-    });
-
-    it("aren't called silent where another directory hears them", () => {
-        const heard = recalled();
-        heard.confirm(announced({ id: "j", sequence: 41 }));
-        heard.confirm(announced({ id: "i", sequence: 40 }));
-        expect(heard.markSilent(2_100)).to.equal(true);
-        expect(heard.since(0).map(one => [one.id, one.state])).to.deep.equal([["i", "silent"]]);
+    // Guards against each directory sending each gateway the servers of all directories after a restart: a directory used to
+    // store all servers that it knew, not only those that sent it heartbeats. The announcements of a thousand servers are
+    // 130 KB, and each gateway received them from every directory.
+    it("are those that sent heartbeats to this directory, or were restored before", () => {
+        const announcements = Announcements.create(1_000);
+        announcements.take(announced({ id: "own", sequence: 1 }), 0);
+        announcements.take(announced({ id: "draining", sequence: 1, state: "draining" }), 0);
+        announcements.recall(announced({ id: "restored", sequence: 1 }), 0);
+        announcements.recall(announced({ id: "elsewhere", sequence: 1 }), 0);
+        announcements.confirm(announced({ id: "elsewhere", sequence: 2 }));
+        announcements.leave("left", 0);
+        expect(announcements.memorable().map(({ id }) => id)).to.deep.equal(["own", "draining", "restored"]);
+    });
+
+    it("are announced at once, and again with their first heartbeat", () => {
+        const announcements = restored();
+        expect(announcements.since(0).map(one => [one.id, one.state])).to.deep.equal([["i", "ready"], ["j", "ready"]]);
+        expect(announcements.take(announced({ id: "i", sequence: 41 }), 500)).to.equal(true);
+        expect(announcements.take(announced({ id: "i", sequence: 42 }), 1_500)).to.equal(false);
+    });
+
+    it("are silent after two missed heartbeats", () => {
+        const announcements = restored();
+        announcements.take(announced({ id: "i", sequence: 41 }), 500);
+        expect(announcements.markSilent(1_900)).to.equal(false);
+        expect(announcements.markSilent(2_100)).to.equal(true);
+        expect(announcements.since(0).map(one => [one.id, one.state])).to.deep.include(["j", "silent"]);
+    });
+
+    it("aren't marked silent if another directory receives their heartbeats", () => {
+        const announcements = restored();
+        announcements.confirm(announced({ id: "j", sequence: 41 }));
+        announcements.confirm(announced({ id: "i", sequence: 40 }));
+        expect(announcements.markSilent(2_100)).to.equal(true);
+        expect(announcements.since(0).map(one => [one.id, one.state])).to.deep.equal([["i", "silent"]]);
     });
 });
 
-describe("the table of instances", () => {
-    it("goes by the highest sequence number, whichever directory it came from", () => {
+describe("InstanceTable", () => {
+    it("uses the highest sequence number, whichever directory sent it", () => {
         const table = InstanceTable.create();
         table.take(announced({ id: "i", sequence: 4, state: "draining" }));
         table.take(announced({ id: "i", sequence: 3, state: "ready" }));
         expect(table.usable("pool")).to.deep.equal([]);
     });
 
-    // Symptom: a sound server gets no work.
-    // Sequence: it changes the directory that it reports to; the first one hears no more and calls it silent.
-    it("doesn't take the silence at one directory for more than what another heard since", () => {
+    // Guards against a healthy server that receives no requests: it sends its heartbeats to another directory, and the previous
+    // one announces it as silent.
+    it("ignores the silence at one directory if another has a newer heartbeat", () => {
         const table = InstanceTable.create();
         table.take(announced({ id: "i", sequence: 4 }));
         table.take(announced({ id: "i", sequence: 5 }));
@@ -140,7 +139,7 @@
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["i"]);
     });
 
-    it("uses silent ones only where no other is left", () => {
+    it("uses silent servers only if no other is left", () => {
         const table = InstanceTable.create();
         table.take(announced({ id: "i", sequence: 1, state: "silent" }));
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["i"]);
@@ -148,10 +147,9 @@
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["j"]);
     });
 
-    // Symptom: half of the requests to a server that was restarted are turned away for seconds.
-    // Sequence: it crashes, and is back at its address as another incarnation; the one before still seems ready.
-    // Cause: only missed heartbeats told that an incarnation had ended.
-    it("doesn't use one at whose address another one was heard of later", () => {
+    // Guards against half of the requests to a restarted server being rejected for seconds: after a crash it runs at the same
+    // address as a new incarnation, while the previous one appears ready until it has missed its heartbeats.
+    it("doesn't use an incarnation if another was announced later at its address", () => {
         const table = InstanceTable.create();
         table.take(announced({ id: "old", sequence: 7 }));
         expect(table.take(announced({ id: "new", sequence: 1 }))).to.equal(true);
@@ -159,21 +157,21 @@
         expect(table.all().map(one => one.state)).to.deep.equal(["silent", "ready"]);
     });
 
-    // Symptom: a sound server gets no work any more.
-    // Sequence: the heartbeat of its predecessor at the address is held up by a cut and comes after its own first one.
-    it("uses the one that is really there again once the other one falls silent or is found ended", () => {
+    // Guards against a healthy server that receives no requests any more: a network partition delays a heartbeat of the
+    // previous server at its address until after its own first one.
+    it("uses the running incarnation again once the other one is silent or has ended", () => {
         const table = InstanceTable.create();
         table.take(announced({ id: "live", sequence: 1 }));
-        table.take(announced({ id: "ghost", sequence: 40 }));
-        expect(table.usable("pool").map(one => one.id)).to.deep.equal(["ghost"]);
-        table.take(announced({ id: "ghost", sequence: 40, state: "silent" }));
+        table.take(announced({ id: "outdated", sequence: 40 }));
+        expect(table.usable("pool").map(one => one.id)).to.deep.equal(["outdated"]);
+        table.take(announced({ id: "outdated", sequence: 40, state: "silent" }));
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["live"]);
-        table.take(announced({ id: "other ghost", sequence: 3 }));
-        table.end("other ghost");
+        table.take(announced({ id: "other outdated", sequence: 3 }));
+        table.end("other outdated");
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["live"]);
     });
 
-    it("never brings one back that left or whose address another one has", () => {
+    it("never restores an incarnation that left or was ended", () => {
         const table = InstanceTable.create();
         table.take(announced({ id: "i", sequence: 1 }));
         table.take(announced({ id: "i", sequence: 0, state: "left" }));
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/outlierDetector.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/outlierDetector.spec.ts
@@ -8,28 +8,28 @@
 const domains = ["a", "b", "c", "d", "e"];
 const servers = domains.map(domain => announced({ id: `server-${domain}`, service: "s", failureDomain: domain }));
 const none = new Set<string>();
-/** Milliseconds that a sound call takes, after which callers give a hanging one up, and between two accounts. */
+/** Milliseconds of a successful call, of a hanging call until its caller's timeout, and between two reports of call counts. */
 const callTime = 86;
-const patience = 2_000;
-const interval = 500;
+const callerTimeout = 2_000;
+const reviewInterval = 500;
 
 type Gateway = { readonly choice: ServerChoice; readonly tally: CallTally; };
-type Ending = { readonly at: number; readonly end: () => void; };
+type CallEnding = { readonly at: number; readonly end: () => void; };
 
 /**
- * Plays requests at 191 gateways before five servers, 135 a second, of which one hangs from 2 s on. Gives the part of
- * the later requests that were sent to it.
+ * Simulates 135 requests a second at 191 gateways in front of five servers, one of which hangs after 2 s. Returns the
+ * fraction of the later requests that were sent to it.
  */
-function partAtHanging(isShared: boolean): number {
+function hangingServerRatio(isShared: boolean): number {
     const detector = OutlierDetector.create();
     let ejected: readonly string[] = [];
     const gateways = Array.from({ length: 191 }, (_, number): Gateway => ({
         choice: ServerChoice.create(domains[number % 5]!, undefined, () => isShared ? ejected : []),
         tally: CallTally.create(),
     }));
-    let endings: Ending[] = [];
-    let asked = 0;
-    let lost = 0;
+    let endings: CallEnding[] = [];
+    let sentCalls = 0;
+    let hungCalls = 0;
     const end = (gateway: Gateway, server: Announced, open: OpenCall, hung: boolean, now: number): void => {
         const outcome = hung ? "failed" : "answered";
         gateway.choice.ended(server, outcome, now - open.startedAt, now);
@@ -38,11 +38,11 @@
     const call = (gateway: Gateway, now: number): void => {
         const server = gateway.choice.choose(servers, none, now)!;
         const hangs = now > 2_000 && server.id === "server-b";
-        asked += now > 2_000 ? 1 : 0;
-        lost += hangs ? 1 : 0;
+        sentCalls += now > 2_000 ? 1 : 0;
+        hungCalls += hangs ? 1 : 0;
         gateway.choice.began(server.id);
         const open = gateway.tally.began(server, now);
-        const at = now + (hangs ? patience : callTime);
+        const at = now + (hangs ? callerTimeout : callTime);
         endings.push({ at, end: () => end(gateway, server, open, hangs, at) });
     };
     for (let now = 0; now < 10_000; now += 10) {
@@ -51,33 +51,31 @@
         if (now % 30 !== 0) {
             Array.from({ length: 2 }, (_, number) => call(gateways[(now * 7 + number * 89) % 191]!, now));
         }
-        if (now % interval === 0) {
+        if (now % reviewInterval === 0) {
             gateways.forEach(({ tally }) => detector.note(tally.take(now), now));
             detector.review(now);
             ejected = detector.ejected();
         }
     }
-    return lost / asked;
+    return hungCalls / sentCalls;
 }
 
 function calls(id: string, answered: number, failed: number): ServerCalls {
     return { id, service: "s", answered, failed };
 }
 
-describe("what all gateways tell of plain services' servers", () => {
-    // Symptom: for as long as one of five servers hangs, a good part of the requests is lost there, though each gateway
-    // shuns it once it has met it.
-    // Sequence: 191 gateways, each with a request in 1.4 s; each meets the server by itself, and forgets it after seconds.
-    // Cause: what one gateway learned of a server stayed there.
-    it("keeps requests off a server that hangs at other gateways", () => {
-        const alone = partAtHanging(false);
-        const shared = partAtHanging(true);
-        expect(alone).to.be.above(0.1);
+describe("OutlierDetector", () => {
+    // Guards against the loss of many requests for as long as one of five servers hangs. Without shared call counts, each of
+    // 191 gateways, with a request in 1.4 s, detects the server by itself, avoids it, and forgets it after some seconds.
+    it("keeps requests away from a server whose calls hang at other gateways", () => {
+        const local = hangingServerRatio(false);
+        const shared = hangingServerRatio(true);
+        expect(local).to.be.above(0.1);
 
-        expect(shared).to.be.below(alone / 2);
+        expect(shared).to.be.below(local / 2);
     });
 
-    it("ejects a server that fails far more than the others do, and not all that fail alike", () => {
+    it("ejects a server that fails far more often than the others, and none if all fail equally often", () => {
         const detector = OutlierDetector.create();
         detector.note([calls("x", 20, 20), calls("y", 38, 3), calls("z", 40, 2)], 1_000);
         expect(detector.review(1_000)).to.equal(true);
@@ -94,7 +92,7 @@
         expect(detector.ejected().length).to.equal(2);
     });
 
-    it("lets a server be tried again after some seconds without calls", () => {
+    it("allows calls to an ejected server again after some seconds without calls", () => {
         const detector = OutlierDetector.create();
         detector.note([calls("x", 0, 12), calls("y", 40, 0)], 0);
         detector.review(0);
@@ -103,7 +101,7 @@
         expect(detector.ejected()).to.deep.equal([]);
     });
 
-    it("counts a call that stays open once, and none whose caller went away", () => {
+    it("counts a hanging call once, and not a call whose caller disconnected", () => {
         const tally = CallTally.create();
         const hung = tally.began(servers[0]!, 0);
         tally.dropped(tally.began(servers[1]!, 0));
--- /dev/null
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/placementQueue.spec.ts
@@ -0,0 +1,288 @@
+import { expect } from "chai";
+import * as fc from "fast-check";
+import type { PlaceDecision } from "../../../protocol/index.js";
+import { EnginePlaces } from "../placementQueue.js";
+import { announced, demand, engines, placed, refused, rule } from "./fakes.js";
+
+function pool(prefill: number, decode: number, share = 1): EnginePlaces {
+    const queue = EnginePlaces.create({ fill: 1, share });
+    queue.setEngines(engines(prefill, decode), rule);
+    return queue;
+}
+
+/** Time for which a run occupies its engine. */
+const runMilliseconds = 3_200;
+
+type ReplayOutcome = {
+    readonly waited: Map<string, number>;
+    readonly refusedAfter: Map<string, number>;
+    readonly most: number;
+};
+
+/** Simulates arrivals, one every `gapAt(time)` ms, of runs that each end after `runMilliseconds`. */
+function replay(queue: EnginePlaces, length: number, gapAt: (time: number) => number): ReplayOutcome {
+    const waited = new Map<string, number>();
+    const refusedAfter = new Map<string, number>();
+    const arrivedAt = new Map<string, number>();
+    const ends: { readonly at: number; readonly attempt: string; }[] = [];
+    let most = 0;
+    let next = 0;
+    const take = (decisions: readonly PlaceDecision[], now: number): void => {
+        for (const decision of decisions) {
+            const after = now - arrivedAt.get(decision.attempt)!;
+            if (decision.kind === "placed") {
+                waited.set(decision.attempt, after);
+                ends.push({ at: now + runMilliseconds, attempt: decision.attempt });
+            }
+            else {
+                refusedAfter.set(decision.attempt, after);
+            }
+        }
+    };
+    for (let now = 0; now < length; now += 5) {
+        while (ends.length > 0 && ends[0]!.at <= now) {
+            take(queue.release(ends.shift()!.attempt, {}, now), now);
+        }
+        for (; next <= now; next += gapAt(next)) {
+            const attempt = `at-${Math.round(next)}`;
+            arrivedAt.set(attempt, now);
+            take(queue.ask(demand(attempt), now), now);
+        }
+        take(queue.review(now), now);
+        most = Math.max(most, ...queue.standing().heldTokens.values());
+    }
+    return { waited, refusedAfter, most };
+}
+
+describe("the placement queue", () => {
+    it("places a request at once while there is room, at a prefill and a decode engine in one failure domain", () => {
+        const [decision] = pool(3, 3).ask(demand("one"), 0);
+        expect(decision).to.include({ kind: "placed", attempt: "one" });
+        const { prefill, decode } = decision as Extract<PlaceDecision, { kind: "placed"; }>;
+        expect(prefill!.split("-")[1]).to.equal(decode.split("-")[1]);
+    });
+
+    it("never allocates more of an engine's KV cache than it has, in a burst of twice the load", () => {
+        const { most } = replay(pool(3, 10), 20_000, time => time > 5_000 && time < 9_000 ? 38 : 80);
+        expect(most).to.be.at.most(rule.cacheTokens);
+    });
+
+    // Load: 12.5 requests a second, and 26 a second for 4 s, on 10 engines with room for 80 runs of 3.2 s: 25 a second.
+    it("serves most of a burst in time, and refuses no request that can still be served", () => {
+        const { waited, refusedAfter } = replay(pool(3, 10), 20_000, time => time > 5_000 && time < 9_000 ? 38 : 80);
+        const late = [...waited.values()].filter(wait => wait > 700).length;
+        expect(refusedAfter.size).to.equal(0);
+        expect(late / waited.size).to.be.below(0.1);
+    });
+
+    // Load: twice the capacity of the pool, for 12 s. A request that waits beyond its caller's timeout is lost.
+    it("refuses early during a lasting overload, and serves the others before their timeout", () => {
+        const { waited, refusedAfter } = replay(pool(3, 10), 12_000, () => 20);
+        const late = [...waited.values()].filter(wait => wait > 3_600).length;
+        expect(refusedAfter.size).to.be.above(0);
+        expect(late).to.equal(0);
+        expect(Math.max(...refusedAfter.values())).to.be.below(3_600);
+    });
+
+    it("refuses a request at once that can't be served before its caller's timeout, with a retry-after time", () => {
+        const queue = pool(1, 1);
+        for (let number = 0; number < 8; number++) {
+            queue.ask(demand(`held-${number}`), 0);
+        }
+        const [decision] = queue.ask(demand("hopeless", { patienceWithin: 300 }), 1);
+        expect(decision).to.include({ kind: "refused", attempt: "hopeless" });
+        expect((decision as Extract<PlaceDecision, { kind: "refused"; }>).comeBackIn).to.be.above(0);
+    });
+
+    it("moves requests that can't meet their target behind those that still can", () => {
+        const queue = pool(1, 1);
+        for (let number = 0; number < 8; number++) {
+            queue.ask(demand(`held-${number}`), 0);
+        }
+        queue.ask(demand("late", { targetWithin: -100 }), 1);
+        queue.review(30);
+        queue.ask(demand("early", { targetWithin: 900 }), 31);
+        expect(placed(queue.release("held-0", {}, 60))[0]).to.equal("early");
+    });
+
+    it("lets a small request overtake one that doesn't fit, for a limited time", () => {
+        const queue = pool(1, 1);
+        for (let number = 0; number < 7; number++) {
+            queue.ask(demand(`held-${number}`), 0);
+            // Otherwise the queue of prompts alone makes the large request late, and no engine is reserved for late ones.
+            queue.prefilled(`held-${number}`, 0);
+        }
+        expect(placed(queue.ask(demand("large", { cacheTokens: 6_000 }), 0))).to.deep.equal([]);
+        expect(placed(queue.ask(demand("small", { cacheTokens: 500 }), 40))).to.deep.equal(["small"]);
+        expect(placed(queue.ask(demand("smaller", { cacheTokens: 400 }), 400))).to.deep.equal([]);
+    });
+
+    // Guards against unused room in a burst of twice the capacity while small requests wait that could meet their target: the
+    // least loaded engine is reserved for a large request, although enough room is freed only after its target. The large
+    // request is late anyway, and so are those that were delayed for it.
+    it("lets others overtake a request that would miss its target even with an engine reserved for it", () => {
+        const queue = pool(1, 1);
+        for (let number = 0; number < 8; number++) {
+            queue.ask(demand(`held-${number}`), 0);
+            queue.prefilled(`held-${number}`, 0);
+        }
+        expect(placed(queue.ask(demand("large", { cacheTokens: 15_000 }), 0))).to.deep.equal([]);
+        expect(placed(queue.ask(demand("small", { cacheTokens: 300 }), 400))).to.deep.equal(["small"]);
+    });
+
+    // Guards against wasted prefills: two of ten decode engines rejected 90 runs within 12 s, since placement used their
+    // announcements only. Engines that are ordered to become prefill engines finish their current runs and reject others, but
+    // are announced as decode engines until the change is complete.
+    it("places nothing at an engine that was ordered to change its stage, until the change or the timeout of the order", () => {
+        const queue = pool(1, 2);
+        queue.orderedTo("decode-0", "prefill", 1_000);
+        const decodes = (from: number, now: number): Set<string> => {
+            const decisions = Array.from({ length: 6 }, (_, number) => queue.ask(demand(`p-${from + number}`), now))
+                .flat();
+            return new Set(decisions.map(decision => decision.kind === "placed" ? decision.decode : "none"));
+        };
+        expect([...decodes(0, 0)]).to.deep.equal(["decode-1"]);
+        expect([...decodes(6, 1_001)]).to.include("decode-0");
+    });
+
+    // Guards against first events that are a second late while prompts queue at prefill engines and decode engines are idle.
+    it("lets a decode engine run the prefill itself if the queue of the prefill engines is long", () => {
+        const queue = pool(1, 10);
+        const decisions = Array.from({ length: 14 }, (_, number) => queue.ask(demand(`p-${number}`), 0)).flat();
+        const combined = decisions.filter(decision => decision.kind === "placed" && decision.prefill === undefined);
+        expect(combined.length).to.be.within(3, 12);
+    });
+
+    // Guards against late first events in the seconds after an election, each after a prefill of 0.6 to 1.2 s, although decode
+    // engines have room for prefills as well: gateways placed locally while there was no leader and queued prefills, but the
+    // new leader counts only those that it assigned itself, and sees short queues.
+    it("uses the actual prefill times if others assign prefills to an engine too", () => {
+        const sent = (prefillMilliseconds: number): number => {
+            const queue = pool(2, 10);
+            let atPrefill = 0;
+            for (let number = 0; number < 60; number++) {
+                const now = number * 100;
+                const attempt = `p-${number}`;
+                const [decision] = queue.ask(demand(attempt), now);
+                const { prefill } = decision as Extract<PlaceDecision, { kind: "placed"; }>;
+                atPrefill += prefill === undefined ? 0 : 1;
+                queue.prefilled(attempt, now + (prefill === undefined ? 270 : prefillMilliseconds));
+                queue.release(attempt, {}, now + 1_000);
+            }
+            return atPrefill;
+        };
+        expect(sent(130)).to.equal(60);
+        expect(sent(1_000)).to.be.below(45);
+    });
+
+    it("names no prefill engine if none is ready", () => {
+        const [decision] = pool(0, 2).ask(demand("one"), 0);
+        expect(decision).to.deep.include({ kind: "placed", prefill: undefined });
+    });
+
+    it("keeps requests waiting for a pool without announced engines", () => {
+        const queue = pool(0, 0);
+        expect(queue.ask(demand("one"), 0)).to.deep.equal([]);
+        queue.setEngines(engines(1, 1), rule);
+        expect(placed(queue.review(500))).to.deep.equal(["one"]);
+    });
+
+    it("uses silent engines if no other is left", () => {
+        const queue = pool(0, 0);
+        queue.setEngines(engines(1, 2).map(engine => ({ ...engine, state: "silent" as const })), rule);
+        expect(placed(queue.ask(demand("one"), 0))).to.deep.equal(["one"]);
+        const [silent, ready] = engines(0, 2);
+        queue.setEngines([{ ...silent!, state: "silent" }, ready!], rule);
+        const [decision] = queue.ask(demand("two"), 10);
+        expect(decision).to.include({ kind: "placed", decode: ready!.id });
+    });
+
+    it("refuses requests if no engine is announced after a while", () => {
+        const queue = pool(0, 0);
+        queue.ask(demand("one"), 0);
+        expect(refused(queue.review(2_000))).to.deep.equal(["one"]);
+    });
+
+    it("avoids a failed engine, for the request itself and for a while for all", () => {
+        const queue = pool(1, 2);
+        const first = queue.ask(demand("one"), 0)[0] as Extract<PlaceDecision, { kind: "placed"; }>;
+        queue.release("one", { failed: first.decode }, 10);
+        const again = queue.ask(demand("two", { avoid: [] }), 20)[0] as typeof first;
+        expect(again.decode).not.to.equal(first.decode);
+        const avoiding = queue.ask(demand("three", { avoid: [again.decode] }), 2_000)[0] as typeof first;
+        expect(avoiding.decode).to.equal(first.decode);
+    });
+
+    it("places a resumed run before all that haven't started", () => {
+        const queue = pool(1, 1);
+        for (let number = 0; number < 8; number++) {
+            queue.ask(demand(`held-${number}`), 0);
+        }
+        queue.ask(demand("new"), 1);
+        queue.ask(demand("broken", { resumed: true, targetWithin: -500 }), 2);
+        expect(placed(queue.release("held-0", {}, 30))[0]).to.equal("broken");
+    });
+
+    it("allocates only its share if every gateway places locally", () => {
+        const queue = pool(1, 2, 0.25);
+        const decisions = Array.from({ length: 8 }, (_, number) => queue.ask(demand(`p-${number}`), 0)).flat();
+        expect(placed(decisions).length).to.equal(4);
+    });
+
+    // Guards against a pool that appears full although its engines are idle: the report of a run's end was lost with its
+    // connection, or a gateway crashed.
+    it("releases placements that their gateway doesn't list, and those of a gateway that is gone", () => {
+        const queue = pool(1, 1);
+        queue.ask(demand("known", { gateway: "g" }), 0);
+        queue.ask(demand("lost", { gateway: "g" }), 0);
+        queue.reconcile("g", [{ demand: demand("known", { gateway: "g" }), decode: "decode-0" }], 1_500, 5_000);
+        expect(queue.standing().held).to.equal(1);
+        queue.dropGateway("g", 5_001);
+        expect(queue.standing().held).to.equal(0);
+    });
+
+    it("adds the placements of a previous leader at a new one", () => {
+        const queue = pool(1, 1);
+        const held = Array.from({ length: 8 }, (_, number) => ({ demand: demand(`h-${number}`), decode: "decode-0" }));
+        queue.reconcile("gateway", held, 1_500, 0);
+        expect(placed(queue.ask(demand("next"), 1))).to.deep.equal([]);
+    });
+
+    it("drops an engine's runs with the engine", () => {
+        const queue = pool(1, 1);
+        queue.ask(demand("one"), 0);
+        queue.setEngines([announced({ id: "decode-9", stage: "decode" })], rule);
+        expect(queue.standing().heldTokens.get("decode-9")).to.equal(0);
+    });
+
+    it("holds nothing after all requests have ended, whatever happened in between", () => {
+        const step = fc.record({ kind: fc.constantFrom("ask", "release", "withdraw", "review"), number: fc.nat(30) });
+        fc.assert(
+            fc.property(fc.array(step, { maxLength: 200 }), steps => {
+                const queue = pool(2, 3);
+                steps.forEach(({ kind, number }, at) => {
+                    const now = at * 20;
+                    const attempt = `p-${number}`;
+                    if (kind === "ask") {
+                        queue.ask(demand(attempt), now);
+                    }
+                    else if (kind === "review") {
+                        queue.review(now);
+                    }
+                    else if (kind === "release") {
+                        queue.release(attempt, {}, now);
+                    }
+                    else {
+                        queue.withdraw(attempt, now);
+                    }
+                });
+                for (let number = 0; number <= 30; number++) {
+                    queue.withdraw(`p-${number}`, 10_000);
+                }
+                expect(queue.standing().held).to.equal(0);
+                expect([...queue.standing().heldTokens.values()]).to.deep.equal([0, 0, 0, 0, 0]);
+            }),
+            { seed: 1, numRuns: 200 },
+        );
+    });
+});
--- a/packages/basilpaddle/src/node/coordination/gateway/announcements.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/announcements.ts
@@ -1,33 +1,34 @@
 import type { Announced } from "../../protocol/index.js";
-import { Lifetimes } from "./lifetimes.js";
+import { LatestIncarnations } from "./latestIncarnations.js";
 
-/** Heartbeats that may be missed before a backend server counts as silent. */
-const missedHeartbeats = 3;
-/** Milliseconds for which one that has left is remembered; no word of it is under way for longer. */
-const leftMemory = 60_000;
+/** Number of missed heartbeats after which a backend server counts as silent. */
+const missedHeartbeatLimit = 3;
+/** How long a backend server that has left is remembered; no message about it is in flight for longer. */
+const leftRetentionMilliseconds = 60_000;
 
 /**
- * Heartbeats that a backend server remembered from before a restart of this directory may miss: it sends them here or to
- * another directory as soon as one listens again.
+ * The same limit for a backend server restored after a restart of this directory: it sends its heartbeats to this or
+ * another directory as soon as one accepts connections again.
  */
-const recalledHeartbeats = 2;
+const restoredMissedHeartbeatLimit = 2;
 
-type Heard = {
+type AnnouncementEntry = {
     announced: Announced;
-    number: number;
-    heardAt: number;
-    /** Remembered from before a restart, and not heard of since. */
-    recalled?: boolean;
+    changeNumber: number;
+    receivedAt: number;
+    /** Restored after a restart, with no heartbeat received since. */
+    restored?: boolean;
 };
 
 /**
- * What one directory has heard from backend servers, numbered by change, so that a gateway can ask for what it lacks.
- * A heartbeat that says nothing new changes nothing and goes nowhere: it only puts off the silence.
+ * The announcements that one directory received from backend servers. Changes are numbered, so that a gateway can request
+ * those that it lacks. A heartbeat without a change isn't forwarded: it only renews the time until the server counts as
+ * silent.
  */
 export class Announcements {
-    private readonly heard = new Map<string, Heard>();
-    private readonly lifetimes = Lifetimes.create();
-    private last = 0;
+    private readonly entries = new Map<string, AnnouncementEntry>();
+    private readonly incarnations = LatestIncarnations.create();
+    private lastChangeNumber = 0;
 
     private constructor(private readonly heartbeat: number) {}
 
@@ -36,83 +37,99 @@
         return new Announcements(heartbeat);
     }
 
-    /** Takes a heartbeat; tells whether gateways have to hear of it. */
+    /** Applies a heartbeat; returns whether it has to be forwarded to gateways. */
     take(announced: Announced, now: number): boolean {
-        if (this.lifetimes.isOutdated(announced)) {
+        if (this.incarnations.isOutdated(announced)) {
             return false;
         }
-        const before = this.lifetimes.succeed(announced);
+        const before = this.incarnations.recordLatest(announced);
         if (before !== undefined) {
             this.leave(before, now);
         }
-        const known = this.heard.get(announced.id);
+        const known = this.entries.get(announced.id);
         if (known !== undefined && known.announced.state === "left") {
             return false;
         }
         if (known !== undefined && announced.sequence <= known.announced.sequence) {
-            // A heartbeat that was held up on its way says nothing of the present.
+            // A delayed heartbeat is older than the known state.
             return false;
         }
-        if (known === undefined || known.recalled === true || differs(known.announced, announced)) {
-            this.heard.set(announced.id, { announced, number: this.next(), heardAt: now });
+        if (known === undefined || known.restored === true || differs(known.announced, announced)) {
+            this.entries.set(announced.id, { announced, changeNumber: this.nextChangeNumber(), receivedAt: now });
             return true;
         }
         known.announced = announced;
-        known.heardAt = now;
+        known.receivedAt = now;
         return false;
     }
 
     /**
-     * Takes over what was believed before a restart of this directory. After a loss of power everywhere nobody knows any
-     * backend server until its next heartbeat, more than a second later, and the first ones heard of get the work of all.
+     * Restores an announcement from before a restart of this directory. Without it, after a power loss of all hosts no
+     * backend server is known until its next heartbeat, more than a second later, and the first ones to send one receive
+     * all requests.
      */
     recall(announced: Announced, now: number): void {
-        const heardAt = now - (missedHeartbeats - recalledHeartbeats) * this.heartbeat;
-        this.lifetimes.succeed(announced);
-        this.heard.set(announced.id, { announced, number: this.next(), heardAt, recalled: true });
+        const receivedAt = now - (missedHeartbeatLimit - restoredMissedHeartbeatLimit) * this.heartbeat;
+        this.incarnations.recordLatest(announced);
+        this.entries.set(announced.id, {
+            announced,
+            changeNumber: this.nextChangeNumber(),
+            receivedAt,
+            restored: true,
+        });
     }
 
-    /** Takes what another directory says; what it hears itself needs no memory here, which would soon call it silent. */
+    /**
+     * Applies an announcement from another directory: a backend server that sends it heartbeats needs no restored entry here,
+     * which would soon mark the server silent.
+     */
     confirm(other: Announced): void {
-        const known = this.heard.get(other.id);
-        if (known?.recalled === true && other.state !== "silent" && other.sequence > known.announced.sequence) {
-            this.heard.delete(other.id);
+        const known = this.entries.get(other.id);
+        if (known?.restored === true && other.state !== "silent" && other.sequence > known.announced.sequence) {
+            this.entries.delete(other.id);
         }
     }
 
-    /** Notes that a backend server leaves for good. One that was never heard here is noted too: others may know it. */
+    /**
+     * Marks a backend server as left; returns whether that is a change. One that never sent a heartbeat here is recorded as
+     * well: other directories may know it.
+     */
     leave(id: string, now: number): boolean {
-        const known = this.heard.get(id);
+        const known = this.entries.get(id);
         if (known?.announced.state === "left") {
             return false;
         }
         const announced: Announced = known === undefined
             ? { id, service: "unknown", address: "", failureDomain: "", slots: 0, state: "left", sequence: 0 }
             : { ...known.announced, state: "left" };
-        this.heard.set(id, { announced, number: this.next(), heardAt: now });
+        this.entries.set(id, { announced, changeNumber: this.nextChangeNumber(), receivedAt: now });
         return true;
     }
 
     /**
-     * Lets a backend server get no new work until its next heartbeat says otherwise: word came that it leaves which
-     * doesn't tell of which incarnation, and may be one of the incarnation before that was held up.
+     * Marks a backend server as draining until its next heartbeat. Used for a leave message that doesn't name the
+     * incarnation: it may be a delayed message of the previous one.
      */
     drain(server: Announced, now: number): void {
-        this.heard.set(server.id, { announced: { ...server, state: "draining" }, number: this.next(), heardAt: now });
+        this.entries.set(server.id, {
+            announced: { ...server, state: "draining" },
+            changeNumber: this.nextChangeNumber(),
+            receivedAt: now,
+        });
     }
 
-    /** Marks those that have been silent for too long; tells whether there are any. */
+    /** Marks backend servers without a recent heartbeat as silent; returns whether any was marked. */
     markSilent(now: number): boolean {
         let marked = false;
-        for (const [id, known] of this.heard) {
+        for (const [id, known] of this.entries) {
             const { state } = known.announced;
-            if (state === "left" && now - known.heardAt > leftMemory) {
-                this.heard.delete(id);
+            if (state === "left" && now - known.receivedAt > leftRetentionMilliseconds) {
+                this.entries.delete(id);
             }
-            const silent = now - known.heardAt > missedHeartbeats * this.heartbeat;
+            const silent = now - known.receivedAt > missedHeartbeatLimit * this.heartbeat;
             if (silent && (state === "ready" || state === "draining")) {
                 known.announced = { ...known.announced, state: "silent" };
-                known.number = this.next();
+                known.changeNumber = this.nextChangeNumber();
                 marked = true;
             }
         }
@@ -120,40 +137,41 @@
     }
 
     /**
-     * Takes what another directory says; tells whether it is refuted here and has to be said anew. A backend server that
-     * moved on to this directory is silent at the one before. Its heartbeats say nothing new here and go nowhere, so that
-     * everybody would believe the silence for as long as nothing else changes, and a pool would seem to have no engine.
+     * Checks the announcement of another directory that a backend server is silent; returns whether this directory has a
+     * newer heartbeat and therefore announces the server again. A backend server that switched to this directory is silent
+     * at the previous one. Its heartbeats are no change here and aren't forwarded, so that all gateways would consider it
+     * silent until something else changes, and a pool would appear to have no engine.
      */
     refutes(other: Announced): boolean {
-        const known = this.heard.get(other.id);
-        const isHeard = known !== undefined
+        const known = this.entries.get(other.id);
+        const isPresent = known !== undefined
             && (known.announced.state === "ready" || known.announced.state === "draining");
-        if (other.state !== "silent" || !isHeard || known.announced.sequence <= other.sequence) {
+        if (other.state !== "silent" || !isPresent || known.announced.sequence <= other.sequence) {
             return false;
         }
-        known.number = this.next();
+        known.changeNumber = this.nextChangeNumber();
         return true;
     }
 
-    /** What has changed after the number. */
+    /** Announcements that changed after the given change number. */
     since(number: number): readonly Announced[] {
-        return [...this.heard.values()].filter(known => known.number > number).map(known => known.announced);
+        return [...this.entries.values()].filter(known => known.changeNumber > number).map(known => known.announced);
     }
 
-    /** What is worth remembering across a restart: backend servers that are there, as far as this directory hears them itself. */
+    /** Announcements to keep in the restart cache: ready or draining backend servers that send this directory heartbeats. */
     memorable(): readonly Announced[] {
-        const all = [...this.heard.values()].map(({ announced }) => announced);
+        const all = [...this.entries.values()].map(({ announced }) => announced);
         return all.filter(({ state }) => state === "ready" || state === "draining");
     }
 
-    /** Number of the newest change. */
+    /** Number of the latest change. */
     newest(): number {
-        return this.last;
+        return this.lastChangeNumber;
     }
 
-    private next(): number {
-        this.last += 1;
-        return this.last;
+    private nextChangeNumber(): number {
+        this.lastChangeNumber += 1;
+        return this.lastChangeNumber;
     }
 }
 
--- a/packages/basilpaddle/src/node/coordination/gateway/callTally.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/callTally.ts
@@ -1,20 +1,23 @@
 import type { Announced, ServerCalls } from "../../protocol/index.js";
 import type { CallOutcome } from "./serverChoice.js";
 
-/** Weight of one call in the running mean of a service's times. */
-const step = 0.1;
-/** Milliseconds that a call is expected to take before any was answered. */
-const usualTime = 50;
-/** Times the mean, and least milliseconds, after which an open call counts as failed: a server that hangs ends none. */
-const stalledFactor = 4;
-const leastStall = 300;
+/** Weight of one call in the moving average of a service's response times. */
+const meanTimeWeight = 0.1;
+/** Assumed response time of a service until a call has been answered. */
+const initialMeanMilliseconds = 50;
+/**
+ * Multiple of the mean response time, and minimum time, after which an open call counts as failed: calls to a server that
+ * hangs never end.
+ */
+const hangFactor = 4;
+const minimumHangMilliseconds = 300;
 
-/** A call that was begun. */
-export type OpenCall = { readonly server: Announced; readonly startedAt: number; told: boolean; };
+/** A call in progress. */
+export type OpenCall = { readonly server: Announced; readonly startedAt: number; isCounted: boolean; };
 
 /**
- * Counts how this gateway's calls to plain services go, for the leader to add up over all gateways. Among hundreds of
- * gateways each makes a call in a second or two, and alone learns too late which server fails.
+ * Counts answered and failed calls of this gateway to plain services; the leader sums the counts of all gateways. With
+ * hundreds of gateways, each makes one call in a second or two and would by itself detect a failing server too late.
  */
 export class CallTally {
     private readonly open = new Set<OpenCall>();
@@ -25,43 +28,43 @@
         return new CallTally();
     }
 
-    /** Notes a call that begins. */
+    /** Records the start of a call. */
     began(server: Announced, now: number): OpenCall {
-        const call = { server, startedAt: now, told: false };
+        const call = { server, startedAt: now, isCounted: false };
         this.open.add(call);
         return call;
     }
 
-    /** Notes how a call ended. */
+    /** Records the outcome of a call, unless it was already counted as failed. */
     ended(call: OpenCall, outcome: CallOutcome, now: number): void {
         this.open.delete(call);
         const { service } = call.server;
         if (outcome === "answered") {
-            const mean = this.meanTimes.get(service) ?? usualTime;
-            this.meanTimes.set(service, mean + step * (now - call.startedAt - mean));
+            const mean = this.meanTimes.get(service) ?? initialMeanMilliseconds;
+            this.meanTimes.set(service, mean + meanTimeWeight * (now - call.startedAt - mean));
         }
-        if (!call.told) {
+        if (!call.isCounted) {
             this.count(call, outcome === "answered");
         }
     }
 
-    /** Forgets a call that hasn't ended but is given up, since its caller went away: it says nothing of its server. */
+    /** Discards an open call whose caller disconnected: it says nothing about the server. */
     dropped(call: OpenCall): void {
         this.open.delete(call);
     }
 
-    /** What there is to tell since the last time. */
+    /** Returns the counts since the previous call and resets them. */
     take(now: number): ServerCalls[] {
         for (const call of this.open) {
-            const mean = this.meanTimes.get(call.server.service) ?? usualTime;
-            if (!call.told && now - call.startedAt > Math.max(leastStall, stalledFactor * mean)) {
-                call.told = true;
+            const mean = this.meanTimes.get(call.server.service) ?? initialMeanMilliseconds;
+            if (!call.isCounted && now - call.startedAt > Math.max(minimumHangMilliseconds, hangFactor * mean)) {
+                call.isCounted = true;
                 this.count(call, false);
             }
         }
-        const taken = [...this.counts].map(([id, count]) => ({ id, ...count }));
+        const counts = [...this.counts].map(([id, count]) => ({ id, ...count }));
         this.counts = new Map();
-        return taken;
+        return counts;
     }
 
     private count(call: OpenCall, isAnswered: boolean): void {
--- a/packages/basilpaddle/src/node/coordination/gateway/directoryWatcher.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/directoryWatcher.ts
@@ -11,59 +11,59 @@
 import { type Link, type Network, parseAddress } from "../../transport/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
 
-/** Milliseconds for a watch to be answered: a directory holds it open for a second at the most. */
-const watchPatience = 2_200;
+/** Timeout of a watch request: a directory holds it open for up to a second. */
+const watchTimeoutMilliseconds = 2_200;
 /**
- * Milliseconds before a directory that gave no answer is asked again, at first and at the most. After a loss of power
- * everywhere gateways are up first, and every request waits until a directory is reached.
+ * Initial and maximum backoff after a directory didn't answer. After a power loss of all hosts, gateways start before the
+ * directories, and every request waits until a directory is reached.
  */
-const firstBackoff = 100;
-const mostBackoff = 250;
-/** Milliseconds that the directory nearby has to bring a newer configuration before another one is asked for it. */
-const documentGrace = 150;
-/** Milliseconds for a configuration to come. */
-const documentPatience = 1_000;
-/** Milliseconds for which the largest count of gateways is kept: two windows of the allowance that they share. */
-const countMemory = 20_000;
-/** Milliseconds after the start in which counts aren't trusted, and the gateways that are assumed meanwhile. */
-const usualSettleTime = 4_000;
-const unsettledGateways = 100;
-/** Milliseconds for a directory to take a report, and times that it is told: its link may break, or it may be starting. */
-const reportPatience = 400;
-const reportTries = 8;
-/** Milliseconds in which reports gather: with one engine go dozens of runs. */
-const reportDelay = 10;
-/** Most of them that a directory is told anew which has restarted: hundreds of gateways do so at once. */
-const mostRetold = 200;
-/** Milliseconds after which a directory that nobody names any more is forgotten. */
-const forgetAfter = 20_000;
+const initialBackoffMilliseconds = 100;
+const maximumBackoffMilliseconds = 250;
+/** How long the preferred directory has to send a newer configuration before it is requested from another one. */
+const documentGraceMilliseconds = 150;
+/** Timeout of a request for a configuration. */
+const documentTimeoutMilliseconds = 1_000;
+/** How long the highest gateway count is kept: two windows of the retry allowance that the gateways share. */
+const gatewayCountRetentionMilliseconds = 20_000;
+/** How long after the start gateway counts may be too low, and the number of gateways assumed meanwhile. */
+const defaultSettleMilliseconds = 4_000;
+const assumedGateways = 100;
+/** Timeout and number of attempts of a crash report to a directory: its link may fail, or it may be starting. */
+const reportTimeoutMilliseconds = 400;
+const reportAttempts = 8;
+/** How long crash records are collected for one report: one engine's crash ends dozens of runs. */
+const reportDelayMilliseconds = 10;
+/** Maximum number of records resent to a directory that has restarted: hundreds of gateways do so at once. */
+const maximumResentRecords = 200;
+/** How long after no other directory names it any more an unreachable directory is dropped. */
+const forgetAfterMilliseconds = 20_000;
 
-/** What a watcher needs. */
+/** Options of a directory watcher. */
 export type DirectoryWatcherOptions = {
     readonly name: string;
     /** Whether this is itself a directory, which isn't counted as a gateway. */
     readonly observer: boolean;
     readonly failureDomain: string;
-    /** Names of the directories to begin with; looked at anew since settings may change. */
+    /** Addresses of the directories to start with; read again on each failure, since settings may change. */
     readonly seeds: () => readonly string[];
     readonly network: Network;
     readonly clock: Clock;
     readonly logger: Logger;
-    /** Milliseconds after the start in which the count of gateways isn't trusted. @default 4000 */
+    /** Milliseconds after the start in which the gateway count may be too low. @default 4000 */
     readonly settleTime?: number | undefined;
     readonly onAnnounced: (announced: Announced) => void;
-    /** Repeats that this gateway borrowed within the last window, for a new leader to know. @default none */
+    /** Retries that this gateway borrowed within the last window, reported for the sake of a new leader. @default none */
     readonly borrowed?: () => Watch["borrowed"];
-    /** Gets what directories tell of requests under which backend servers ended. */
+    /** Called with records of requests during which backend servers crashed. */
     readonly onCrashes: (records: readonly CrashRecord[]) => void;
-    /** What each directory that starts anew is told of them. */
+    /** The records to send to a directory after its restart. */
     readonly knownCrashes: () => readonly CrashRecord[];
-    /** Gets each configuration that is newer than all before; without it none is fetched. */
+    /** Called with each configuration that is newer than all before; if absent, no configuration is fetched. */
     readonly onDocument?: (version: number, content: string) => void;
 };
 
-/** One directory as the watcher knows it. */
-type Known = {
+/** The tracked state of one directory. */
+type WatchedDirectory = {
     readonly name: string;
     readonly link: Link;
     incarnation: string;
@@ -73,23 +73,24 @@
     reached: boolean;
     gateways: number;
     gatewaysSettled: boolean;
-    /** Version of the newest configuration that it told of. */
+    /** Version of the newest configuration that it announced. */
     version: number;
     members: readonly string[];
     leader: string | undefined;
     ejected: readonly string[];
-    namedAt: number;
+    lastNamedAt: number;
 };
 
 /**
- * Watches all directories of the deployment at once and learns the others from those that it reaches. Every directory
- * tells only what it heard itself, so each word has one hop and no single directory's loss keeps one back.
+ * Watches all directories of the deployment in parallel and discovers them from those that it reaches. Each directory
+ * sends only the announcements that it received itself, so that they travel a single hop and the loss of one directory
+ * doesn't withhold those of the others.
  */
 export class DirectoryWatcher {
-    private readonly known = new Map<string, Known>();
+    private readonly directories = new Map<string, WatchedDirectory>();
     private version = -1;
-    private most = 1;
-    private mostAt = 0;
+    private highestCount = 1;
+    private highestCountAt = 0;
     private readonly startedAt: number;
     private closed = false;
     private unreported: CrashRecord[] = [];
@@ -100,11 +101,11 @@
 
     static create(options: DirectoryWatcherOptions): DirectoryWatcher {
         const watcher = new DirectoryWatcher(options);
-        watcher.meet(options.seeds());
+        watcher.addDirectories(options.seeds());
         return watcher;
     }
 
-    /** Name of the leader that most of the reached directories believe in. */
+    /** Name of the leader according to most of the reached directories. */
     leader(): string | undefined {
         const votes = new Map<string, number>();
         for (const directory of this.reached()) {
@@ -115,49 +116,49 @@
         return [...votes].sort(([, one], [, other]) => other - one)[0]?.[0];
     }
 
-    /** Backend servers of plain services that are ejected, as far as the leader knows and is reached. */
+    /** Ejected backend servers of plain services according to the leader; empty while the leader isn't reached. */
     ejected(): readonly string[] {
-        const directory = this.known.get(this.leader() ?? "");
+        const directory = this.directories.get(this.leader() ?? "");
         return directory?.reached === true ? directory.ejected : [];
     }
 
-    /** The link to a directory. */
+    /** The link to a directory; undefined if it isn't known. */
     link(name: string): Link | undefined {
-        return this.known.get(name)?.link;
+        return this.directories.get(name)?.link;
     }
 
-    /** Gateways of the deployment, this one included. */
+    /** Number of gateways of the deployment, including this one. */
     gateways(): number {
         return Math.max(1, ...this.reached().map(directory => directory.gateways));
     }
 
     /**
-     * Most gateways that were told of lately. A directory that has just started counts those that have come back so far;
-     * by its count each gateway would take a share of what all have that is many times too large.
+     * Highest recent gateway count. A directory that has just started counts only the gateways that have reconnected so far;
+     * with that count each gateway would take a share of the common allowance that is many times too large.
      */
     mostGateways(): number {
         const now = this.options.clock.monotonic();
         const current = this.gateways();
-        if (current >= this.most || now - this.mostAt > countMemory) {
-            this.most = current;
-            this.mostAt = now;
+        if (current >= this.highestCount || now - this.highestCountAt > gatewayCountRetentionMilliseconds) {
+            this.highestCount = current;
+            this.highestCountAt = now;
         }
         const settled = this.reached().some(directory => directory.gatewaysSettled);
-        const unsettled = !settled && now - this.startedAt < (this.options.settleTime ?? usualSettleTime);
-        return unsettled ? Math.max(this.most, unsettledGateways) : this.most;
+        const unsettled = !settled && now - this.startedAt < (this.options.settleTime ?? defaultSettleMilliseconds);
+        return unsettled ? Math.max(this.highestCount, assumedGateways) : this.highestCount;
     }
 
-    /** Whether more than half of the directories that are named have answered their last watch. */
+    /** Whether more than half of the named members answered their last watch request. */
     reachesMajority(): boolean {
         const reached = this.reached();
         const named = new Set(reached.flatMap(directory => directory.members));
         return reached.filter(directory => named.has(directory.name)).length * 2 > named.size;
     }
 
-    /** Tells every directory of requests under which backend servers ended, the leader or not: any may be gone next. */
+    /** Reports requests during which backend servers crashed to every directory, not only the leader: any may fail next. */
     report(records: readonly CrashRecord[]): void {
         if (this.unreported.length === 0) {
-            this.options.clock.after(reportDelay, () => this.sendReport());
+            this.options.clock.after(reportDelayMilliseconds, () => this.sendReport());
         }
         this.unreported.push(...records);
     }
@@ -165,26 +166,26 @@
     /** Stops watching. */
     close(): void {
         this.closed = true;
-        this.known.forEach(directory => directory.link.close());
+        this.directories.forEach(directory => directory.link.close());
     }
 
-    private reached(): Known[] {
-        return [...this.known.values()].filter(directory => directory.reached);
+    private reached(): WatchedDirectory[] {
+        return [...this.directories.values()].filter(directory => directory.reached);
     }
 
-    private meet(names: readonly string[]): void {
+    private addDirectories(names: readonly string[]): void {
         const now = this.options.clock.monotonic();
         for (const name of names) {
-            const known = this.known.get(name);
+            const known = this.directories.get(name);
             if (known !== undefined) {
-                known.namedAt = now;
+                known.lastNamedAt = now;
                 continue;
             }
             const address = parseAddress(name);
             if (address === undefined || name === this.options.name) {
                 continue;
             }
-            const directory: Known = {
+            const directory: WatchedDirectory = {
                 name,
                 link: this.options.network.link(address),
                 incarnation: "",
@@ -198,39 +199,39 @@
                 members: [],
                 leader: undefined,
                 ejected: [],
-                namedAt: now,
+                lastNamedAt: now,
             };
-            this.known.set(name, directory);
+            this.directories.set(name, directory);
             void this.follow(directory);
         }
     }
 
-    private async follow(directory: Known): Promise<void> {
-        let backoff = firstBackoff;
+    private async follow(directory: WatchedDirectory): Promise<void> {
+        let backoff = initialBackoffMilliseconds;
         while (!this.closed && this.isNamed(directory)) {
             const watched = await this.watch(directory);
             if (watched !== undefined) {
-                backoff = firstBackoff;
-                this.note(directory, watched);
+                backoff = initialBackoffMilliseconds;
+                this.applyUpdate(directory, watched);
                 continue;
             }
-            this.noteLoss(directory);
+            this.markUnreachable(directory);
             await new Promise<void>(resolve => this.options.clock.after(backoff, resolve));
-            backoff = Math.min(mostBackoff, 2 * backoff);
-            this.meet(this.options.seeds());
+            backoff = Math.min(maximumBackoffMilliseconds, 2 * backoff);
+            this.addDirectories(this.options.seeds());
         }
         directory.link.close();
-        this.known.delete(directory.name);
+        this.directories.delete(directory.name);
     }
 
-    private async watch(directory: Known): Promise<Watched | undefined> {
+    private async watch(directory: WatchedDirectory): Promise<Watched | undefined> {
         const { name, observer } = this.options;
         const wantsDocument = this.wantsDocument(directory);
         const borrowed = this.options.borrowed?.() ?? [];
         const answer = await directory.link.request({
             kind: "watch",
             gateway: name,
-            // One that brings no document must not answer at once, again and again, that there is a newer one.
+            // A directory that isn't asked for the document must not answer each watch at once because it has a newer one.
             version: wantsDocument ? this.version : Math.max(this.version, directory.version),
             incarnation: directory.incarnation,
             cursor: directory.cursor,
@@ -238,17 +239,17 @@
             wantsDocument,
             observer,
             ...borrowed.length === 0 ? {} : { borrowed },
-        }, watchPatience);
+        }, watchTimeoutMilliseconds);
         const parsed = watchedSchema.safeParse(answer.toMaybe().extract());
         return parsed.success ? parsed.data : undefined;
     }
 
-    private note(directory: Known, watched: Watched): void {
+    private applyUpdate(directory: WatchedDirectory, watched: Watched): void {
         if (!directory.reached) {
             this.options.logger.info("a directory is reached", { directory: directory.name, version: watched.version });
         }
         if (directory.incarnation !== watched.incarnation) {
-            this.tellAll(directory);
+            this.resendKnownCrashes(directory);
         }
         directory.reached = true;
         directory.incarnation = watched.incarnation;
@@ -261,79 +262,85 @@
         directory.members = watched.members;
         directory.leader = watched.leader;
         directory.ejected = watched.ejected ?? [];
-        this.meet(watched.members);
+        this.addDirectories(watched.members);
         watched.announced.forEach(announced => this.options.onAnnounced(announced));
         if (watched.crashes !== undefined) {
             this.options.onCrashes(watched.crashes);
         }
         if (watched.document !== undefined) {
-            this.take(watched.document.version, watched.document.packed);
+            this.applyDocument(watched.document.version, watched.document.packed);
         }
         else if (watched.version > this.version && this.options.onDocument !== undefined) {
-            this.options.clock.after(documentGrace, () => void this.fetchDocument(directory, watched.version));
+            this.options.clock.after(
+                documentGraceMilliseconds,
+                () => void this.fetchDocument(directory, watched.version),
+            );
         }
     }
 
     private sendReport(): void {
         const records = this.unreported;
         this.unreported = [];
-        this.known.forEach(directory => void this.deliver(directory, { kind: "crashes", records }));
+        this.directories.forEach(directory => void this.deliver(directory, { kind: "crashes", records }));
     }
 
-    private tellAll(directory: Known): void {
-        const records = this.options.knownCrashes().slice(0, mostRetold);
+    private resendKnownCrashes(directory: WatchedDirectory): void {
+        const records = this.options.knownCrashes().slice(0, maximumResentRecords);
         if (records.length > 0) {
             void this.deliver(directory, { kind: "crashes", records: [...records] });
         }
     }
 
-    private async deliver(directory: Known, report: CrashReport): Promise<void> {
-        for (let turn = 0; turn < reportTries && !this.closed; turn++) {
-            const answer = await directory.link.request(report, reportPatience);
+    private async deliver(directory: WatchedDirectory, report: CrashReport): Promise<void> {
+        for (let turn = 0; turn < reportAttempts && !this.closed; turn++) {
+            const answer = await directory.link.request(report, reportTimeoutMilliseconds);
             if (answer.isRight()) {
                 return;
             }
-            await new Promise<void>(resolve => this.options.clock.after(firstBackoff, resolve));
+            await new Promise<void>(resolve => this.options.clock.after(initialBackoffMilliseconds, resolve));
         }
-        this.options.logger.warn("a directory didn't take word of requests under which servers ended", {
+        this.options.logger.warn("a directory didn't acknowledge a crash report", {
             directory: directory.name,
             requests: report.records.length,
         });
     }
 
-    private noteLoss(directory: Known): void {
+    private markUnreachable(directory: WatchedDirectory): void {
         if (directory.reached && !this.closed) {
             this.options.logger.warn("a directory isn't reached any more", { directory: directory.name });
         }
         directory.reached = false;
     }
 
-    /** The directory in the same failure domain brings the configuration: from all of them it would come several times. */
-    private wantsDocument(directory: Known): boolean {
+    /**
+     * Whether to request the configuration from this directory: preferably from the one in the same failure domain. If all
+     * directories sent it, it would arrive several times.
+     */
+    private wantsDocument(directory: WatchedDirectory): boolean {
         if (this.options.onDocument === undefined) {
             return false;
         }
         const nearby = this.reached().filter(other => other.failureDomain === this.options.failureDomain);
-        const [bringer] = nearby.length > 0 ? nearby : this.reached();
-        return this.version < 0 || bringer === undefined || bringer === directory;
+        const [preferred] = nearby.length > 0 ? nearby : this.reached();
+        return this.version < 0 || preferred === undefined || preferred === directory;
     }
 
-    private async fetchDocument(directory: Known, version: number): Promise<void> {
+    private async fetchDocument(directory: WatchedDirectory, version: number): Promise<void> {
         if (this.version >= version || this.closed) {
             return;
         }
-        const answer = await directory.link.request({ kind: "document" }, documentPatience);
+        const answer = await directory.link.request({ kind: "document" }, documentTimeoutMilliseconds);
         const parsed = documentSchema.safeParse(answer.toMaybe().extract());
         if (parsed.success) {
-            this.take(parsed.data.version, parsed.data.packed);
+            this.applyDocument(parsed.data.version, parsed.data.packed);
         }
         else {
-            this.options.logger.warn("a newer configuration didn't come", { directory: directory.name, version });
+            this.options.logger.warn("failed to fetch a newer configuration", { directory: directory.name, version });
         }
     }
 
-    /** Takes a configuration in; never an older one than before, whichever directory sends it. */
-    private take(version: number, packed: Uint8Array): void {
+    /** Applies a configuration unless it is older than the current one, whichever directory sends it. */
+    private applyDocument(version: number, packed: Uint8Array): void {
         if (version > this.version) {
             const content = unpackText(packed);
             this.version = version;
@@ -341,8 +348,8 @@
         }
     }
 
-    private isNamed(directory: Known): boolean {
-        return directory.reached || this.options.clock.monotonic() - directory.namedAt < forgetAfter
+    private isNamed(directory: WatchedDirectory): boolean {
+        return directory.reached || this.options.clock.monotonic() - directory.lastNamedAt < forgetAfterMilliseconds
             || this.options.seeds().includes(directory.name);
     }
 }
--- /dev/null
+++ b/packages/basilpaddle/src/node/coordination/gateway/engineLoad.ts
@@ -0,0 +1,217 @@
+import type { Announced, PlaceDemand } from "../../protocol/index.js";
+
+/** Prefill time per prompt token assumed until an engine has completed prefills. */
+export const defaultPrefillMillisecondsPerToken = 0.035;
+/** Factor by which a prefill takes longer on a decode engine, which interleaves it with decoding. */
+const decodePrefillFactor = 2.2;
+/** Duration of a prefill in addition to the time for its tokens. */
+const prefillOverheadMilliseconds = 10;
+/** Weight of one prefill in the moving average of the time per token. */
+const tokenTimeWeight = 0.1;
+/** Prefills that took longer than the expected time by this factor were delayed by something else and aren't counted. */
+const outlierFactor = 4;
+/** Score penalty of a full engine over an empty one: larger batches take longer for each token. */
+const loadPenaltyMilliseconds = 60;
+/** Score penalty of an engine pair in two failure domains: transfers between domains take twice as long and cost more. */
+const crossDomainPenaltyMilliseconds = 80;
+/** Initial and maximum time for which an engine receives no work after a failure. */
+const initialPauseMilliseconds = 800;
+const maximumPauseMilliseconds = 8_000;
+/** How long an engine receives no work after a rejected run: about the time until a run of a full engine ends. */
+const rejectionPauseMilliseconds = 400;
+
+/** Ratio of actual to expected duration of a prefill without prefills from elsewhere: hosts and network paths differ. */
+const expectedDelayFactor = 1.5;
+/**
+ * Additional delay factor of one engine's prefills: its bounds, the weight of one prefill, and the half-life of the factor.
+ * An engine may also run prefills that this instance doesn't know: those of gateways that placed locally while there was no
+ * leader. Just after an election, prefills therefore take long although the leader sees short queues.
+ */
+const minimumDelayFactor = 1;
+const maximumDelayFactor = 4;
+const delayWeight = 0.3;
+const delayHalfLifeMilliseconds = 2_000;
+
+/** KV cache tokens and slots of one engine that may be allocated. */
+export type EngineCapacity = { readonly tokens: number; readonly slots: number; };
+
+/** A prefill that is queued or running. */
+type PendingPrefill = {
+    readonly tokens: number;
+    readonly addedAt: number;
+    /** Expected milliseconds until its completion, after the prefills assigned before it. */
+    readonly expectedMilliseconds: number;
+};
+
+/** The tracked state of one engine: its announcement, and the runs and prefills assigned to it. */
+export class EngineLoad {
+    /** Allocated tokens of KV cache. */
+    tokens = 0;
+    private readonly allocations = new Map<string, number>();
+    private readonly prefills = new Map<string, PendingPrefill>();
+    private prefillTokens = 0;
+    private prefillingSince = 0;
+    private tokenTime = defaultPrefillMillisecondsPerToken;
+    private failures = 0;
+    private pausedUntil = 0;
+    private delayFactor = minimumDelayFactor;
+    private delayMeasuredAt = 0;
+    private stageOrder: { readonly stage: Announced["stage"]; readonly until: number; } | undefined;
+
+    private constructor(public announced: Announced) {}
+
+    static create(announced: Announced): EngineLoad {
+        return new EngineLoad(announced);
+    }
+
+    get id(): string {
+        return this.announced.id;
+    }
+
+    /** Whether new work may be assigned to the engine. */
+    acceptsWork(now: number): boolean {
+        return this.announced.state === "ready" && now >= this.pausedUntil && !this.isChangingStage(now);
+    }
+
+    /**
+     * Records an order to change the engine's stage. It then finishes its current runs and rejects all others, but announces
+     * itself as ready in its old stage until the change is complete; prefills for rejected runs would be wasted.
+     * `until`: when the order is considered failed.
+     */
+    noteStageOrder(stage: Announced["stage"], until: number): void {
+        this.stageOrder = { stage, until };
+    }
+
+    private isChangingStage(now: number): boolean {
+        const { stageOrder } = this;
+        return stageOrder !== undefined && now < stageOrder.until && this.announced.stage !== stageOrder.stage;
+    }
+
+    /** Whether the engine has room for a run. An engine without runs accepts even one that exceeds the capacity. */
+    hasRoom(request: PlaceDemand, capacity: EngineCapacity): boolean {
+        if (this.allocations.size === 0) {
+            return true;
+        }
+        return this.allocations.size < capacity.slots && this.tokens + request.cacheTokens <= capacity.tokens;
+    }
+
+    /** Score penalty for the engine's load, in milliseconds. */
+    loadPenalty(capacity: EngineCapacity): number {
+        return loadPenaltyMilliseconds * this.tokens / Math.max(1, capacity.tokens);
+    }
+
+    /** Score penalty for transferring the KV cache to the decode engine, in milliseconds. */
+    domainPenalty(decode: EngineLoad): number {
+        return this.announced.failureDomain === decode.announced.failureDomain ? 0 : crossDomainPenaltyMilliseconds;
+    }
+
+    /** Allocates KV cache for a run. */
+    addRun(attempt: string, tokens: number): void {
+        this.allocations.set(attempt, tokens);
+        this.tokens += tokens;
+    }
+
+    /** Frees a run's KV cache. */
+    removeRun(attempt: string): void {
+        const tokens = this.allocations.get(attempt);
+        if (tokens !== undefined) {
+            this.allocations.delete(attempt);
+            this.tokens = this.allocations.size === 0 ? 0 : this.tokens - tokens;
+        }
+    }
+
+    /** Records a prefill assigned to the engine. */
+    addPrefill(attempt: string, tokens: number, now: number): void {
+        const expectedMilliseconds = this.queueDelay(now) + this.prefillTime(tokens);
+        if (this.prefills.size === 0) {
+            this.prefillingSince = now;
+        }
+        this.prefills.set(attempt, { tokens, addedAt: now, expectedMilliseconds });
+        this.prefillTokens += tokens;
+    }
+
+    /** Records a completed prefill, and updates the time per token if no other prefill was pending meanwhile. */
+    prefillCompleted(attempt: string, now: number): void {
+        const work = this.prefills.get(attempt);
+        if (
+            work !== undefined && this.prefills.size === 1 && work.addedAt === this.prefillingSince && work.tokens > 0
+        ) {
+            const seen = Math.max(0, now - work.addedAt - prefillOverheadMilliseconds) / work.tokens;
+            if (seen < outlierFactor * this.tokenTime) {
+                this.tokenTime += tokenTimeWeight * (seen - this.tokenTime);
+            }
+        }
+        if (work !== undefined) {
+            this.noteDelay(work.expectedMilliseconds, now - work.addedAt, now);
+        }
+        this.dropPrefill(attempt, now);
+        this.noteSuccess();
+    }
+
+    /** Removes a prefill that has completed or was given up. */
+    dropPrefill(attempt: string, now: number): void {
+        const work = this.prefills.get(attempt);
+        if (work !== undefined) {
+            this.prefills.delete(attempt);
+            this.prefillTokens -= work.tokens;
+            this.prefillingSince = now;
+        }
+    }
+
+    /** Expected milliseconds until the pending prefills are complete. */
+    queueDelay(now: number): number {
+        const work = this.prefillTokens * this.tokenTime + this.prefills.size * prefillOverheadMilliseconds;
+        return Math.max(0, this.prefillingSince + work - now, this.prefills.size > 0 ? work / 2 : 0);
+    }
+
+    /** Expected milliseconds until a new prefill is complete, after the pending ones and those that others assigned. */
+    prefillDelay(tokens: number, now: number): number {
+        return (this.queueDelay(now) + this.prefillTime(tokens)) * this.currentDelay(now);
+    }
+
+    /** Expected milliseconds of a prefill, without the time in the queue. */
+    prefillTime(tokens: number): number {
+        return tokens * this.tokenTime + prefillOverheadMilliseconds;
+    }
+
+    /** Expected milliseconds until a decode engine completes a prefill itself: at about half the speed, after its pending ones. */
+    decodePrefillDelay(tokens: number, now: number): number {
+        return decodePrefillFactor * (this.queueDelay(now) + this.prefillTime(tokens));
+    }
+
+    /** Records a failure and pauses the engine. One with a stalled link appears idle and would otherwise receive more runs. */
+    noteFailure(now: number): void {
+        if (now >= this.pausedUntil) {
+            this.pausedUntil = now + Math.min(maximumPauseMilliseconds, initialPauseMilliseconds * 2 ** this.failures);
+            this.failures += 1;
+        }
+    }
+
+    /** Records a rejected run for which this engine is at fault: it is full, or its KV caches expire. */
+    noteRejection(now: number): void {
+        this.pausedUntil = Math.max(this.pausedUntil, now + rejectionPauseMilliseconds);
+    }
+
+    /** Records successful work, which ends a pause. */
+    noteSuccess(): void {
+        this.failures = 0;
+        this.pausedUntil = 0;
+    }
+
+    /** Updates the delay factor by the expected and the actual duration of a prefill. */
+    private noteDelay(expected: number, taken: number, now: number): void {
+        const seen = Math.min(
+            maximumDelayFactor,
+            Math.max(minimumDelayFactor, taken / (expectedDelayFactor * Math.max(1, expected))),
+        );
+        const current = this.currentDelay(now);
+        this.delayFactor = current + delayWeight * (seen - current);
+        this.delayMeasuredAt = now;
+    }
+
+    private currentDelay(now: number): number {
+        return minimumDelayFactor
+            + (this.delayFactor - minimumDelayFactor)
+                * 0.5 ** ((now - this.delayMeasuredAt) / delayHalfLifeMilliseconds);
+    }
+}
--- a/packages/basilpaddle/src/node/coordination/gateway/enginePool.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/enginePool.ts
@@ -1,76 +1,80 @@
 import type { Announced, EngineRule, PlaceDemand } from "../../protocol/index.js";
 import { fractionOf } from "../../utils/index.js";
+import { defaultPrefillMillisecondsPerToken, type EngineCapacity, EngineLoad } from "./engineLoad.js";
 import { stallRateOf } from "./linkQuality.js";
-import { type EngineState, PlacedEngine, usualTokenTime } from "./placedEngine.js";
 
-/** Tokens of one block of KV cache: memory goes by whole blocks. */
+/** Tokens of one block of KV cache: engines allocate whole blocks. */
 const blockTokens = 16;
 /**
- * Milliseconds by which a decode engine must be sooner than every prefill engine to read a prompt itself: meanwhile the
- * tokens of all its runs come slower. In a burst, prompts queue at the prefill engines for a second; the decode
- * engines' own reading takes the peak off.
+ * How much earlier than every prefill engine a decode engine must complete a prefill to run it itself, since the prefill
+ * slows the tokens of all its runs. In a burst, prompts queue at the prefill engines for a second; prefills on decode
+ * engines reduce that peak.
  */
-const selfReadReluctance = 200;
+const decodePrefillPenaltyMilliseconds = 200;
 
 /**
- * Milliseconds that an engine counts worse whose streams are all late for the link they come over: an answer that is
- * late is worth a fifth of one in time, about what waiting past the target would cost.
+ * Score penalty of an engine whose streams are all late because of the link: a late answer is worth a fifth of one in time,
+ * which is about the cost of waiting past the target.
  */
-const lateWeight = 600;
-/** Events of an answer, each of which may stall; answers of 900 tokens in events of 11 or 13 have about as many. */
-const answerEvents = 70;
-/** Packets of a call that has a prompt read, and the milliseconds that a lost one costs. */
-const callPackets = 4;
-const stallTime = 250;
-
-/** What steers the placing. */
+const lateAnswerPenaltyMilliseconds = 600;
+/** Events of an answer, each of which may stall: an answer of 900 tokens in events of 11 or 13 tokens has about this many. */
+const eventsPerAnswer = 70;
+/** Packets of a prefill call, and the delay that a lost one causes. */
+const packetsPerCall = 4;
+const packetLossDelayMilliseconds = 250;
+
+/** Parameters of placement. */
 export type PlaceTuning = {
-    /** Part of an engine's KV cache that may be promised; what a run will need at its end is promised at its start. */
+    /** Fraction of an engine's KV cache that may be allocated; a run is allocated at its start what it needs at its end. */
     readonly fill: number;
-    /** Part of each engine that this instance may hand out: all of it where it alone decides. */
+    /** Fraction of each engine that this instance may allocate: 1 if no other instance places requests. */
     readonly share: number;
     /**
-     * Milliseconds by which engines are made to look worse at random, anew for each request. Gateways that place alone
-     * all see idle engines: without it each of them takes the same ones first, and most are turned away. @default 0
+     * Maximum random penalty in milliseconds for each pair of request and engine. Gateways that place locally all see idle
+     * engines: without the penalty they choose the same ones first, and most runs are rejected. @default 0
      */
     readonly scatter?: number;
     /**
-     * Milliseconds that an engine in another failure domain than the gateway counts worse. Gateways that place alone know
-     * nothing of each other, and with it those of one domain would fill that domain's engines alone. @default 0
+     * Penalty in milliseconds of an engine in another failure domain than the gateway. It isn't used for local placement:
+     * gateways that place locally don't know of each other, and those of one domain would fill only that domain's engines.
+     * @default 0
      */
     readonly farWeight?: number;
 };
 
 /**
- * How the leader places for all gateways. Far engines count half as much worse as full ones do, so that near ones fill up
- * only a little more: fewer streams cross a link when it begins to lose packets. A run is promised what it will hold at its
- * end, and holds half of its answer on the mean, so that a little more than all of the cache can be promised before runs are
- * preempted.
+ * Tuning of a leader, which places the requests of all gateways. The penalty of engines in other domains is half of that of
+ * full ones, so that engines in the gateway's domain fill up only a little more: fewer streams cross a link when it begins
+ * to lose packets. A run is allocated the cache that it needs at its end, but on average uses it for half of its answer, so
+ * that slightly more than the whole cache can be allocated before runs are preempted.
  */
 export const placingForAll: PlaceTuning = { fill: 1.1, share: 1, farWeight: 30 };
 
-/** How a gateway places alone, but for its share: what all of them promise together must fit, and their shares are uneven. */
+/**
+ * Tuning of local placement by a gateway, without its share. The allocations of all gateways together must fit the engines,
+ * and their shares are uneven.
+ */
 export const placingAlone: Omit<PlaceTuning, "share"> = { fill: 0.9, scatter: 100 };
 
-/** Engines for one request: where its prompt is read, undefined for the decode engine itself, and where its run is made. */
+/** The engines of one request: for prefill, undefined if the decode engine runs it itself, and for decode. */
 export type EnginePair = {
     readonly prefill: string | undefined;
     readonly decode: string;
-    /** Milliseconds that the reading of the prompt should take there, from now on. */
-    readonly readingTime: number;
+    /** Expected milliseconds from now until the prefill is complete. */
+    readonly prefillTime: number;
 };
 
-/** The engine that will likely have room for a request first. */
-export type RoomiestEngine = {
+/** The decode engine that will likely be the first with room for a request. */
+export type LeastLoadedEngine = {
     readonly id: string;
-    /** Tokens of KV cache that must come free there before the request fits, and those that may be handed out there in all. */
+    /** Tokens of KV cache that must be freed before the request fits, and those that may be allocated in total. */
     readonly missingTokens: number;
     readonly tokens: number;
 };
 
-/** The engines of one pool with what was handed out at each, and the choice among them. */
+/** Tracks the load of one pool's engines and selects engines for requests. */
 export class EnginePool {
-    private readonly engines = new Map<string, PlacedEngine>();
+    private readonly engines = new Map<string, EngineLoad>();
     private rule: EngineRule | undefined;
     private share: number;
 
@@ -82,7 +86,7 @@
         return new EnginePool(tuning);
     }
 
-    /** Takes what is announced of the pool's engines, and the rule that they share. */
+    /** Replaces the announcements of the pool's engines and the rule that applies to all of them. */
     setEngines(announced: readonly Announced[], rule: EngineRule): void {
         this.rule = rule;
         const named = new Set(announced.map(engine => engine.id));
@@ -94,7 +98,7 @@
         for (const engine of announced) {
             const known = this.engines.get(engine.id);
             if (known === undefined) {
-                this.engines.set(engine.id, PlacedEngine.create(engine));
+                this.engines.set(engine.id, EngineLoad.create(engine));
             }
             else {
                 known.announced = engine;
@@ -102,133 +106,142 @@
         }
     }
 
-    /** Changes the part of each engine that may be handed out here. */
+    /** Changes the fraction of each engine that this instance may allocate. */
     setShare(share: number): void {
         this.share = share;
     }
 
-    engine(id: string): PlacedEngine | undefined {
+    engine(id: string): EngineLoad | undefined {
         return this.engines.get(id);
     }
 
-    /** The best engines for a request; undefined where no decode engine has room for it, but for those reserved for others. */
-    best(demand: PlaceDemand, now: number, reserved: ReadonlySet<string>): EnginePair | undefined {
-        const state = this.state();
-        const decodes = this.usable("decode", demand.avoid, now).filter(engine => {
-            return engine.hasRoom(demand, state) && !reserved.has(engine.id);
+    /** The best engines for a request; undefined if no decode engine that isn't reserved for another request has room. */
+    best(request: PlaceDemand, now: number, reserved: ReadonlySet<string>): EnginePair | undefined {
+        const capacity = this.engineCapacity();
+        const decodes = this.usable("decode", request.avoid, now).filter(engine => {
+            return engine.hasRoom(request, capacity) && !reserved.has(engine.id);
         });
         if (decodes.length === 0) {
             return undefined;
         }
-        // Without a sound one a decode engine reads the prompt; a prefill engine that just failed would fail it again.
-        const readers = this.sound("prefill", demand.avoid, now).map(engine => {
-            const time = engine.readIn(demand.promptTokens, now);
-            const stall = stallRateOf(demand.linkStalls, engine.announced.failureDomain) * callPackets * stallTime;
-            return { engine, time, score: time + stall + this.scatter(demand, engine) };
+        // Without a healthy prefill engine a decode engine runs the prefill; a prefill engine that just failed would fail again.
+        const prefills = this.healthyEngines("prefill", request.avoid, now).map(engine => {
+            const time = engine.prefillDelay(request.promptTokens, now);
+            const stall = stallRateOf(request.linkStalls, engine.announced.failureDomain) * packetsPerCall
+                * packetLossDelayMilliseconds;
+            return { engine, time, score: time + stall + this.randomPenalty(request, engine) };
         });
-        const runners = decodes.map(engine => {
+        const scoredDecodes = decodes.map(engine => {
             const { failureDomain } = engine.announced;
-            const far = failureDomain === demand.failureDomain ? 0 : this.tuning.farWeight ?? 0;
-            const late = lateWeight * lateRisk(stallRateOf(demand.linkStalls, failureDomain));
-            const score = engine.crowding(state) + far + late + this.scatter(demand, engine);
+            const far = failureDomain === request.failureDomain ? 0 : this.tuning.farWeight ?? 0;
+            const late = lateAnswerPenaltyMilliseconds
+                * lateProbability(stallRateOf(request.linkStalls, failureDomain));
+            const score = engine.loadPenalty(capacity) + far + late + this.randomPenalty(request, engine);
             return { engine, time: 0, score };
         });
-        const apart = bestApart(bestOfDomains(readers), bestOfDomains(runners));
-        const alone = leastScore(runners.map(({ engine, score }) => {
-            const time = engine.readsItselfIn(demand.promptTokens, now);
-            return { engine, time, score: score + time + (readers.length === 0 ? 0 : selfReadReluctance) };
+        const separate = bestSeparatePair(bestPerDomain(prefills), bestPerDomain(scoredDecodes));
+        const combined = lowestScore(scoredDecodes.map(({ engine, score }) => {
+            const time = engine.decodePrefillDelay(request.promptTokens, now);
+            return {
+                engine,
+                time,
+                score: score + time + (prefills.length === 0 ? 0 : decodePrefillPenaltyMilliseconds),
+            };
         }))!;
-        return apart === undefined || alone.score < apart.score
-            ? { prefill: undefined, decode: alone.engine.id, readingTime: alone.time }
-            : apart.pair;
+        return separate === undefined || combined.score < separate.score
+            ? { prefill: undefined, decode: combined.engine.id, prefillTime: combined.time }
+            : separate.pair;
     }
 
-    /** The decode engine that will likely have room for a request first, of those that aren't reserved for others. */
-    roomiest(demand: PlaceDemand, now: number, reserved: ReadonlySet<string>): RoomiestEngine | undefined {
-        const engines = this.usable("decode", demand.avoid, now).filter(engine => !reserved.has(engine.id));
-        const engine = leastScore(engines.map(candidate => ({ engine: candidate, score: candidate.tokens })))?.engine;
+    /** The decode engine with the fewest allocated tokens that isn't reserved for another request; undefined if there is none. */
+    leastLoaded(request: PlaceDemand, now: number, reserved: ReadonlySet<string>): LeastLoadedEngine | undefined {
+        const engines = this.usable("decode", request.avoid, now).filter(engine => !reserved.has(engine.id));
+        const engine = lowestScore(engines.map(candidate => ({ engine: candidate, score: candidate.tokens })))?.engine;
         if (engine === undefined) {
             return undefined;
         }
-        const { tokens } = this.state();
-        return { id: engine.id, missingTokens: engine.tokens + demand.cacheTokens - tokens, tokens };
+        const { tokens } = this.engineCapacity();
+        return { id: engine.id, missingTokens: engine.tokens + request.cacheTokens - tokens, tokens };
     }
 
-    /** Notes what a request takes of its engines. */
-    hold(pair: EnginePair, demand: PlaceDemand, now: number): void {
-        this.engines.get(pair.decode)?.hold(demand.attempt, inBlocks(demand.cacheTokens));
-        this.engines.get(pair.prefill ?? pair.decode)?.addPrefill(demand.attempt, demand.promptTokens, now);
+    /** Records the KV cache and the prefill of a request at its engines. */
+    allocate(pair: EnginePair, request: PlaceDemand, now: number): void {
+        this.engines.get(pair.decode)?.addRun(request.attempt, roundUpToBlocks(request.cacheTokens));
+        this.engines.get(pair.prefill ?? pair.decode)?.addPrefill(request.attempt, request.promptTokens, now);
     }
 
-    /** Frees what a request took. */
+    /** Frees the KV cache of a request and removes its prefill. */
     release(pair: EnginePair, attempt: string, now: number): void {
-        this.engines.get(pair.decode)?.release(attempt);
+        this.engines.get(pair.decode)?.removeRun(attempt);
         this.engines.get(pair.prefill ?? pair.decode)?.dropPrefill(attempt, now);
     }
 
-    /** Forecasts for prompts of any length how soon they would be read, at the engine that is soonest ready. */
-    readingForecast(now: number): (promptTokens: number) => number {
+    /** Returns a function from prompt tokens to expected milliseconds until the prefill, at the engine with the shortest queue. */
+    prefillForecast(now: number): (promptTokens: number) => number {
         const engines = [...this.engines.values()].filter(({ announced }) => announced.stage === "prefill");
-        const soonest = leastScore(engines.map(engine => ({ engine, score: engine.readyIn(now) })));
+        const soonest = lowestScore(engines.map(engine => ({ engine, score: engine.queueDelay(now) })));
         return soonest === undefined
-            ? promptTokens => promptTokens * usualTokenTime
-            : promptTokens => soonest.score + soonest.engine.readingTime(promptTokens);
+            ? promptTokens => promptTokens * defaultPrefillMillisecondsPerToken
+            : promptTokens => soonest.score + soonest.engine.prefillTime(promptTokens);
     }
 
-    /** Milliseconds of work that the reading of a prompt is for a prefill engine of the pool, on the mean of them. */
-    readingWork(promptTokens: number): number {
-        const readers = [...this.engines.values()].filter(({ announced }) => announced.stage === "prefill");
-        const work = readers.reduce((sum, engine) => sum + engine.readingTime(promptTokens), 0);
-        return readers.length === 0 ? promptTokens * usualTokenTime : work / readers.length;
+    /** Mean milliseconds of work of a prefill over the pool's prefill engines. */
+    prefillWork(promptTokens: number): number {
+        const prefills = [...this.engines.values()].filter(({ announced }) => announced.stage === "prefill");
+        const work = prefills.reduce((sum, engine) => sum + engine.prefillTime(promptTokens), 0);
+        return prefills.length === 0 ? promptTokens * defaultPrefillMillisecondsPerToken : work / prefills.length;
     }
 
-    /** Tokens of KV cache that may be handed out in all. */
+    /** Tokens of KV cache that may be allocated in total. */
     capacity(now: number): number {
-        return this.usable("decode", [], now).length * this.state().tokens;
+        return this.usable("decode", [], now).length * this.engineCapacity().tokens;
     }
 
-    /** Tokens of KV cache that may still be handed out. */
+    /** Tokens of KV cache that may still be allocated. */
     freeTokens(now: number): number {
-        const state = this.state();
+        const capacity = this.engineCapacity();
         return this.usable("decode", [], now).reduce(
-            (sum, engine) => sum + Math.max(0, state.tokens - engine.tokens),
+            (sum, engine) => sum + Math.max(0, capacity.tokens - engine.tokens),
             0,
         );
     }
 
-    /** Tokens handed out at each engine. */
+    /** Allocated tokens of KV cache by engine. */
     heldTokens(): ReadonlyMap<string, number> {
         return new Map([...this.engines].map(([id, engine]) => [id, engine.tokens]));
     }
 
     /**
-     * Engines of a stage that may get work: sound ones, else those that failed of late or are to be avoided, else silent
-     * ones. These are likely gone, but a directory that was cut off from them would say the same.
+     * Engines of a stage that may receive work: healthy ones, else those that failed recently or should be avoided, else
+     * silent ones. Silent engines are likely gone, but a directory that a network partition separates from them reports the
+     * same.
      */
-    private usable(stage: Announced["stage"], avoid: readonly string[], now: number): PlacedEngine[] {
-        const sound = this.sound(stage, avoid, now);
-        return sound.length > 0 ? sound : this.inState(stage, "ready") ?? this.inState(stage, "silent") ?? [];
+    private usable(stage: Announced["stage"], avoid: readonly string[], now: number): EngineLoad[] {
+        const healthy = this.healthyEngines(stage, avoid, now);
+        return healthy.length > 0
+            ? healthy
+            : this.enginesInState(stage, "ready") ?? this.enginesInState(stage, "silent") ?? [];
     }
 
-    private inState(stage: Announced["stage"], state: Announced["state"]): PlacedEngine[] | undefined {
+    private enginesInState(stage: Announced["stage"], state: Announced["state"]): EngineLoad[] | undefined {
         const engines = [...this.engines.values()].filter(({ announced }) => {
             return announced.stage === stage && announced.state === state;
         });
         return engines.length > 0 ? engines : undefined;
     }
 
-    private sound(stage: Announced["stage"], avoid: readonly string[], now: number): PlacedEngine[] {
+    private healthyEngines(stage: Announced["stage"], avoid: readonly string[], now: number): EngineLoad[] {
         return [...this.engines.values()].filter(engine => {
-            return engine.announced.stage === stage && engine.takesWork(now) && !avoid.includes(engine.id);
+            return engine.announced.stage === stage && engine.acceptsWork(now) && !avoid.includes(engine.id);
         });
     }
 
-    private scatter(demand: PlaceDemand, engine: PlacedEngine): number {
+    private randomPenalty(request: PlaceDemand, engine: EngineLoad): number {
         const { scatter = 0 } = this.tuning;
-        return scatter === 0 ? 0 : scatter * fractionOf(demand.attempt + engine.id);
+        return scatter === 0 ? 0 : scatter * fractionOf(request.attempt + engine.id);
     }
 
-    private state(): EngineState {
+    private engineCapacity(): EngineCapacity {
         const { cacheTokens = 0, slots = 0 } = this.rule ?? {};
         return {
             tokens: cacheTokens * this.tuning.fill * this.share,
@@ -237,30 +250,30 @@
     }
 }
 
-/** How likely an answer is late, where each of its events stalls at the rate. */
-function lateRisk(stallRate: number): number {
-    return 1 - (1 - stallRate) ** answerEvents;
+/** Probability that an answer is late if each of its events stalls with the given probability. */
+function lateProbability(stallRate: number): number {
+    return 1 - (1 - stallRate) ** eventsPerAnswer;
 }
 
-type Scored = { readonly engine: PlacedEngine; readonly score: number; };
+type Scored = { readonly engine: EngineLoad; readonly score: number; };
 type Candidate = Scored & { readonly time: number; };
 
-function leastScore<T extends Scored>(candidates: readonly T[]): T | undefined {
-    let least: T | undefined;
+function lowestScore<T extends Scored>(candidates: readonly T[]): T | undefined {
+    let lowest: T | undefined;
     for (const candidate of candidates) {
-        if (least === undefined || candidate.score < least.score) {
-            least = candidate;
+        if (lowest === undefined || candidate.score < lowest.score) {
+            lowest = candidate;
         }
     }
-    return least;
+    return lowest;
 }
 
 /**
- * The best candidate of each failure domain. Only these can be part of the best pair, since engines of one domain are
- * equally far from any other. Comparing each engine with each took the leader of 78 engines its whole processor in a
- * burst, and with it the leadership.
+ * The best candidate of each failure domain. Only these can be part of the best pair, since the transfer penalty is the same
+ * for all engines of a domain. Comparing all pairs of 78 engines saturated the leader's processor in a burst, and it lost
+ * the leadership.
  */
-function bestOfDomains(candidates: readonly Candidate[]): readonly Candidate[] {
+function bestPerDomain(candidates: readonly Candidate[]): readonly Candidate[] {
     const best = new Map<string, Candidate>();
     for (const candidate of candidates) {
         const { failureDomain } = candidate.engine.announced;
@@ -272,16 +285,16 @@
     return [...best.values()];
 }
 
-function bestApart(
-    readers: readonly Candidate[],
-    runners: readonly Candidate[],
+function bestSeparatePair(
+    prefills: readonly Candidate[],
+    decodes: readonly Candidate[],
 ): { readonly pair: EnginePair; readonly score: number; } | undefined {
     let best: { readonly pair: EnginePair; readonly score: number; } | undefined;
-    for (const runner of runners) {
-        for (const reader of readers) {
-            const score = runner.score + reader.score + reader.engine.distance(runner.engine);
+    for (const decode of decodes) {
+        for (const prefill of prefills) {
+            const score = decode.score + prefill.score + prefill.engine.domainPenalty(decode.engine);
             if (best === undefined || score < best.score) {
-                const pair = { prefill: reader.engine.id, decode: runner.engine.id, readingTime: reader.time };
+                const pair = { prefill: prefill.engine.id, decode: decode.engine.id, prefillTime: prefill.time };
                 best = { pair, score };
             }
         }
@@ -289,6 +302,6 @@
     return best;
 }
 
-function inBlocks(tokens: number): number {
+function roundUpToBlocks(tokens: number): number {
     return Math.ceil(tokens / blockTokens) * blockTokens;
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/index.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/index.ts
@@ -1,12 +1,12 @@
 export * from "./announcements.js";
 export * from "./callTally.js";
 export * from "./directoryWatcher.js";
-export * from "./enginePlaces.js";
 export { type PlaceTuning, placingAlone, placingForAll } from "./enginePool.js";
 export * from "./instanceTable.js";
 export * from "./linkQuality.js";
 export * from "./outlierDetector.js";
-export * from "./repeatBudget.js";
+export * from "./placementQueue.js";
 export * from "./routeTable.js";
 export * from "./serverChoice.js";
+export * from "./serviceRetryBudget.js";
 export * from "./stagePlan.js";
--- a/packages/basilpaddle/src/node/coordination/gateway/instanceTable.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/instanceTable.ts
@@ -1,35 +1,35 @@
 import { LRUCache } from "lru-cache";
 import type { Announced } from "../../protocol/index.js";
 import type { Metrics } from "../../utils/index.js";
-import { Lifetimes } from "./lifetimes.js";
+import { LatestIncarnations } from "./latestIncarnations.js";
 
-/** Incarnations that are known to have ended; a late heartbeat of one must not bring it back. */
-const endedLimit = 8_192;
-/** Ranks of states that arrive under one sequence number: the later in life wins. */
-const rank: Record<Announced["state"], number> = { ready: 0, silent: 1, draining: 2, left: 3 };
+/** Number of ended incarnations to remember, so that a delayed heartbeat doesn't restore one of them. */
+const endedIncarnationLimit = 8_192;
+/** Order of states that arrive with the same sequence number: the later one in an incarnation's lifecycle wins. */
+const stateRank: Record<Announced["state"], number> = { ready: 0, silent: 1, draining: 2, left: 3 };
 
 /**
- * What a gateway believes of all backend servers. Announcements come from several directories, late and out of order:
- * of one incarnation the highest sequence number counts, and one that has ended stays so.
+ * The tracked state of all backend servers at a gateway. Announcements arrive from several directories, delayed and out of
+ * order: for each incarnation the highest sequence number wins, and an incarnation that has ended never comes back.
  */
 export class InstanceTable {
     private readonly instances = new Map<string, Announced>();
-    private readonly ended = new LRUCache<string, true>({ max: endedLimit });
-    private readonly lifetimes = Lifetimes.create();
+    private readonly ended = new LRUCache<string, true>({ max: endedIncarnationLimit });
+    private readonly incarnations = LatestIncarnations.create();
     private readonly byService = new Map<string, readonly Announced[]>();
-    /** The incarnation that was heard of last at each address. */
-    private readonly newestAt = new Map<string, string>();
+    /** The incarnation that was announced last at each address. */
+    private readonly latestAtAddress = new Map<string, string>();
 
     static create(): InstanceTable {
         return new InstanceTable();
     }
 
-    /** Takes an announcement in; tells whether it changed anything. */
+    /** Applies an announcement; returns whether a backend server was added or removed, or its state or stage changed. */
     take(announced: Announced): boolean {
-        if (this.ended.has(announced.id) || this.lifetimes.isOutdated(announced)) {
+        if (this.ended.has(announced.id) || this.incarnations.isOutdated(announced)) {
             return false;
         }
-        const before = this.lifetimes.succeed(announced);
+        const before = this.incarnations.recordLatest(announced);
         if (before !== undefined) {
             this.end(before);
         }
@@ -42,31 +42,31 @@
         }
         this.instances.set(announced.id, announced);
         if (known?.address !== announced.address) {
-            this.newestAt.set(announced.address, announced.id);
+            this.latestAtAddress.set(announced.address, announced.id);
         }
         this.byService.clear();
         return known === undefined || known.state !== announced.state || known.stage !== announced.stage;
     }
 
-    /** Notes that an incarnation has ended: it left, or another one answers at its address. */
+    /** Removes an incarnation that has ended: it left, or another incarnation answers at its address. */
     end(id: string): boolean {
         const { address } = this.instances.get(id) ?? {};
-        if (address !== undefined && this.newestAt.get(address) === id) {
-            this.newestAt.delete(address);
+        if (address !== undefined && this.latestAtAddress.get(address) === id) {
+            this.latestAtAddress.delete(address);
         }
         this.ended.set(id, true);
         this.byService.clear();
         return this.instances.delete(id);
     }
 
-    /** The incarnation, unless it has ended. */
+    /** The announcement of an incarnation; undefined if it is unknown or has ended. */
     get(id: string): Announced | undefined {
         return this.instances.get(id);
     }
 
-    /** The newest incarnation of a backend server's name, and whether it tells its start. */
-    newestOf(name: string): ReturnType<Lifetimes["newestOf"]> {
-        return this.lifetimes.newestOf(name);
+    /** The newest incarnation of a backend server's name, and whether it announced a start time. */
+    newestOf(name: string): ReturnType<LatestIncarnations["newestOf"]> {
+        return this.incarnations.newestOf(name);
     }
 
     /** Whether the incarnation is known to have ended. */
@@ -74,20 +74,20 @@
         return this.ended.has(id);
     }
 
-    /** Whether word has come that the incarnation is gone: it ended, fell silent, or another one took its address. */
+    /** Whether the incarnation is known to be gone: it ended, is silent, or a later incarnation has its address. */
     isGone(id: string): boolean {
         const instance = this.instances.get(id);
         return instance === undefined || instance.state === "silent" || this.isSuperseded(instance);
     }
 
-    /** All incarnations that haven't ended; one whose address another one has taken counts as silent. */
+    /** All incarnations that haven't ended; one whose address a later incarnation has is returned as silent. */
     all(): readonly Announced[] {
         return [...this.instances.values()].map(instance => {
             return this.isSuperseded(instance) ? { ...instance, state: "silent" } : instance;
         });
     }
 
-    /** Sets a gauge for each state: how many backend servers are believed to be in it. */
+    /** Sets a gauge for each state: the number of backend servers tracked in it. */
     measure(metrics: Metrics): void {
         const states = this.all().map(({ state }) => state);
         for (const state of ["ready", "draining", "silent"] as const) {
@@ -96,8 +96,8 @@
     }
 
     /**
-     * Backend servers of a service that may get new work. Silent ones only where no other is left: they are likely
-     * gone, but a directory that was cut off from them would say the same.
+     * Backend servers of a service that may receive new requests. Silent ones are returned only if none is ready: they are
+     * likely gone, but a directory that a network partition separates from them reports the same.
      */
     usable(service: string): readonly Announced[] {
         const known = this.byService.get(service);
@@ -112,14 +112,14 @@
     }
 
     /**
-     * Whether another incarnation was heard of later at the same address. A backend server that crashed and is back
-     * says so at once, and the one before seems ready until it has missed its heartbeats: meanwhile what is sent there
-     * is turned away, and each time costs a repeat. It isn't taken for ended: a heartbeat that was held up on its way
-     * may announce one that has crashed before, and then the one that is really there must get work again once that
-     * one falls silent.
+     * Whether another incarnation was announced later at the same address. A backend server that restarts after a crash
+     * announces itself at once, while its previous incarnation appears ready until it has missed its heartbeats: requests
+     * sent to that one are rejected, and each rejection costs a retry. The earlier incarnation doesn't count as ended: a
+     * delayed heartbeat may announce one that has crashed before, and then the incarnation that is really running must
+     * receive requests again once the other is silent.
      */
     private isSuperseded({ id, address, state }: Announced): boolean {
-        const newest = this.instances.get(this.newestAt.get(address) ?? id);
+        const newest = this.instances.get(this.latestAtAddress.get(address) ?? id);
         return newest !== undefined && newest.id !== id && newest.state !== "silent" && state !== "silent";
     }
 }
@@ -127,5 +127,5 @@
 function supersedes(announced: Announced, known: Announced): boolean {
     return announced.sequence > known.sequence
         || announced.state === "left"
-        || (announced.sequence === known.sequence && rank[announced.state] > rank[known.state]);
+        || (announced.sequence === known.sequence && stateRank[announced.state] > stateRank[known.state]);
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/linkQuality.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/linkQuality.ts
@@ -1,24 +1,24 @@
 import type { Announced, LinkStalls } from "../../protocol/index.js";
 
-/** Milliseconds in which what was seen of a link counts half. */
-const memoryHalfLife = 8_000;
+/** Half-life of the counts of events and stalls. */
+const countHalfLifeMilliseconds = 8_000;
 /**
- * Events that every link is taken to have passed on without a stall: with them a single stall says little.
+ * Events without a stall that every link starts with, so that a single stall has little effect on its rate.
  */
 const priorEvents = 100;
 /**
- * Milliseconds by which a pause must be longer than usual to be a stall: a lost packet is sent again after 200 ms or so,
- * and an engine's batches, filled up or with prompts between, differ by less.
+ * A pause is a stall if it exceeds the run's typical pause by this factor and margin: a lost packet is retransmitted after
+ * about 200 ms, while an engine's pauses vary by less when its batches fill up or include prefills.
  */
-const stallMargin = 120;
-const usualPauseFactor = 1.5;
-/** Weight of one pause in a run's usual pause. */
-const pauseStep = 0.2;
-/** Rates below this are as good as none, and stay out of demands. */
-const leastRate = 0.001;
-
-/** A count in which what is past counts less and less. */
-class FadingCount {
+const stallMarginMilliseconds = 120;
+const typicalPauseFactor = 1.5;
+/** Weight of one pause in the moving average of a run's pauses. */
+const pauseWeight = 0.2;
+/** Rates below this are negligible and are left out of placement requests. */
+const minimumRate = 0.001;
+
+/** A count that decays exponentially over time. */
+class DecayingCount {
     private value = 0;
     private at = 0;
 
@@ -28,70 +28,73 @@
     }
 
     current(now: number): number {
-        return this.value * 0.5 ** ((now - this.at) / memoryHalfLife);
+        return this.value * 0.5 ** ((now - this.at) / countHalfLifeMilliseconds);
     }
 }
 
-/** What one engine's streams showed. */
-class EngineRecord {
-    readonly events = new FadingCount();
-    readonly stalls = new FadingCount();
+/** Events and stalls in the streams of one engine. */
+class EngineStallCounts {
+    readonly events = new DecayingCount();
+    readonly stalls = new DecayingCount();
 
     constructor(readonly failureDomain: string) {}
 }
 
-/** Tells stalls among the pauses of one run's stream, by its own usual pause. */
+/** Detects stalls in the stream of one run, by comparison with its own typical pause. */
 export class PauseWatch {
-    private lastAt: number | undefined;
-    private usual: number | undefined;
-    private longestSeen = 0;
+    private lastEventAt: number | undefined;
+    private typicalPause: number | undefined;
+    private longestPause = 0;
 
     static create(): PauseWatch {
         return new PauseWatch();
     }
 
-    /** Notes an event; tells whether it came late. */
+    /** Records an event; returns whether a stall preceded it. */
     event(now: number): boolean {
-        const pause = this.lastAt === undefined ? undefined : now - this.lastAt;
-        this.lastAt = now;
+        const pause = this.lastEventAt === undefined ? undefined : now - this.lastEventAt;
+        this.lastEventAt = now;
         if (pause === undefined) {
             return false;
         }
-        this.longestSeen = Math.max(this.longestSeen, pause);
-        const stalled = this.usual !== undefined && pause > usualPauseFactor * this.usual + stallMargin;
+        this.longestPause = Math.max(this.longestPause, pause);
+        const stalled = this.typicalPause !== undefined
+            && pause > typicalPauseFactor * this.typicalPause + stallMarginMilliseconds;
         if (!stalled) {
-            this.usual = this.usual === undefined ? pause : this.usual + pauseStep * (pause - this.usual);
+            this.typicalPause = this.typicalPause === undefined
+                ? pause
+                : this.typicalPause + pauseWeight * (pause - this.typicalPause);
         }
         return stalled;
     }
 
     /** The longest pause in milliseconds. */
     longest(): number {
-        return this.longestSeen;
+        return this.longestPause;
     }
 }
 
 /**
- * How well this gateway's links to the other failure domains pass streams on, learned from the pauses in these.
+ * Stall rates of this gateway's links to the other failure domains, measured by the pauses in the streams from there.
  *
- * The load that it answers: the links of one failure domain lose a few packets in a hundred. Each lost one holds up an
- * event by 200 ms, so that hardly a stream of seventy events that crosses the link is in time, while engines beside the
- * gateway serve all of theirs. Nobody tells of it, and health checks and connections are sound. A fixed preference for
- * near engines would cost where links are sound and a domain's own engines are full or gone; so near engines are
- * preferred as far as stalls were seen, and for as long.
+ * It is meant for links of a failure domain that lose a few packets in a hundred. Each lost packet delays an event by
+ * 200 ms, so that hardly any stream of seventy events over such a link is in time, while engines in the gateway's own
+ * domain serve all of theirs in time. No component reports this: health checks pass and connections stay up. A fixed
+ * preference for engines in the same domain would be costly when links are healthy and the domain's own engines are full or
+ * gone; so the preference follows the observed stalls and ends with them.
  */
 export class LinkQuality {
-    private readonly engines = new Map<string, EngineRecord>();
+    private readonly engines = new Map<string, EngineStallCounts>();
 
     static create(): LinkQuality {
         return new LinkQuality();
     }
 
-    /** Notes an event of an engine's stream, and whether it stalled. */
+    /** Records an event of an engine's stream, and whether it stalled. */
     event(engine: Announced, stalled: boolean, now: number): void {
         let record = this.engines.get(engine.id);
         if (record === undefined) {
-            record = new EngineRecord(engine.failureDomain);
+            record = new EngineStallCounts(engine.failureDomain);
             this.engines.set(engine.id, record);
         }
         record.events.add(now);
@@ -101,31 +104,31 @@
     }
 
     /**
-     * The part of the events that stall on the way from each failure domain, beyond what stalls from the best one: what
-     * engines do themselves shows in every domain alike. Those without stalls are left out.
+     * The fraction of events from each failure domain that stall, minus that of the best domain: stalls that the engines
+     * themselves cause are as frequent in every domain. Domains without excess stalls are left out.
      */
     stalls(now: number): LinkStalls {
-        this.forget(now);
+        this.dropIdleEngines(now);
         const rates = [...this.byDomain()].map(([failureDomain, records]) => {
             return { failureDomain, rate: stallRate(records, now) };
         });
         const least = Math.min(...rates.map(({ rate }) => rate));
         return rates
             .map(({ failureDomain, rate }) => ({ failureDomain, rate: rate - least }))
-            .filter(({ rate }) => rate >= leastRate);
+            .filter(({ rate }) => rate >= minimumRate);
     }
 
-    /** Forgets engines that haven't been heard for long. */
-    private forget(now: number): void {
+    /** Removes engines that have sent no event for a long time. */
+    private dropIdleEngines(now: number): void {
         this.engines.forEach((record, id) => {
-            if (record.events.current(now) < leastRate) {
+            if (record.events.current(now) < minimumRate) {
                 this.engines.delete(id);
             }
         });
     }
 
-    private byDomain(): ReadonlyMap<string, readonly EngineRecord[]> {
-        const domains = new Map<string, EngineRecord[]>();
+    private byDomain(): ReadonlyMap<string, readonly EngineStallCounts[]> {
+        const domains = new Map<string, EngineStallCounts[]>();
         this.engines.forEach(record => {
             const records = domains.get(record.failureDomain) ?? [];
             records.push(record);
@@ -136,17 +139,18 @@
 }
 
 /**
- * Leaves the worst engine out: one that falls silent, turns slow or puts its runs off says nothing of the link, and its
- * whole failure domain would lose work for it. Of a domain with a single engine nothing is known then.
+ * Excludes the stalls of the worst engine: an engine that stops sending, becomes slow or defers its runs says nothing about
+ * the link, and its whole failure domain would receive less work because of it. A domain with a single engine therefore
+ * has the rate 0.
  */
-function stallRate(records: readonly EngineRecord[], now: number): number {
+function stallRate(records: readonly EngineStallCounts[], now: number): number {
     const stalls = records.map(record => record.stalls.current(now));
     const events = records.reduce((sum, record) => sum + record.events.current(now), 0);
     const counted = stalls.reduce((sum, count) => sum + count, 0) - Math.max(...stalls);
     return counted / (priorEvents + events);
 }
 
-/** The rate of one failure domain. */
+/** The stall rate of one failure domain; 0 if it isn't listed. */
 export function stallRateOf(stalls: LinkStalls | undefined, failureDomain: string): number {
     return stalls?.find(one => one.failureDomain === failureDomain)?.rate ?? 0;
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/routeTable.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/routeTable.ts
@@ -1,7 +1,7 @@
 import type { ServiceRule, Traffic, TrafficRoute } from "../../protocol/index.js";
 import { fractionOf } from "../../utils/index.js";
 
-/** Finds the route of a request and the service that it goes to. */
+/** Finds the route of a request and the service that handles it. */
 export class RouteTable {
     private readonly byHost = new Map<string, TrafficRoute[]>();
     private readonly services: ReadonlyMap<string, ServiceRule>;
@@ -20,27 +20,30 @@
         return new RouteTable(traffic);
     }
 
-    /** The route for a `Host` header and a request target; undefined where none takes it. */
+    /** The route for a `Host` header and a request target; undefined if none matches. */
     match(hostHeader: string, target: string): TrafficRoute | undefined {
         const host = hostHeader.toLowerCase().replace(/:\d*$/, "");
         const path = target.split("?", 1)[0]!;
         return this.byHost.get(host)?.find(route => path.startsWith(route.pathPrefix));
     }
 
-    /** The service that a request of the route goes to. A split is drawn by the identifier, so that it repeats. */
+    /**
+     * The service that handles a request of the route. Weighted targets are selected by a hash of the identifier, so that the
+     * same identifier always gets the same service.
+     */
     serviceOf(route: TrafficRoute, identifier: string): ServiceRule | undefined {
         const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-        let place = fractionOf(identifier) * total;
+        let position = fractionOf(identifier) * total;
         for (const target of route.targets) {
-            place -= target.weight;
-            if (place < 0) {
+            position -= target.weight;
+            if (position < 0) {
                 return this.services.get(target.service);
             }
         }
         return undefined;
     }
 
-    /** The rule of a service. */
+    /** The rule of a service; undefined if the configuration doesn't have it. */
     service(name: string): ServiceRule | undefined {
         return this.services.get(name);
     }
--- /dev/null
+++ b/packages/basilpaddle/src/node/coordination/gateway/runRejections.ts
@@ -0,0 +1,33 @@
+/** How long a rejected run counts against its engines. */
+const rejectionWindowMilliseconds = 2_000;
+
+type RunRejection = { readonly prefill: string | undefined; readonly decode: string; readonly at: number; };
+
+/**
+ * Determines which engine is at fault when a decode engine rejects a run: either the decode engine is full, or the prefill
+ * engine no longer has the KV cache; the response doesn't say which.
+ *
+ * During a burst some engines become slow and stay full, while at others KV caches expire at once. A full decode engine
+ * rejects runs of several prefill engines; a prefill engine whose caches expire has its runs rejected by several decode
+ * engines. Blaming the wrong one pauses a healthy engine when all are needed: when the prefill engine was always blamed,
+ * four decode engines rejected 180 of 2,500 runs of a day while healthy prefill engines were paused in turn.
+ */
+export class RunRejections {
+    private recent: RunRejection[] = [];
+
+    static create(): RunRejections {
+        return new RunRejections();
+    }
+
+    /** Records a rejected run. Returns the identifier of the engine that is more likely at fault. */
+    blame(prefill: string | undefined, decode: string, now: number): string {
+        this.recent = this.recent.filter(one => now - one.at < rejectionWindowMilliseconds);
+        this.recent.push({ prefill, decode, at: now });
+        if (prefill === undefined) {
+            return decode;
+        }
+        const prefillEngines = new Set(this.recent.filter(one => one.decode === decode).map(one => one.prefill));
+        const decodeEngines = new Set(this.recent.filter(one => one.prefill === prefill).map(one => one.decode));
+        return decodeEngines.size > prefillEngines.size ? prefill : decode;
+    }
+}
--- a/packages/basilpaddle/src/node/coordination/gateway/stagePlan.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/stagePlan.ts
@@ -1,32 +1,32 @@
 import type { Announced, EngineRule } from "../../protocol/index.js";
 
-/** What a usual request takes of a pool; a plan only needs the proportions. */
+/** Resources that a typical request uses in a pool; a plan depends only on their proportions. */
 export type UsualRequest = {
-    /** Milliseconds of a prefill engine to read its prompt. */
+    /** Milliseconds of prefill work for its prompt. */
     readonly readingTime: number;
-    /** Milliseconds for which its run holds a place. */
+    /** Milliseconds for which its run occupies a decode engine. */
     readonly holdTime: number;
-    /** Tokens of KV cache that are held. */
+    /** Tokens of KV cache that its run occupies. */
     readonly cacheTokens: number;
 };
 
-/** What is assumed until a pool's own requests have been seen: prompts of 3,200 tokens and answers of 940. */
+/** Assumed until a pool has observed requests of its own: prompts of 3,200 tokens and answers of 940. */
 export const assumedRequest: UsualRequest = { readingTime: 100, holdTime: 3_200, cacheTokens: 3_670 };
 
 /**
- * Engines by which what was observed must differ from the stages as they are before one is changed: a change takes an
- * engine out for seconds, and means drift over a burst. More is asked before a decode engine is taken, since runs hold
- * these for seconds, and a queue of prompts is shorter.
+ * Number of prefill engines above or below the computed one before an engine changes its stage: a change makes the engine
+ * unavailable for seconds, and the averages drift during a burst. The limit for taking a decode engine is higher, since
+ * runs occupy decode engines for seconds, while prompts queue for a shorter time.
  */
-const mostReadersTooMany = 0.6;
-const mostReadersTooFew = 1.5;
+const maximumPrefillSurplus = 0.6;
+const maximumPrefillDeficit = 1.5;
 
-/** An engine that should change its stage. */
+/** An engine that should change its stage, and the new stage. */
 export type StageChange = { readonly engine: Announced; readonly stage: "prefill" | "decode"; };
 
 /**
- * The next engines that should change their stage: few enough that the pool never lacks one stage while they change.
- * Engines that read prompts are kept spread over the failure domains, since moves of KV cache between these cost more.
+ * Returns the engines that should change their stage next: few enough that at least one engine of each stage remains while
+ * they change. Prefill engines stay spread over the failure domains, since KV cache transfers between domains cost more.
  */
 export function planStages(
     engines: readonly Announced[],
@@ -39,40 +39,44 @@
     if (ready.length < 2) {
         return [];
     }
-    const exact = ready.length * prefillPart(rule, observed ?? assumedRequest);
+    const exact = ready.length * prefillFraction(rule, observed ?? assumedRequest);
     const wanted = Math.min(ready.length - 1, Math.max(1, Math.round(exact)));
-    const tooMany = prefill.length > wanted && (observed === undefined || prefill.length - exact > mostReadersTooMany);
+    const tooMany = prefill.length > wanted
+        && (observed === undefined || prefill.length - exact > maximumPrefillSurplus);
     if (tooMany) {
-        return fromCrowdedDomain(prefill, prefill.length - wanted).map(engine => ({ engine, stage: "decode" }));
+        return takeFromLargestDomains(prefill, prefill.length - wanted).map(engine => ({ engine, stage: "decode" }));
     }
-    const tooFew = observed !== undefined && exact - prefill.length > mostReadersTooFew;
+    const tooFew = observed !== undefined && exact - prefill.length > maximumPrefillDeficit;
     if (tooFew || prefill.length === 0) {
         const lacking = tooFew ? wanted - prefill.length : 1;
         const most = Math.max(0, decode.length - 1);
-        return fromCrowdedDomain(decode, Math.min(lacking, most)).map(engine => ({ engine, stage: "prefill" }));
+        return takeFromLargestDomains(decode, Math.min(lacking, most)).map(engine => ({ engine, stage: "prefill" }));
     }
     return [];
 }
 
 /**
- * Part of the pool that should read prompts, so that neither stage is full while the other has room: by the time of a whole
- * engine that either takes of a usual request.
+ * Fraction of the pool's engines that should run prefill, so that neither stage is full while the other has capacity. It
+ * compares the engine time that each stage uses for a typical request.
  */
-function prefillPart(rule: EngineRule, request: UsualRequest): number {
-    const heldPart = Math.max(request.cacheTokens / rule.cacheTokens, 1 / rule.slots);
-    return request.readingTime / (request.readingTime + request.holdTime * heldPart);
+function prefillFraction(rule: EngineRule, request: UsualRequest): number {
+    const heldFraction = Math.max(request.cacheTokens / rule.cacheTokens, 1 / rule.slots);
+    return request.readingTime / (request.readingTime + request.holdTime * heldFraction);
 }
 
-/** Takes engines one by one from the failure domain that has most of them; the least identifier first, so that it repeats. */
-function fromCrowdedDomain(engines: readonly Announced[], count: number): Announced[] {
-    const left = [...engines].sort((one, other) => one.id < other.id ? -1 : 1);
-    const taken: Announced[] = [];
+/**
+ * Selects engines one by one from the failure domain that has the most of them; the lowest identifier first, so that the
+ * result is deterministic.
+ */
+function takeFromLargestDomains(engines: readonly Announced[], count: number): Announced[] {
+    const remaining = [...engines].sort((one, other) => one.id < other.id ? -1 : 1);
+    const selected: Announced[] = [];
     for (let turn = 0; turn < count; turn++) {
         const sizes = new Map<string, number>();
-        left.forEach(engine => sizes.set(engine.failureDomain, (sizes.get(engine.failureDomain) ?? 0) + 1));
+        remaining.forEach(engine => sizes.set(engine.failureDomain, (sizes.get(engine.failureDomain) ?? 0) + 1));
         const most = Math.max(...sizes.values());
-        const position = left.findIndex(engine => sizes.get(engine.failureDomain) === most);
-        taken.push(...left.splice(position, 1));
+        const position = remaining.findIndex(engine => sizes.get(engine.failureDomain) === most);
+        selected.push(...remaining.splice(position, 1));
     }
-    return taken;
+    return selected;
 }
