--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashWatch.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
@@ -3,32 +3,32 @@
 import { holdRulesSchema } from "../../../protocol/index.js";
 import type { Listening } from "../../../transport/index.js";
 import { createSilentLogger, SilentMetrics } from "../../../utils/index.js";
-import { CrashWatch } from "../crashWatch.js";
-import { HeldRequests } from "../heldRequests.js";
+import { CrashWatch } from "../crashDetector.js";
+import { HeldRequests } from "../quarantinedRequests.js";
 
 const request = { digest: "d", attempt: "a" };
 const server = { id: "s1", address: "10.0.0.1:80" };
 
-describe("the watch for backend servers that end under requests", () => {
+describe("the crash detector", () => {
     let clock: ManualClock;
     let held: HeldRequests;
-    let watch: CrashWatch;
+    let detector: CrashWatch;
     let listening: Listening;
-    let looks: number;
+    let probeCount: number;
     let gone: Set<string>;
 
     beforeEach(() => {
         clock = new ManualClock();
         listening = "no";
-        looks = 0;
+        probeCount = 0;
         gone = new Set();
         const logger = createSilentLogger();
         held = HeldRequests.create({ rules: holdRulesSchema.parse({}), tell: () => undefined, clock, logger });
-        watch = CrashWatch.create({
+        detector = CrashWatch.create({
             held,
             isGone: id => gone.has(id),
             listens: async () => {
-                looks += 1;
+                probeCount += 1;
                 return listening;
             },
             clock,
@@ -37,18 +37,18 @@
         });
     });
 
-    afterEach(() => watch.close());
+    afterEach(() => detector.close());
 
-    it("takes one for ended where nothing listens any more, and looks once for all its runs", async () => {
-        await Promise.all(["d", "e", "f"].map(digest => watch.lost({ digest, attempt: digest }, server, "early")));
-        expect([looks, held.all().length]).to.deep.equal([1, 3]);
+    it("counts a server as crashed if nothing listens at its address, and probes once for all its runs", async () => {
+        await Promise.all(["d", "e", "f"].map(digest => detector.lost({ digest, attempt: digest }, server, "early")));
+        expect([probeCount, held.all().length]).to.deep.equal([1, 3]);
     });
 
-    it("waits for word where something listens, or nothing answers", async () => {
+    it("waits for a report of the server's end if something listens or the probe times out", async () => {
         for (const found of ["yes", "unknown"] as const) {
             listening = found;
             const digest = `with ${found}`;
-            await watch.lost({ digest, attempt: "a" }, { id: `s ${found}`, address: "10.0.0.1:80" }, "late");
+            await detector.lost({ digest, attempt: "a" }, { id: `s ${found}`, address: "10.0.0.1:80" }, "late");
             await clock.pass(2_000);
             expect(held.isSuspected(digest)).to.equal(false);
             gone.add(`s ${found}`);
@@ -57,68 +57,70 @@
         }
     });
 
-    // A request that many callers send alike was answered, met two crashes a moment later, and was held back from all of them for
-    // ten minutes: word that it had been answered counted for nothing so soon after the same word before.
-    it("lets a common request go on that meets crashes just after it was answered, here and at others", async () => {
+    // Guards against quarantining a common request: it was answered and met two crashes a moment later. The second clearing
+    // came so soon after the first that it was ignored as a duplicate, and the request was refused to all callers for ten
+    // minutes.
+    it("doesn't quarantine a common request that meets crashes just after it was answered, here or at another daemon", async () => {
         const other = HeldRequests.create({
             rules: holdRulesSchema.parse({}),
             tell: () => undefined,
             clock,
             logger: createSilentLogger(),
         });
-        watch.answered(request);
+        detector.answered(request);
         held.merge([{ digest: request.digest, crashes: [], clearedAge: 0 }]);
         other.merge([{ digest: request.digest, crashes: [], clearedAge: 0 }]);
         await clock.pass(300);
         const crashes = ["s1", "s2"].map(id => ({ server: id, phase: "early" as const, age: 0 }));
         [held, other].forEach(copy => copy.merge([{ digest: request.digest, crashes }]));
-        expect(watch.hold(request)).to.equal(undefined);
+        expect(detector.hold(request)).to.equal(undefined);
         await clock.pass(10);
         other.merge(held.since(0));
         expect(other.hold(request.digest)).to.equal(undefined);
         expect(other.merge(held.since(0))).to.deep.equal([]);
     });
 
-    // Engines of a rack fell silent together. Requests gave two of them up in turn, each before a first event, and would have been
-    // held back once heartbeats said that both were gone, though a third engine could have served them.
-    it("takes a run that was given up at a silent server for no sign that it ended early", async () => {
+    // Guards against quarantining the victims of a rack failure: requests timed out at two unresponsive engines in turn, each
+    // before a first event, and would have been quarantined once heartbeats reported both as gone, though a third engine
+    // could have served them.
+    it("doesn't count a run that timed out at an unresponsive server as an early crash", async () => {
         listening = "unknown";
         for (const id of ["s1", "s2"]) {
-            await watch.lost(request, { ...server, id }, "early");
+            await detector.lost(request, { ...server, id }, "early");
             gone.add(id);
         }
         await clock.pass(1_000);
         expect(held.all()[0]?.crashes).to.have.length(2);
-        expect(watch.hold(request)).to.equal(undefined);
+        expect(detector.hold(request)).to.equal(undefined);
     });
 
-    it("puts an end down to no run that broke off long before", async () => {
+    it("doesn't attribute a server's end to a run that was lost long before", async () => {
         listening = "yes";
-        await watch.lost(request, server, "early");
+        await detector.lost(request, server, "early");
         await clock.pass(20_000);
         gone.add(server.id);
         await clock.pass(1_000);
         expect(held.all()).to.deep.equal([]);
     });
 
-    it("holds nothing against a request that is answered, here or at another daemon", async () => {
-        await watch.lost(request, server, "early");
-        await watch.lost(request, { ...server, id: "s2" }, "early");
-        expect(watch.hold(request)?.crashes).to.have.length(2);
+    it("counts no crashes against a request that is answered, here or at another daemon", async () => {
+        await detector.lost(request, server, "early");
+        await detector.lost(request, { ...server, id: "s2" }, "early");
+        expect(detector.hold(request)?.crashes).to.have.length(2);
         await clock.pass(10);
-        watch.answered(request);
-        expect(watch.hold(request)).to.equal(undefined);
-        // Other daemons met crashes while it was answered here: it is a common one.
+        detector.answered(request);
+        expect(detector.hold(request)).to.equal(undefined);
+        // Other daemons report crashes while it was answered here: it is a common request.
         await clock.pass(5_000);
         const crashes = ["s3", "s4"].map(id => ({ server: id, phase: "early" as const, age: 0 }));
         held.merge([{ digest: request.digest, crashes }]);
-        expect(watch.hold(request)).to.equal(undefined);
-        // An answer of long ago says nothing of the servers that there are now.
+        expect(detector.hold(request)).to.equal(undefined);
+        // An old answer is no evidence about the servers that run now.
         await clock.pass(120_000);
         held.merge([{
             digest: request.digest,
             crashes: ["s5", "s6"].map(id => ({ server: id, phase: "early" as const, age: 0 })),
         }]);
-        expect(watch.hold(request)).not.to.equal(undefined);
+        expect(detector.hold(request)).not.to.equal(undefined);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashNews.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashExchange.spec.ts
@@ -2,20 +2,20 @@
 import { ManualClock } from "../../../../../../../simulation/manualClock.js";
 import { holdRulesSchema } from "../../../protocol/index.js";
 import { createSilentLogger } from "../../../utils/index.js";
-import { answerCrashes, CrashExchange } from "../crashNews.js";
-import { HeldRequests } from "../heldRequests.js";
+import { answerCrashes, CrashExchange } from "../crashExchange.js";
+import { HeldRequests } from "../quarantinedRequests.js";
 
-function copy(tell: (digest: string) => void = () => undefined): HeldRequests {
+function copy(publish: (digest: string) => void = () => undefined): HeldRequests {
     return HeldRequests.create({
         rules: holdRulesSchema.parse({}),
-        tell: records => records.forEach(({ digest }) => tell(digest)),
+        tell: records => records.forEach(({ digest }) => publish(digest)),
         clock: new ManualClock(),
         logger: createSilentLogger(),
     });
 }
 
-/** A daemon that asks, and what it knows. */
-class Asker {
+/** A daemon that queries others, with its own records. */
+class QueryingDaemon {
     readonly held: HeldRequests;
     private readonly exchange: CrashExchange;
 
@@ -28,20 +28,21 @@
         servers.forEach(server => this.held.note(digest, { server, phase: "early", age: 0 }));
     }
 
-    /** Asks once; gives how many records went each way. */
-    ask(name: string, answerer: HeldRequests): readonly [number, number] {
+    /** Queries a peer once; returns how many records the query and the reply carried. */
+    ask(name: string, peer: HeldRequests): readonly [number, number] {
         const { question, count } = this.exchange.question(name);
-        const news = answerCrashes(answerer, question);
+        const news = answerCrashes(peer, question);
         this.exchange.answered(name, count, news);
         return [question.records.length, news.records.length];
     }
 }
 
-// Each daemon that takes requests sees one crash of the three; the ones that it asks add them up, and any may be lost.
-describe("the exchange of what daemons know of crashes", () => {
-    it("adds up what several daemons saw, and tells it to all", () => {
+// Each daemon that receives requests sees only one crash of the three; the daemons that it queries combine them, and any of
+// these may be lost.
+describe("the exchange of crash records", () => {
+    it("combines the crashes that several daemons saw, and sends them to all", () => {
         const control = copy();
-        const [one, other, third] = [new Asker(), new Asker(), new Asker()];
+        const [one, other, third] = [new QueryingDaemon(), new QueryingDaemon(), new QueryingDaemon()];
         one.crash("a", "s1");
         other.crash("a", "s2");
         expect(one.ask("c", control)).to.deep.equal([1, 0]);
@@ -50,9 +51,9 @@
         expect([one, other, third].every(({ held }) => held.hold("a") !== undefined)).to.equal(true);
     });
 
-    it("tells each of those that are asked, and each thing once", () => {
+    it("sends each record once to every peer", () => {
         const [control, second] = [copy(), copy()];
-        const asker = new Asker();
+        const asker = new QueryingDaemon();
         asker.crash("a", "s1", "s2");
         expect(asker.ask("c1", control)).to.deep.equal([1, 1]);
         expect(asker.ask("c1", control)).to.deep.equal([0, 0]);
@@ -60,8 +61,8 @@
         expect(second.hold("a")).not.to.equal(undefined);
     });
 
-    it("tells all again to one that started anew, which had forgotten", () => {
-        const asker = new Asker();
+    it("sends all records again to a peer that has restarted and lost them", () => {
+        const asker = new QueryingDaemon();
         asker.crash("a", "s1", "s2");
         asker.ask("c", copy());
         const restarted = copy();
@@ -70,9 +71,9 @@
         expect(restarted.hold("a")).not.to.equal(undefined);
     });
 
-    it("passes a release on", () => {
+    it("propagates an operator's release", () => {
         const control = copy();
-        const [one, other] = [new Asker(), new Asker()];
+        const [one, other] = [new QueryingDaemon(), new QueryingDaemon()];
         one.crash("a", "s1", "s2");
         [one, other].forEach(asker => asker.ask("c", control));
         expect(control.release("a", "somebody")).to.equal(true);
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/quarantine.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/quarantine.spec.ts
@@ -20,7 +20,7 @@
         return quarantine.hold(digest, now) !== undefined;
     }
 
-    it("holds a request back after two crashes before the first part of an answer, three of what has no parts, five late ones", () => {
+    it("quarantines a request after two crashes before the first part of a response, three of an unstreamed one, five late ones", () => {
         quarantine.merge([of("a", early("s1")), of("b", whole("s2"), whole("s3"))], 0);
         expect([isHeld("a"), isHeld("b")]).to.deep.equal([false, false]);
         quarantine.merge([of("a", early("s4")), of("b", whole("s5"))], 0);
@@ -31,13 +31,13 @@
         expect([isHeld("c"), isHeld("d")]).to.deep.equal([true, true]);
     });
 
-    it("counts each backend server once, however often and by whomever it is told", () => {
+    it("counts each backend server once, however often and by whichever daemon it is reported", () => {
         quarantine.merge([of("a", early("s1"))], 0);
         expect(quarantine.merge([of("a", early("s1", 50))], 90)).to.deep.equal([]);
         expect(isHeld("a")).to.equal(false);
     });
 
-    it("says what speaks against a request, and how long it must wait", () => {
+    it("returns the crashes that count against a request, and the time that is left", () => {
         quarantine.merge([of("a", early("s1", 500), early("s2", 200))], 1_000);
         expect(quarantine.hold("a", 1_300)).to.deep.equal({
             left: 10 * minute - 500,
@@ -45,54 +45,54 @@
         });
     });
 
-    it("lets a request go after ten minutes, and holds it longer with each further crash", () => {
+    it("releases a request after ten minutes, and quarantines it longer with each further crash", () => {
         quarantine.merge([of("a", whole("s1"), whole("s2"), whole("s3"))], 0);
         expect([isHeld("a", 9 * minute), isHeld("a", 11 * minute)]).to.deep.equal([true, false]);
         quarantine.merge([of("a", whole("s4"))], 11 * minute);
         expect([isHeld("a", 50 * minute), isHeld("a", 52 * minute)]).to.deep.equal([true, false]);
     });
 
-    it("lets it go after ten minutes as well that crashed servers late, where five were needed", () => {
+    it("releases a request with five late crashes after ten minutes as well", () => {
         quarantine.merge([of("a", late("s1"), late("s2"), late("s3"), late("s4"), late("s5"))], 0);
         expect([isHeld("a", 9 * minute), isHeld("a", 11 * minute)]).to.deep.equal([true, false]);
     });
 
-    it("forgets crashes of before an answer, and counts those after it", () => {
+    it("ignores crashes from before an answer, and counts those after it", () => {
         quarantine.merge([of("a", early("s1"), early("s2"))], 0);
         quarantine.merge([{ digest: "a", crashes: [], clearedAge: 0 }], 5_000);
         expect([isHeld("a", 5_000), quarantine.isSuspected("a")]).to.deep.equal([false, false]);
-        // Word of an old crash that comes late changes nothing.
+        // A late report of an old crash changes nothing.
         quarantine.merge([of("a", early("s1", 6_000), early("s3", 0))], 6_000);
         expect([isHeld("a", 6_000), quarantine.isSuspected("a")]).to.deep.equal([false, true]);
     });
 
-    it("puts a crash down to the request that is held back for it, not to what had run there for a while", () => {
+    it("attributes a crash to the request that is quarantined for it, not to those that had run there for a while", () => {
         quarantine.merge([of("hit", whole("s1"), whole("s2")), of("deadly", early("s1"), early("s2"))], 0);
         quarantine.merge([of("hit", whole("s3"))], 0);
         expect([isHeld("hit"), isHeld("deadly")]).to.deep.equal([false, true]);
     });
 
-    it("tells others of a request once two servers ended under it, and comes to an end of telling", () => {
+    it("shares a request's record from the second crash on, and stops once all copies agree", () => {
         const other = Quarantine.create(rules);
         quarantine.merge([of("a", early("s1")), of("b", early("s1"))], 0);
         expect([quarantine.newest(), quarantine.since(0, 0)]).to.deep.equal([0, []]);
         quarantine.merge([of("a", early("s2"))], 10);
-        const told = quarantine.since(0, 20);
-        expect(told).to.deep.equal([of("a", early("s1", 20), early("s2", 10))]);
-        expect(other.merge(told, 1_000)).to.have.length(1);
+        const shared = quarantine.since(0, 20);
+        expect(shared).to.deep.equal([of("a", early("s1", 20), early("s2", 10))]);
+        expect(other.merge(shared, 1_000)).to.have.length(1);
         expect(quarantine.merge(other.since(0, 1_040), 60)).to.deep.equal([]);
         quarantine.merge([{ digest: "a", crashes: [], clearedAge: 0 }], 5_000);
         expect(other.merge(quarantine.since(1, 5_010), 6_000)).to.have.length(1);
         expect(quarantine.merge(other.since(0, 6_300), 5_400)).to.deep.equal([]);
     });
 
-    it("goes by its rules, and tells of a single crash where one is enough", () => {
+    it("follows its rules, and shares a single crash if one is enough", () => {
         quarantine = Quarantine.create({ crashes: 1, earlyCrashes: 1, lateCrashes: 1, firstHold: 1_000 });
         quarantine.merge([of("a", late("s1"))], 0);
         expect([isHeld("a", 900), isHeld("a", 1_100), quarantine.newest()]).to.deep.equal([true, false, 1]);
     });
 
-    it("is bounded: in crashes of a request, and in requests", () => {
+    it("limits the crashes per request and the number of requests", () => {
         const many = Array.from({ length: 40 }, (_, index) => early(`s${index}`));
         many.forEach(crash => quarantine.merge([of("a", crash)], 0));
         expect(quarantine.hold("a", 0)?.crashes).to.have.length(mostCrashes);
@@ -102,7 +102,7 @@
         expect(quarantine.all(0).length).to.be.lessThan(5_000);
     });
 
-    it("forgets what is long over", () => {
+    it("removes expired records", () => {
         quarantine.merge([of("a", early("s1")), of("b", early("s1"), early("s2"))], 0);
         quarantine.sweep(11 * minute);
         expect(quarantine.all(0).map(({ digest }) => digest)).to.deep.equal(["b"]);
--- /dev/null
+++ b/packages/basilpaddle/src/node/coordination/quarantine/crashDetector.ts
@@ -0,0 +1,140 @@
+import type { CrashPhase } from "../../protocol/index.js";
+import type { Listening } from "../../transport/index.js";
+import type { Clock, Logger, Metrics } from "../../utils/index.js";
+import type { Hold } from "./quarantine.js";
+import type { HeldRequests } from "./quarantinedRequests.js";
+
+/** How long after a lost run heartbeats may still report that its server has ended, and the interval of checking for it. */
+const endReportTimeoutMilliseconds = 8_000;
+const endReportPollMilliseconds = 250;
+/** Limit of lost runs that wait for such a report; each engine that stops responding leaves dozens. */
+const pendingRunLimit = 1_000;
+
+/** One attempt of a request. */
+export type Arrived = {
+    /** Digest of its content. */
+    readonly digest: string;
+    /** Identifier of the attempt, for logs. */
+    readonly attempt: string;
+};
+
+/** One incarnation of a backend server. */
+export type BackendIncarnation = {
+    /** Identifier of the incarnation, for logs and other daemons. */
+    readonly id: string;
+    /** "HOST:PORT". */
+    readonly address: string;
+};
+
+/** A run that ended without a complete answer. */
+type LostRun = Arrived & {
+    readonly server: BackendIncarnation;
+    readonly phase: CrashPhase;
+    readonly at: number;
+};
+
+/** Dependencies of the detector. */
+export type CrashDetectorOptions = {
+    readonly held: HeldRequests;
+    /** Whether the incarnation of this identifier is known to have gone. */
+    readonly isGone: (id: string) => boolean;
+    /** Probes whether anything accepts connections at an address. */
+    readonly listens: (address: string) => Promise<Listening>;
+    readonly clock: Clock;
+    readonly logger: Logger;
+    readonly metrics: Metrics;
+};
+
+/**
+ * Detects which backend servers crashed while running this daemon's requests, and which requests are quarantined for it.
+ * A broken connection alone is no proof: it may have been reset, or the response lost. A crash counts only if nothing
+ * listens at the server's address any more, or heartbeats report the incarnation as gone.
+ */
+export class CrashWatch {
+    private readonly probes = new Map<string, Promise<Listening>>();
+    private pendingRuns: LostRun[] = [];
+    private cancelPoll: (() => void) | undefined;
+
+    private constructor(private readonly options: CrashDetectorOptions) {}
+
+    static create(options: CrashDetectorOptions): CrashWatch {
+        return new CrashWatch(options);
+    }
+
+    /**
+     * Why a request may not be sent now; undefined if it may. Check it before each send, since other daemons may have
+     * reported crashes in the meantime.
+     */
+    hold(request: Arrived): Hold | undefined {
+        return this.options.held.hold(request.digest);
+    }
+
+    /** Reports a run that ended without a complete answer, and checks whether its server has crashed. */
+    async lost({ digest, attempt }: Arrived, server: BackendIncarnation, phase: CrashPhase): Promise<void> {
+        const run = { server, digest, attempt, phase, at: this.now() };
+        if (this.options.held.wasRecentlyAnswered(digest)) {
+            return;
+        }
+        if (await this.probe(server) === "no") {
+            this.recordCrash(run, "nothing listens at its address");
+        }
+        else if (this.pendingRuns.length < pendingRunLimit) {
+            // An unresponsive server may have ended long before the run timed out, so "early" would be no evidence.
+            this.pendingRuns.push({ ...run, phase: phase === "early" ? "late" : phase });
+            this.cancelPoll ??= this.options.clock.after(endReportPollMilliseconds, () => this.checkPendingRuns());
+        }
+    }
+
+    /** Reports that a request was answered in full. */
+    answered({ digest }: Arrived): void {
+        this.options.held.answered(digest);
+    }
+
+    /** Stops checking, and drops all pending runs. */
+    close(): void {
+        this.cancelPoll?.();
+        this.pendingRuns = [];
+    }
+
+    /** Probes a server's address; concurrent calls for one incarnation share a probe. */
+    private probe(server: BackendIncarnation): Promise<Listening> {
+        const known = this.probes.get(server.id);
+        if (known !== undefined) {
+            return known;
+        }
+        const probe = this.options.listens(server.address).finally(() => this.probes.delete(server.id));
+        this.probes.set(server.id, probe);
+        return probe;
+    }
+
+    private checkPendingRuns(): void {
+        const { clock } = this.options;
+        const oldestPending = this.now() - endReportTimeoutMilliseconds;
+        const isGone = ({ server }: LostRun): boolean => this.options.isGone(server.id);
+        const gone = this.pendingRuns.filter(isGone);
+        this.pendingRuns = this.pendingRuns.filter(run => !isGone(run) && run.at > oldestPending);
+        gone.forEach(run => this.recordCrash(run, "its end was reported"));
+        this.cancelPoll = this.pendingRuns.length === 0
+            ? undefined
+            : clock.after(endReportPollMilliseconds, () => this.checkPendingRuns());
+    }
+
+    private recordCrash({ server, digest, attempt, phase, at }: LostRun, proof: string): void {
+        const { held, logger, metrics } = this.options;
+        const age = this.now() - at;
+        logger.warn("a backend server ended under a request", {
+            request: attempt,
+            content: digest,
+            server: server.id,
+            phase,
+            age: Math.round(age),
+            proof,
+        });
+        metrics.count("basilpaddle_crashes_under_requests_total", { phase });
+        held.note(digest, { server: server.id, phase, age });
+    }
+
+    private now(): number {
+        return this.options.clock.monotonic();
+    }
+}
--- a/packages/basilpaddle/src/node/coordination/quarantine/crashHistory.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/crashHistory.ts
@@ -1,61 +1,61 @@
 import { type Crash, type CrashPhase, type CrashRecord, mostCrashes } from "../../protocol/index.js";
 
 /**
- * Milliseconds by which two daemons' moments of one event may differ. An age is older on arrival than it says, by the time
- * that it took: without the tolerance two daemons would tell each other of one event for ever, each time as a later one.
+ * Difference up to which two timestamps are taken for the same event. Records carry ages, which don't include the transit
+ * time: without the tolerance two daemons would send each other one event for ever, each time with a later timestamp.
  */
-const tolerance = 1_000;
+const ageToleranceMilliseconds = 1_000;
 
-/** A crash as this daemon remembers it: by its own clock. */
+/** A crash with its time on this daemon's own clock. */
 export type KnownCrash = { readonly server: string; readonly phase: CrashPhase; readonly at: number; };
 
 /**
- * The crashes under one request. What daemons tell of it can be merged in any order and any number of times: each backend
- * server counts once, and the latest clearing wins.
+ * The crashes of backend servers that ran one request. Records of other daemons can be merged in any order and any number
+ * of times: each backend server counts once, and the latest clearing wins.
  */
 export class CrashHistory {
     private readonly crashes = new Map<string, KnownCrash>();
     private clearedAt = -Infinity;
-    private most = 0;
+    private peakCount = 0;
 
     static create(): CrashHistory {
         return new CrashHistory();
     }
 
-    /** Takes in what another daemon knows; tells whether any of it is news. */
+    /** Merges another daemon's record; returns whether it changed anything here. */
     merge({ crashes, clearedAge }: Omit<CrashRecord, "digest">, now: number): boolean {
         const isCleared = clearedAge !== undefined && this.clear(now - clearedAge);
-        const isHit = crashes.filter(crash => this.add(crash, now)).length > 0;
-        return isCleared || isHit;
+        const isExtended = crashes.filter(crash => this.add(crash, now)).length > 0;
+        return isCleared || isExtended;
     }
 
     /** The crashes that count, oldest first. */
-    standing(): readonly KnownCrash[] {
+    activeCrashes(): readonly KnownCrash[] {
         return [...this.crashes.values()];
     }
 
-    /** The most crashes that ever counted at once. */
-    mostStanding(): number {
-        return this.most;
+    /** The highest number of crashes that counted at the same time. */
+    peakCrashCount(): number {
+        return this.peakCount;
     }
 
-    /** When something last happened. */
+    /** Time of the latest crash or clearing. */
     changedAt(): number {
-        return Math.max(this.clearedAt, ...this.standing().map(({ at }) => at));
+        return Math.max(this.clearedAt, ...this.activeCrashes().map(({ at }) => at));
     }
 
-    /** What other daemons are told. */
+    /** The record that is sent to other daemons. */
     record(digest: string, now: number): CrashRecord {
-        const crashes = this.standing().map(({ server, phase, at }): Crash => ({ server, phase, age: now - at }));
+        const crashes = this.activeCrashes().map(({ server, phase, at }): Crash => ({ server, phase, age: now - at }));
         return Number.isFinite(this.clearedAt)
             ? { digest, crashes, clearedAge: Math.max(0, now - this.clearedAt) }
             : { digest, crashes };
     }
 
     private clear(at: number): boolean {
-        const cleared = this.standing().filter(crash => crash.at <= at);
-        // Within the tolerance it may be the same clearing again, which is news only where crashes still stand.
-        if (cleared.length === 0 && at <= this.clearedAt + tolerance) {
+        const cleared = this.activeCrashes().filter(crash => crash.at <= at);
+        // Within the tolerance it may be the same clearing again, which changes something only if it removes crashes.
+        if (cleared.length === 0 && at <= this.clearedAt + ageToleranceMilliseconds) {
             return false;
         }
         cleared.forEach(({ server }) => this.crashes.delete(server));
@@ -69,7 +69,7 @@
             return false;
         }
         this.crashes.set(server, { server, phase, at });
-        this.most = Math.max(this.most, this.crashes.size);
+        this.peakCount = Math.max(this.peakCount, this.crashes.size);
         return true;
     }
 }
--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantine.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantine.ts
@@ -2,41 +2,44 @@
 import type { Crash, CrashRecord, HoldRules } from "../../protocol/index.js";
 import { CrashHistory, type KnownCrash } from "./crashHistory.js";
 
-/** Requests with a crash that are remembered, 2 MB of them: a caller may send a new one each time. */
+/** Limit of requests with recorded crashes, which take 2 MB: a caller may send a different request each time. */
 const historyLimit = 4_096;
-/** Backend servers whose end is put down to a request that is held back. */
-const explainedLimit = 4_096;
-/** Least crashes of a request that other daemons hear of. */
-const toldCrashes = 2;
-/** Times as long that a request is held back with each further crash, and milliseconds at the most: each try may cost one. */
-const holdGrowth = 4;
-const longestHold = 24 * 60 * 60_000;
-/** What sums of fractions may lack of a whole. */
-const rounding = 1e-9;
-/** Milliseconds for which a request is remembered after its last crash, or after its hold. */
-const memory = 10 * 60_000;
-
-/** Why a request is held back, and for how long. */
+/** Limit of backend servers whose crash is attributed to a quarantined request. */
+const culpritLimit = 4_096;
+/** Number of crashes from which a request's record is shared with other daemons. */
+const sharedCrashThreshold = 2;
+/**
+ * Factor by which each further crash lengthens the quarantine, and its maximum: every time a request is let through, it may
+ * crash another server.
+ */
+const holdGrowthFactor = 4;
+const longestHoldMilliseconds = 24 * 60 * 60_000;
+/** Rounding error of a sum of fractions that should be 1. */
+const weightTolerance = 1e-9;
+/** How long a record is kept after its last change, or after its quarantine has ended. */
+const retentionMilliseconds = 10 * 60_000;
+
+/** Why a request is quarantined, and for how long. */
 export type Hold = {
     /** Milliseconds until it may run again. */
     readonly left: number;
-    /** The backend servers that ended under it. */
+    /** The crashes that count against it. */
     readonly crashes: readonly Crash[];
 };
 
-/** A request that is held back. */
+/** A quarantined request. */
 export type HeldRequest = Hold & { readonly digest: string; };
 
 /**
- * Requests under which backend servers ended, and which of these are held back for it. Every daemon keeps a
- * copy; they tell each other all that bears on a decision, so that none has to be asked when a request comes.
+ * Records which requests backend servers crashed on, and decides which of them are quarantined. Every daemon keeps a copy;
+ * they exchange all records that affect a decision, so that no daemon has to query another one when a request arrives.
  */
 export class Quarantine {
     private readonly histories = new LRUCache<string, CrashHistory>({ max: historyLimit });
-    private readonly numbers = new LRUCache<string, number>({ max: historyLimit });
+    private readonly changeNumbers = new LRUCache<string, number>({ max: historyLimit });
     /** The request that is held back for the end of a backend server, by that server. */
-    private readonly culprits = new LRUCache<string, string>({ max: explainedLimit });
-    private last = 0;
+    private readonly culprits = new LRUCache<string, string>({ max: culpritLimit });
+    private lastChangeNumber = 0;
 
     private constructor(private readonly rules: HoldRules) {}
 
@@ -44,37 +47,37 @@
         return new Quarantine(rules);
     }
 
-    /** Takes in what was seen here or told by another daemon; gives the records that are news. */
+    /** Merges records of this daemon or another one; returns those that changed something. */
     merge(records: readonly CrashRecord[], now: number): readonly CrashRecord[] {
         return records.filter(record => {
             const history = this.histories.get(record.digest) ?? CrashHistory.create();
-            const isNews = history.merge(record, now);
-            if (isNews) {
+            const isChanged = history.merge(record, now);
+            if (isChanged) {
                 this.histories.set(record.digest, history);
-                this.blame(record.digest, history);
+                this.attributeCrashes(record.digest, history);
                 this.number(record.digest, history);
             }
-            return isNews;
+            return isChanged;
         });
     }
 
     /** Whether any crash counts against the request. */
     isSuspected(digest: string): boolean {
-        return this.against(digest).length > 0;
+        return this.countedCrashes(digest).length > 0;
     }
 
-    /** Why the request may not be sent to any backend server now; undefined where it may. */
+    /** Why the request may not be sent to any backend server now; undefined if it may. */
     hold(digest: string, now: number): Hold | undefined {
-        const crashes = this.against(digest);
-        if (!this.isTooMuch(crashes)) {
+        const crashes = this.countedCrashes(digest);
+        if (!this.reachesLimit(crashes)) {
             return undefined;
         }
-        const left = Math.max(...crashes.map(({ at }) => at)) + this.holdTime(crashes) - now;
-        const told = crashes.map(({ server, phase, at }) => ({ server, phase, age: now - at }));
-        return left > 0 ? { left, crashes: told } : undefined;
+        const left = Math.max(...crashes.map(({ at }) => at)) + this.holdDuration(crashes) - now;
+        const sharedCrashes = crashes.map(({ server, phase, at }) => ({ server, phase, age: now - at }));
+        return left > 0 ? { left, crashes: sharedCrashes } : undefined;
     }
 
-    /** All that is held back now. */
+    /** All requests that are quarantined now. */
     held(now: number): readonly HeldRequest[] {
         return [...this.histories.keys()].flatMap(digest => {
             const hold = this.hold(digest, now);
@@ -82,42 +85,44 @@
         });
     }
 
-    /** Number of the newest change that others have to know. */
+    /** Number of the latest change that has to reach other daemons. */
     newest(): number {
-        return this.last;
+        return this.lastChangeNumber;
     }
 
-    /** What changed after that number. */
+    /** Records that changed after that number. */
     since(number: number, now: number): readonly CrashRecord[] {
         return [...this.histories.entries()]
-            .filter(([digest]) => (this.numbers.peek(digest) ?? 0) > number)
+            .filter(([digest]) => (this.changeNumbers.peek(digest) ?? 0) > number)
             .map(([digest, history]) => history.record(digest, now));
     }
 
-    /** What is known of one request. */
+    /** The record of one request, if there is one. */
     record(digest: string, now: number): CrashRecord | undefined {
         return this.histories.peek(digest)?.record(digest, now);
     }
 
-    /** All that is known, for a directory that has just started: what gateways saw has to reach one that remembers nothing. */
+    /** All records, for a directory that has just started and has lost what the gateways had sent it. */
     all(now: number): readonly CrashRecord[] {
         return [...this.histories.entries()].map(([digest, history]) => history.record(digest, now));
     }
 
-    /** Forgets what says nothing any more. */
+    /** Removes records that can't affect a decision any more. */
     sweep(now: number): void {
         for (const [digest, history] of this.histories.entries()) {
-            const hold = this.isTooMuch(this.against(digest)) ? this.holdTime(history.standing()) : 0;
-            if (now - history.changedAt() > hold + memory) {
+            const hold = this.reachesLimit(this.countedCrashes(digest))
+                ? this.holdDuration(history.activeCrashes())
+                : 0;
+            if (now - history.changedAt() > hold + retentionMilliseconds) {
                 this.histories.delete(digest);
-                this.numbers.delete(digest);
+                this.changeNumbers.delete(digest);
             }
         }
     }
 
-    /** The crashes that count against a request: not those that another one explains better. */
-    private against(digest: string): readonly KnownCrash[] {
-        const standing = this.histories.peek(digest)?.standing() ?? [];
+    /** The crashes that count against a request: all but those of phases "late" and "whole" that are attributed to another one. */
+    private countedCrashes(digest: string): readonly KnownCrash[] {
+        const standing = this.histories.peek(digest)?.activeCrashes() ?? [];
         return standing.filter(({ server, phase }) => {
             const culprit = this.culprits.peek(server);
             return phase === "early" || culprit === undefined || culprit === digest;
@@ -125,40 +130,40 @@
     }
 
     /**
-     * Numbers a change that others have to know. A single crash isn't told on: an engine that ends of something else takes
-     * dozens of runs along, and hardly one of them is ever hit again.
+     * Assigns a number to a change that has to reach other daemons. A single crash isn't shared: an engine that crashes for
+     * another reason aborts dozens of runs, and hardly any of these requests meets a second crash.
      */
     private number(digest: string, history: CrashHistory): void {
-        if (history.mostStanding() >= Math.min(toldCrashes, this.rules.crashes, this.rules.earlyCrashes)) {
-            this.last += 1;
-            this.numbers.set(digest, this.last);
+        if (history.peakCrashCount() >= Math.min(sharedCrashThreshold, this.rules.crashes, this.rules.earlyCrashes)) {
+            this.lastChangeNumber += 1;
+            this.changeNumbers.set(digest, this.lastChangeNumber);
         }
     }
 
     /**
-     * Puts the end of backend servers down to a request that is held back for it. Whatever else ran there, and had already
-     * given something, was only hit; of an engine with twenty runs that is most of them.
+     * Attributes crashes to a request that is quarantined for early ones. Other requests that ran there and had already
+     * returned output are victims; on an engine with twenty runs that is most of them.
      */
-    private blame(digest: string, history: CrashHistory): void {
-        const early = history.standing().filter(({ phase }) => phase === "early");
+    private attributeCrashes(digest: string, history: CrashHistory): void {
+        const early = history.activeCrashes().filter(({ phase }) => phase === "early");
         if (early.length >= this.rules.earlyCrashes) {
             early.forEach(({ server }) => this.culprits.set(server, digest));
         }
     }
 
-    private isTooMuch(crashes: readonly KnownCrash[]): boolean {
-        return this.weight(crashes) + rounding >= 1;
+    private reachesLimit(crashes: readonly KnownCrash[]): boolean {
+        return this.weight(crashes) + weightTolerance >= 1;
     }
 
-    /** Crashes of each kind count by their own limit, 1 being enough: two early ones as much as five late ones. */
+    /** Sum of the crashes, each as a fraction of its phase's limit; 1 is enough: two early ones count as much as five late ones. */
     private weight(crashes: readonly KnownCrash[]): number {
         const { crashes: whole, earlyCrashes: early, lateCrashes: late } = this.rules;
         const limits = { whole, early, late };
         return crashes.reduce((sum, { phase }) => sum + 1 / limits[phase], 0);
     }
 
-    private holdTime(crashes: readonly KnownCrash[]): number {
+    private holdDuration(crashes: readonly KnownCrash[]): number {
         const beyond = Math.round(Math.max(0, this.weight(crashes) - 1) * this.rules.crashes);
-        return Math.min(longestHold, this.rules.firstHold * holdGrowth ** beyond);
+        return Math.min(longestHoldMilliseconds, this.rules.firstHold * holdGrowthFactor ** beyond);
     }
 }
--- /dev/null
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantineRefusal.ts
@@ -0,0 +1,24 @@
+import type { Refusal } from "../../protocol/index.js";
+import type { Logger } from "../../utils/index.js";
+import type { Arrived, CrashWatch } from "./crashDetector.js";
+import { describeCrashes } from "./quarantinedRequests.js";
+
+/** The reason that callers receive and that loss reports match. */
+export const quarantineReason = "backend servers ended under this request; it is held back";
+
+/**
+ * The refusal of a quarantined request, with the time until it may be sent; undefined if it may be sent now. Check it
+ * before each send, since other daemons may have reported crashes in the meantime.
+ */
+export function heldRefusal(crashes: CrashWatch, arrived: Arrived, logger: Logger): Refusal | undefined {
+    const hold = crashes.hold(arrived);
+    if (hold === undefined) {
+        return undefined;
+    }
+    logger.info("refused a quarantined request", {
+        request: arrived.attempt,
+        content: arrived.digest,
+        crashes: describeCrashes(hold.crashes),
+    });
+    return { code: "heldBack", outcome: "notRun", message: quarantineReason, retryAfter: Math.ceil(hold.left) };
+}
--- a/packages/basilpaddle/src/node/coordination/quarantine/heldRequests.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantinedRequests.ts
@@ -4,38 +4,41 @@
 import type { Clock, Logger, Metrics } from "../../utils/index.js";
 import { type HeldRequest, type Hold, Quarantine } from "./quarantine.js";
 
-/** Requests that were answered in full, and milliseconds for which that speaks for them. */
-const answeredLimit = 1_024;
-const answeredMemory = 60_000;
-/** Least milliseconds between two looks at what may be forgotten. */
-const sweepInterval = 60_000;
-
-/** What a daemon's copy needs. */
-export type HeldRequestsOptions = {
+/** Number of fully answered requests that are remembered, and how long an answer clears a request of crashes. */
+const answeredCacheSize = 1_024;
+const answeredRetentionMilliseconds = 60_000;
+/** Minimum interval between two removals of expired records. */
+const sweepIntervalMilliseconds = 60_000;
+
+/** Dependencies of a daemon's copy. */
+export type QuarantinedRequestsOptions = {
     readonly rules: HoldRules;
-    /** Passes on what this daemon found out itself, or an operator told it. */
+    /** Publishes records of what this daemon detected itself, or an operator released. */
     readonly tell: (records: readonly CrashRecord[]) => void;
     readonly clock: Clock;
     readonly logger: Logger;
 };
 
-/** One daemon's copy of what all know of requests under which backend servers ended; logs each change of a belief. */
+/**
+ * One daemon's copy of the records, shared by all daemons, of requests that backend servers crashed on. Logs each change of
+ * a request's state.
+ */
 export class HeldRequests {
-    /** Names this copy: numbers of another one, of an earlier start say, mean nothing here. */
+    /** Identifies this copy: change numbers of another copy, such as one before a restart, aren't valid here. */
     readonly source = randomUUID();
     private readonly quarantine: Quarantine;
-    private readonly answeredAt = new LRUCache<string, number>({ max: answeredLimit });
+    private readonly answeredAt = new LRUCache<string, number>({ max: answeredCacheSize });
     private sweptAt = -Infinity;
 
-    private constructor(private readonly options: HeldRequestsOptions) {
+    private constructor(private readonly options: QuarantinedRequestsOptions) {
         this.quarantine = Quarantine.create(options.rules);
     }
 
-    static create(options: HeldRequestsOptions): HeldRequests {
+    static create(options: QuarantinedRequestsOptions): HeldRequests {
         return new HeldRequests(options);
     }
 
-    /** Why a request may not be sent now; undefined where it may. */
+    /** Why a request may not be sent now; undefined if it may. */
     hold(digest: string): Hold | undefined {
         return this.quarantine.hold(digest, this.now());
     }
@@ -45,27 +48,27 @@
         return this.quarantine.isSuspected(digest);
     }
 
-    /** Takes in what other daemons know; gives what is news. */
+    /** Merges records of other daemons; returns those that changed something here. */
     merge(records: readonly CrashRecord[]): readonly CrashRecord[] {
         this.sweep();
         const news = this.quarantine.merge(records, this.now());
         for (const { digest } of news) {
-            if (this.isSuspected(digest) && this.wasAnsweredLately(digest)) {
+            if (this.isSuspected(digest) && this.wasRecentlyAnswered(digest)) {
                 this.clear(digest);
             }
             else {
-                this.log(digest);
+                this.logState(digest);
             }
         }
         return news;
     }
 
-    /** Notes that a backend server ended under a request, and tells others. */
+    /** Records that a backend server crashed while running a request, and publishes it. */
     note(digest: string, crash: CrashRecord["crashes"][number]): void {
-        this.tell({ digest, crashes: [crash] });
+        this.mergeAndPublish({ digest, crashes: [crash] });
     }
 
-    /** Notes that a request was answered in full: whatever ended while it ran before, it isn't the cause. */
+    /** Records that a request was answered in full, which clears it of earlier crashes: it didn't cause them. */
     answered(digest: string): void {
         this.answeredAt.set(digest, this.now());
         if (this.isSuspected(digest)) {
@@ -74,14 +77,14 @@
     }
 
     /**
-     * Whether it was answered in full here lately. One that many callers send alike runs somewhere whenever servers end;
-     * held back for that, it would be refused to all of them.
+     * Whether the request was recently answered in full here. A request that many callers send is running somewhere
+     * whenever servers crash; quarantined for that, it would be refused to all of them.
      */
-    wasAnsweredLately(digest: string): boolean {
-        return this.now() - (this.answeredAt.get(digest) ?? -Infinity) < answeredMemory;
+    wasRecentlyAnswered(digest: string): boolean {
+        return this.now() - (this.answeredAt.get(digest) ?? -Infinity) < answeredRetentionMilliseconds;
     }
 
-    /** Lets a request run again by an operator's word; tells whether anything spoke against it. */
+    /** Releases a request on behalf of an operator; returns whether any crash counted against it. */
     release(digest: string, operator: string): boolean {
         const wasSuspected = this.isSuspected(digest);
         this.options.logger.info("an operator released a request", { content: digest, operator, wasSuspected });
@@ -91,56 +94,56 @@
         return wasSuspected;
     }
 
-    /** All that is held back now. */
+    /** All requests that are quarantined now. */
     held(): readonly HeldRequest[] {
         return this.quarantine.held(this.now());
     }
 
-    /** Number of the newest change that others have to know. */
+    /** Number of the latest change that has to reach other daemons. */
     newest(): number {
         return this.quarantine.newest();
     }
 
-    /** What changed after that number and others have to know. */
+    /** Records that changed after that number and have to reach other daemons. */
     since(number: number): readonly CrashRecord[] {
         return this.quarantine.since(number, this.now());
     }
 
-    /** What is known of some requests. */
+    /** The records of some requests; those without a record are left out. */
     records(digests: readonly string[]): readonly CrashRecord[] {
         return digests.flatMap(digest => this.quarantine.record(digest, this.now()) ?? []);
     }
 
-    /** All that is known here, single crashes included. */
+    /** All records, including those with a single crash. */
     all(): readonly CrashRecord[] {
         return this.quarantine.all(this.now());
     }
 
-    /** Sets the gauge of requests that are held back. */
+    /** Sets the gauge of quarantined requests. */
     measure(metrics: Metrics): void {
         metrics.gauge("basilpaddle_requests_held_back", this.held().length);
     }
 
-    /** Old records go when others are told: without crashes there is nothing to forget in haste. */
+    /** Removes expired records. Called only on merging: without new crashes there is no hurry. */
     private sweep(): void {
         const now = this.now();
-        if (now - this.sweptAt > sweepInterval) {
+        if (now - this.sweptAt > sweepIntervalMilliseconds) {
             this.sweptAt = now;
             this.quarantine.sweep(now);
         }
     }
 
     private clear(digest: string): void {
-        this.tell({ digest, crashes: [], clearedAge: 0 });
+        this.mergeAndPublish({ digest, crashes: [], clearedAge: 0 });
     }
 
-    private tell(record: CrashRecord): void {
+    private mergeAndPublish(record: CrashRecord): void {
         if (this.merge([record]).length > 0) {
             this.options.tell([record]);
         }
     }
 
-    private log(digest: string): void {
+    private logState(digest: string): void {
         const { logger } = this.options;
         const hold = this.hold(digest);
         if (hold !== undefined) {
@@ -148,11 +151,11 @@
             logger.warn("a request is held back", {
                 content: digest,
                 for: Math.round(left),
-                crashes: crashTexts(crashes),
+                crashes: describeCrashes(crashes),
             });
         }
         else if (!this.isSuspected(digest)) {
-            logger.info("nothing is held against a request any more", { content: digest });
+            logger.info("a request is cleared of all crashes", { content: digest });
         }
     }
 
@@ -161,7 +164,7 @@
     }
 }
 
-/** The backend servers that ended, and how many milliseconds ago. */
-export function crashTexts(crashes: Hold["crashes"]): string[] {
+/** The crashed backend servers as texts "SERVER AGE PHASE", with the age in milliseconds. */
+export function describeCrashes(crashes: Hold["crashes"]): string[] {
     return crashes.map(({ server, age, phase }) => `${server} ${Math.round(age)} ${phase}`);
 }
--- a/packages/basilpaddle/src/node/coordination/quarantine/requestDigest.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/requestDigest.ts
@@ -1,11 +1,11 @@
 import { createHash } from "node:crypto";
 
-/** Bytes of a digest: enough that nobody can make a request that passes for another one. */
+/** Long enough that nobody can construct a request with the digest of another one. */
 const digestBytes = 16;
 
-/** What makes two requests the same one, whichever attempt brings them and whichever daemon they come to. */
+/** What identifies a request, independent of the attempt and the daemon that receives it. */
 export type RequestContent = {
-    /** Whom it is asked for: the organisation, or the host that stands for it. */
+    /** On whose behalf it is sent: the organisation, or the host that identifies it. */
     readonly caller: string;
     readonly method: string;
     /** Path and query. */
@@ -14,8 +14,8 @@
 };
 
 /**
- * Names a request by what it holds. An attempt's identifier, its deadline and the event that it resumes after are left
- * out: they differ each time the same request comes again.
+ * Digest of a request's content, in base64url. The attempt's identifier, its deadline and the event that it resumes after
+ * are left out: they differ between attempts of the same request.
  */
 export function digestOf({ caller, method, target, body }: RequestContent): string {
     const hash = createHash("sha256").update(JSON.stringify([caller.toLowerCase(), method, target]));
--- a/packages/basilpaddle/src/node/daemon/gateway/refuseHeld.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/refuseHeld.ts
@@ -1,4 +1,4 @@
-import { crashTexts, type CrashWatch, heldReason } from "../../coordination/index.js";
+import { type CrashWatch, describeCrashes, quarantineReason } from "../../coordination/index.js";
 import type { Metrics } from "../../utils/index.js";
 import type { CallerRequest } from "./callerRequest.js";
 
@@ -17,12 +17,12 @@
         return false;
     }
     metrics.count("basilpaddle_held_back_refusals_total");
-    trace.push(`heldBack (${crashTexts(hold.crashes).join(", ")})`);
+    trace.push(`heldBack (${describeCrashes(hold.crashes).join(", ")})`);
     if (hasRun || request.hasBegun()) {
-        request.fail(502, heldReason);
+        request.fail(502, quarantineReason);
     }
     else {
-        request.refuse(hold.left, heldReason);
+        request.refuse(hold.left, quarantineReason);
     }
     return true;
 }
