--- a/packages/basilpaddle/src/node/daemon/gateway/__tests__/callerRequest.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/__tests__/callerRequest.spec.ts
@@ -18,7 +18,7 @@
     resumable: false,
 };
 
-/** Everything that a caller reads of an answer, until the connection ends. */
+/** Everything that a caller receives until the connection ends. */
 async function answerOf(act: (request: CallerRequest) => void, head = "GET / HTTP/1.1"): Promise<string> {
     const server = http.createServer((incoming, response) => {
         const facts = {
@@ -46,45 +46,44 @@
 }
 
 describe("a caller's request", () => {
-    // Symptom: a caller takes a part of an answer for the whole, since its length fits.
-    // Sequence: a backend server answers without a length and breaks off by ending its connection in good order; the
-    // gateway passes what came on under a length of its own.
-    // Cause: the end of such an answer proves nothing; a length claims that it does.
-    it("gets an answer without a length as one without a length", async () => {
+    // Guards against a partial answer that looks complete to the caller. A backend server answers without a length and ends
+    // its connection regularly in the middle of the answer; the gateway then forwarded the received part with a length of
+    // its own. The end of such an answer doesn't prove that it is complete, but a length claims so.
+    it("receives an answer without a length as one without a length", async () => {
         const answer = await answerOf(request => {
-            request.give({ status: 200, rawHeaders: ["X-A", "1"], framed: false }, Buffer.from("part"));
+            request.sendAnswer({ status: 200, rawHeaders: ["X-A", "1"], framed: false }, Buffer.from("part"));
         });
         expect(answer.toLowerCase()).not.to.match(/content-length|transfer-encoding/);
         expect(answer).to.match(/\r\n\r\npart$/);
     });
 
-    it("gets a stream without a length as one without a length", async () => {
+    it("receives a stream without a length as one without a length", async () => {
         const answer = await answerOf(request => {
-            request.begin({ status: 200, rawHeaders: [], framed: false });
-            void request.write(Buffer.from("id: 1\n\n")).then(() => request.finish());
+            request.beginStream({ status: 200, rawHeaders: [], framed: false });
+            void request.write(Buffer.from("id: 1\n\n")).then(() => request.finishStream());
         });
         expect(answer.toLowerCase()).not.to.match(/content-length|transfer-encoding/);
         expect(answer).to.match(/\r\n\r\nid: 1\n\n$/);
     });
 
-    it("gets a whole answer under its length, and no headers of the other connection", async () => {
+    it("receives a complete answer with its length, without hop-by-hop headers of the backend connection", async () => {
         const rawHeaders = ["Keep-Alive", "timeout=9", "Transfer-Encoding", "chunked", "X-A", "1"];
         const answer = await answerOf(request => {
-            request.give({ status: 200, rawHeaders, framed: true }, Buffer.from("whole"));
+            request.sendAnswer({ status: 200, rawHeaders, framed: true }, Buffer.from("whole"));
         });
         expect(answer).to.contain("Content-Length: 5").and.to.contain("X-A: 1");
         expect(answer.toLowerCase()).not.to.match(/chunked|timeout=9/);
     });
 
-    it("is cut off when its stream can't be ended well, without an end that looks whole", async () => {
+    it("is cut off if its stream fails, without a regular end of the response", async () => {
         const answer = await answerOf(request => {
-            request.begin({ status: 200, rawHeaders: [], framed: true });
+            request.beginStream({ status: 200, rawHeaders: [], framed: true });
             void request.write(Buffer.from("id: 1\n\n")).then(() => request.fail(502, "broke off"));
         });
         expect(answer).not.to.match(/\r\n0\r\n\r\n$/);
     });
 
-    it("that is refused is told when to come back, in seconds", async () => {
+    it("that is refused receives a Retry-After header in seconds", async () => {
         const answer = await answerOf(request => request.refuse(1_250, "full"));
         expect(answer).to.match(/^HTTP\/1\.1 503 /).and.to.contain("Retry-After: 1.25\r\n");
     });
--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/gateway/__tests__/retryCharges.spec.ts
@@ -0,0 +1,70 @@
+import { expect } from "chai";
+import { RetryCharges, type SendOutcome } from "../retryCharges.js";
+
+/** An allowance with a number of retries, and the charges of one request to it. */
+function chargesWith(retries: number): { readonly charges: RetryCharges; readonly left: () => number; } {
+    let left = retries;
+    const charges = RetryCharges.create({
+        take: () => Promise.resolve(left > 0 && left-- > 0),
+        giveBack: () => {
+            left += 1;
+        },
+    }, "pool");
+    return { charges, left: () => left };
+}
+
+/** Plays one round that the allowance must permit, with the outcomes of its prefill, if there is one, and of its run. */
+async function round(charges: RetryCharges, read: SendOutcome | undefined, run: SendOutcome): Promise<void> {
+    const sent = (await charges.begin(read !== undefined))!;
+    if (read !== undefined) {
+        sent.reportPrefill(read);
+    }
+    sent.reportRun(run);
+}
+
+describe("the charges of a request to the retry allowance", () => {
+    it("are zero for a prefill that an engine accepts and the run after it", async () => {
+        const { charges } = chargesWith(0);
+        await round(charges, "read", "counted");
+        expect(await charges.begin(false)).to.equal(undefined);
+    });
+
+    // Guards against sending a service more than its retry allowance permits, as seen with 42 engines of which some had gone:
+    // a prefill failed, a second engine ran the prefill, a third one the run, which was then counted as the first send.
+    it("count the run after a failed prefill as a retry", async () => {
+        const { charges, left } = chargesWith(1);
+        await round(charges, "counted", "unreached");
+        await round(charges, "read", "counted");
+        expect(left()).to.equal(0);
+        expect(await charges.begin(false)).to.equal(undefined);
+    });
+
+    it("are zero if no connection was established", async () => {
+        const { charges, left } = chargesWith(1);
+        await round(charges, undefined, "counted");
+        for (let number = 0; number < 5; number++) {
+            await round(charges, undefined, "unreached");
+        }
+        expect(left()).to.equal(1);
+        await round(charges, undefined, "counted");
+        expect(await charges.begin(false)).to.equal(undefined);
+    });
+
+    it("include a second prefill that is accepted", async () => {
+        const { charges, left } = chargesWith(1);
+        await round(charges, "read", "unreached");
+        await round(charges, "read", "counted");
+        expect(left()).to.equal(0);
+        expect(await charges.begin(false)).to.equal(undefined);
+    });
+
+    // Guards against a prefill whose run is refused right after it because no retry is left. A prefill fails, or a run is
+    // rejected and its cache expires, and the prefill of the next round takes the last retry. The retry for the run was
+    // only requested after the prefill.
+    it("are refused if a retry is left for the prefill, but none for the run", async () => {
+        const { charges, left } = chargesWith(1);
+        await round(charges, "read", "counted");
+        expect(await charges.begin(true)).to.equal(undefined);
+        expect(left()).to.equal(1);
+    });
+});
--- a/packages/basilpaddle/src/node/daemon/gateway/exchange.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/backendSender.ts
@@ -11,48 +11,48 @@
 } from "../backends/index.js";
 import type { CallerRequest } from "./callerRequest.js";
 import type { AnswerFacts, GatewayWire, RunFacts } from "./gatewayWire.js";
-import type { RepeatAllowance } from "./repeatAllowance.js";
+import type { RetryAllowance } from "./retryAllowance.js";
 
-const misdirected = 421;
+const misdirectedStatus = 421;
 
-/** What exchanges share. */
-export type ExchangeParts = {
+/** Dependencies that all exchanges share. */
+export type ExchangeDependencies = {
     readonly wire: GatewayWire;
     readonly connections: BackendConnections;
     readonly instances: InstanceTable;
     readonly choice: ServerChoice;
-    /** What the leader is told of calls to plain services. */
+    /** Tally of calls to plain services, which is reported to the leader. */
     readonly tally: CallTally;
-    /** How well links pass streams on. */
+    /** Quality of the links, measured by stalls of streams. */
     readonly links: LinkQuality;
     readonly clock: Clock;
     readonly logger: Logger;
     readonly metrics: Metrics;
-    /** Tells the directories that an incarnation has ended. */
+    /** Reports to the leading directory that an incarnation has ended. */
     readonly reportEnded: (instance: string) => void;
-    /** Which requests backend servers ended under. */
+    /** Detects backend servers that crash while running a request. */
     readonly crashes: CrashWatch;
-    /** What may be sent to a second backend server. */
-    readonly repeats: RepeatAllowance;
-    /** Gateways of the deployment. */
+    /** How many requests may be sent to another backend server. */
+    readonly retryAllowance: RetryAllowance;
+    /** Number of gateways of the deployment. */
     readonly gateways: () => number;
 };
 
-/** What came of sending a request to one backend server. */
-export type Sent =
-    /** The head of an answer that belongs to this request. */
+/** Result of sending a request to one backend server. */
+export type SendResult =
+    /** The head of an answer to this request. */
     | { readonly kind: "answer"; readonly answer: BackendAnswer; readonly facts: AnswerFacts; }
-    /** It has not run there: turned away, or nothing was sent. */
+    /** It has not run there: it was rejected, or nothing was sent. */
     | { readonly kind: "notRun"; readonly cause: string; readonly unreachable: boolean; readonly status?: number; }
     /** It may have run. */
     | { readonly kind: "unknown"; readonly cause: string; };
 
-/** Sends requests to backend servers and judges what comes back: whose answer it is, and whether the request ran. */
-export class Sender {
-    private constructor(private readonly parts: ExchangeParts) {}
+/** Sends requests to backend servers and classifies the results: to whom an answer belongs, and whether the request ran. */
+export class BackendSender {
+    private constructor(private readonly parts: ExchangeDependencies) {}
 
-    static create(parts: ExchangeParts): Sender {
-        return new Sender(parts);
+    static create(parts: ExchangeDependencies): BackendSender {
+        return new BackendSender(parts);
     }
 
     /** Sends the caller's request with this system's own headers. */
@@ -62,38 +62,40 @@
         service: ServiceRule,
         facts: Omit<RunFacts, "attempt" | "deadlineWithin" | "instance">,
         signal: AbortSignal,
-    ): Promise<Sent> {
+    ): Promise<SendResult> {
         const { wire, connections, gateways } = this.parts;
-        const own = wire.run({
+        const ownHeaders = wire.run({
             ...facts,
             attempt: request.facts.attempt,
             deadlineWithin: Math.max(1, Math.floor(request.left())),
             instance: serverName(server),
         });
-        const replaced = new Set([...wire.reserved, ...Object.keys(own).map(name => name.toLowerCase())]);
+        const replaced = new Set([...wire.reserved, ...Object.keys(ownHeaders).map(name => name.toLowerCase())]);
         const result = await connections.call(
             {
                 server,
                 method: request.method,
                 path: request.target,
-                headers: [...request.headers(replaced), ...Object.entries(own).flat()],
+                headers: [...request.headers(replaced), ...Object.entries(ownHeaders).flat()],
                 body: request.body,
                 signal,
             },
             service.connectionLimit,
             gateways(),
         );
-        return isAnswer(result) ? this.judge(request, server, result) : lost(result);
+        return isAnswer(result) ? this.classify(request, server, result) : failureResult(result);
     }
 
-    private judge(request: CallerRequest, server: Announced, answer: BackendAnswer): Sent {
+    private classify(request: CallerRequest, server: Announced, answer: BackendAnswer): SendResult {
         const facts = this.parts.wire.answer(answer.status, answer.headers);
         if (facts.attempt !== undefined && facts.attempt !== request.facts.attempt) {
-            // A second answer to an earlier request on the connection: everything after it would be off by one.
+            // A second answer to an earlier request on the connection: all later answers would be off by one.
             discard(answer);
-            return { kind: "unknown", cause: `an answer to ${facts.attempt} came in the place of this one's` };
+            return { kind: "unknown", cause: `received the answer to another attempt, ${facts.attempt}` };
         }
-        if (answer.status === misdirected && facts.instance !== undefined && facts.instance !== serverName(server)) {
+        if (
+            answer.status === misdirectedStatus && facts.instance !== undefined && facts.instance !== serverName(server)
+        ) {
             this.parts.logger.warn("another incarnation answers at the address", {
                 expected: server.id,
                 found: facts.instance,
@@ -101,7 +103,7 @@
             });
             this.parts.instances.end(server.id);
             this.parts.connections.forget(server.id);
-            // Otherwise each gateway finds it out by a request of its own, and each costs a repeat.
+            // Otherwise each gateway would detect it by a request of its own, and spend a retry on it.
             this.parts.reportEnded(server.id);
         }
         if (facts.notRun) {
@@ -117,7 +119,7 @@
     }
 }
 
-function lost(failure: CallFailure): Sent {
+function failureResult(failure: CallFailure): SendResult {
     return failure.kind === "notSent"
         ? { kind: "notRun", cause: failure.cause, unreachable: true }
         : { kind: "unknown", cause: failure.cause };
--- a/packages/basilpaddle/src/node/daemon/gateway/callerRequest.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/callerRequest.ts
@@ -3,31 +3,31 @@
 import type { CallerLimits, TrafficRoute } from "../../protocol/index.js";
 import type { BackendAnswer } from "../backends/index.js";
 import type { CallerFacts } from "./gatewayWire.js";
-import { passedOn } from "./headers.js";
+import { endToEndHeaders } from "./headers.js";
 
-/** Seconds that a time to come back is rounded to. */
-const comeBackStep = 0.001;
-const millisecondsInSecond = 1_000;
+/** Minimum of the Retry-After header, and the step that it is rounded to. */
+const retryAfterStepSeconds = 0.001;
+const millisecondsPerSecond = 1_000;
 
 /** How a request ended, for logs and metrics. */
 export type RequestEnd =
     | "answered"
-    /** A backend server's own failure was passed on. */
+    /** A backend server's error response was forwarded. */
     | "failureGiven"
-    /** Turned away without having run. */
+    /** Refused without having run. */
     | "refused"
-    /** What became of it isn't known, or its time ran out. */
+    /** Its outcome isn't known, or its deadline has passed. */
     | "failed"
-    /** The answer began and broke off. */
+    /** The answer was cut off after it had begun. */
     | "brokenOff"
     | "callerGone";
 
-/** One request of a caller, whole, with what is known of it and the way to answer it. */
+/** One caller's request with its complete body and its metadata; writes the answer to it. */
 export class CallerRequest {
-    readonly gone = new AbortController();
-    private endedAs: RequestEnd | undefined;
+    readonly disconnected = new AbortController();
+    private endState: RequestEnd | undefined;
     private cause = "";
-    private digested: string | undefined;
+    private cachedDigest: string | undefined;
 
     private constructor(
         readonly incoming: http.IncomingMessage,
@@ -40,7 +40,7 @@
     ) {
         response.once("close", () => {
             if (!response.writableFinished) {
-                this.gone.abort();
+                this.disconnected.abort();
                 this.end("callerGone", "the caller closed its connection");
             }
         });
@@ -59,7 +59,7 @@
         return new CallerRequest(incoming, response, facts, route, body, arrivedAt, now);
     }
 
-    /** Identifier of the attempt, for logs and for the scheduler. */
+    /** Identifier of the attempt, for logs and for the scheduler; empty if the caller sent none. */
     get attempt(): string {
         return this.facts.attempt ?? "";
     }
@@ -72,21 +72,21 @@
         return this.incoming.url ?? "/";
     }
 
-    /** Names what it holds: the same for each attempt that brings the same request, at any gateway. */
+    /** Digest of its content: the same for each attempt of the same request, at any gateway. */
     get digest(): string {
         const { method, target, body } = this;
-        this.digested ??= digestOf({ caller: this.incoming.headers.host ?? "", method, target, body });
-        return this.digested;
+        this.cachedDigest ??= digestOf({ caller: this.incoming.headers.host ?? "", method, target, body });
+        return this.cachedDigest;
     }
 
-    /** When its answer must be whole: the caller's own limit or the route's, whichever comes first. */
-    get answerBy(): number {
+    /** Time by which its answer must be complete: the caller's own limit or the route's, whichever comes first. */
+    get deadline(): number {
         return this.arrivedAt + Math.min(this.facts.deadlineWithin ?? this.route.timeout, this.route.timeout);
     }
 
-    /** Milliseconds left until then. */
+    /** Milliseconds left until the deadline. */
     left(): number {
-        return this.answerBy - this.now();
+        return this.deadline - this.now();
     }
 
     /** Milliseconds since it arrived. */
@@ -95,7 +95,7 @@
     }
 
     isGone(): boolean {
-        return this.gone.signal.aborted;
+        return this.disconnected.signal.aborted;
     }
 
     /** Whether its answer has begun. */
@@ -103,23 +103,23 @@
         return this.response.headersSent;
     }
 
-    /** The caller's own headers as a backend server gets them, without those that only this system sets. */
+    /** The caller's headers as forwarded to a backend server, without those that only this system sets. */
     headers(reserved: ReadonlySet<string>): string[] {
-        return passedOn(this.incoming.rawHeaders, reserved);
+        return endToEndHeaders(this.incoming.rawHeaders, reserved);
     }
 
-    /** How it ended, and why; undefined while it hasn't. */
+    /** How it ended, and why; undefined until it has. */
     outcome(): { readonly end: RequestEnd; readonly cause: string; } | undefined {
-        return this.endedAs === undefined ? undefined : { end: this.endedAs, cause: this.cause };
+        return this.endState === undefined ? undefined : { end: this.endState, cause: this.cause };
     }
 
-    /** Gives a whole answer of a backend server, status, headers and framing as they came. */
-    give(answer: Pick<BackendAnswer, "status" | "rawHeaders" | "framed">, body: Buffer): void {
+    /** Sends a backend server's complete answer with its status, headers and framing unchanged. */
+    sendAnswer(answer: Pick<BackendAnswer, "status" | "rawHeaders" | "framed">, body: Buffer): void {
         if (this.isGone()) {
             return;
         }
         const { status, rawHeaders, framed } = answer;
-        const headers = passedOn(rawHeaders, new Set());
+        const headers = endToEndHeaders(rawHeaders, new Set());
         if (framed) {
             headers.push("Content-Length", String(body.length));
         }
@@ -131,33 +131,33 @@
         this.end(status < 400 ? "answered" : "failureGiven", `status ${status}`);
     }
 
-    /** Begins a streamed answer. */
-    begin(answer: Pick<BackendAnswer, "status" | "rawHeaders" | "framed">): void {
+    /** Sends the head of a streamed answer. */
+    beginStream(answer: Pick<BackendAnswer, "status" | "rawHeaders" | "framed">): void {
         if (!answer.framed) {
             this.endWithConnection();
         }
-        this.response.writeHead(answer.status, passedOn(answer.rawHeaders, new Set()));
+        this.response.writeHead(answer.status, endToEndHeaders(answer.rawHeaders, new Set()));
         this.response.flushHeaders();
     }
 
-    /** Passes bytes of a streamed answer on; settles when the caller's connection takes more. */
+    /** Forwards bytes of a streamed answer; resolves when the caller's connection accepts more. */
     write(bytes: Buffer): Promise<void> {
         if (this.isGone() || this.response.write(bytes)) {
             return Promise.resolve();
         }
         return new Promise(resolve => {
-            const go = (): void => {
-                this.response.off("drain", go);
-                this.response.off("close", go);
+            const proceed = (): void => {
+                this.response.off("drain", proceed);
+                this.response.off("close", proceed);
                 resolve();
             };
-            this.response.on("drain", go);
-            this.response.on("close", go);
+            this.response.on("drain", proceed);
+            this.response.on("close", proceed);
         });
     }
 
     /** Ends a streamed answer as complete. */
-    finish(): void {
+    finishStream(): void {
         if (!this.isGone()) {
             this.response.end();
             this.end("answered", "stream");
@@ -165,8 +165,8 @@
     }
 
     /**
-     * Ends the request without an answer to give. One whose answer has begun is cut: an end in good order would pass
-     * for a whole answer.
+     * Ends the request with an error. If its answer has begun, the connection is destroyed instead: a regular end of the
+     * response would look like a complete answer.
      */
     fail(status: 500 | 502 | 504, cause: string): void {
         if (this.hasBegun()) {
@@ -174,39 +174,39 @@
             this.response.destroy();
             return;
         }
-        this.own(status, cause, {});
+        this.sendOwnAnswer(status, cause, {});
         this.end("failed", cause);
     }
 
-    /** Turns the request away. It has not run and never will; the caller may come back after so many milliseconds. */
-    refuse(comeBackIn: number, cause: string): void {
-        const seconds = Math.max(comeBackStep, Math.round(comeBackIn) / millisecondsInSecond);
-        this.own(503, cause, { "Retry-After": String(seconds) });
+    /** Refuses the request, which has not run and never will; the caller may retry after that time. */
+    refuse(retryAfterMilliseconds: number, cause: string): void {
+        const seconds = Math.max(retryAfterStepSeconds, Math.round(retryAfterMilliseconds) / millisecondsPerSecond);
+        this.sendOwnAnswer(503, cause, { "Retry-After": String(seconds) });
         this.end("refused", cause);
     }
 
-    /** Lets the answer end with the caller's connection, as it ended with the backend server's. */
+    /** Marks the end of the answer by closing the caller's connection, as the backend server does. */
     private endWithConnection(): void {
         this.response.useChunkedEncodingByDefault = false;
         this.response.shouldKeepAlive = false;
     }
 
-    private own(status: number, cause: string, headers: Record<string, string>): void {
+    private sendOwnAnswer(status: number, cause: string, headers: Record<string, string>): void {
         if (!this.isGone()) {
-            writeOwn(this.response, status, cause, headers);
+            writeOwnAnswer(this.response, status, cause, headers);
         }
     }
 
     private end(end: RequestEnd, cause: string): void {
-        if (this.endedAs === undefined) {
-            this.endedAs = end;
+        if (this.endState === undefined) {
+            this.endState = end;
             this.cause = cause;
         }
     }
 }
 
-/** Writes an answer of this daemon's own. */
-export function writeOwn(
+/** Writes an error response of this daemon's own. */
+export function writeOwnAnswer(
     response: http.ServerResponse,
     status: number,
     cause: string,
@@ -218,8 +218,8 @@
 }
 
 /**
- * Reads the whole body. A body is never passed on in part: a request can then be sent again whole, and a caller that
- * breaks off midway has not run. `tooLarge` comes as soon as the limit is passed; undefined where the caller broke off.
+ * Reads the whole body before anything is forwarded, so that a request can be sent again complete, and one whose caller
+ * disconnects midway has not run. Returns "tooLarge" as soon as the limit is exceeded, undefined if the caller disconnected.
  */
 export async function readBody(
     incoming: http.IncomingMessage,
@@ -241,7 +241,7 @@
         }
     }
     catch {
-        // The connection broke before the end of the body: nobody is left to be answered.
+        // The connection broke before the end of the body, so there is no caller to answer.
         return undefined;
     }
     return chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
--- a/packages/basilpaddle/src/node/daemon/gateway/callerServer.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/callerServer.ts
@@ -3,50 +3,53 @@
 import type { CallerLimits } from "../../protocol/index.js";
 import type { Logger } from "../../utils/index.js";
 
-/** Limits until a configuration has come. */
-const firstLimits: CallerLimits = {
+/** Limits until the first configuration is received. */
+const initialLimits: CallerLimits = {
     headerBytes: 16_384,
     bodyBytes: 4_194_304,
     headerTimeout: 3_000,
     idleTimeout: 15_000,
 };
-/** Largest header in bytes that is read at all; what a configuration allows is checked afterwards. */
-const mostHeaderBytes = 128 * 1024;
-/** Milliseconds that a kept connection stays open beyond the idle limit: a request sent just within it may be on its way. */
-const idleMargin = 1_000;
-/** Milliseconds between two looks at connections that take too long. */
-const checkInterval = 500;
-/** Milliseconds for a whole request with its body. */
-const requestTimeout = 60_000;
+/** Largest header that the parser accepts; the limit of the configuration is checked afterwards. */
+const maxHeaderBytes = 128 * 1024;
+/** How long an idle connection stays open beyond its limit: a request sent just within the limit may be in transit. */
+const keepAliveMarginMilliseconds = 1_000;
+/** Interval of the check for connections that exceed a timeout. */
+const connectionCheckIntervalMilliseconds = 500;
+/** Timeout for receiving a whole request with its body. */
+const requestTimeoutMilliseconds = 60_000;
 
-/** What the listener needs. */
+/** Address, handler and logger of the listener. */
 export type CallerServerOptions = {
     readonly address: { readonly host: string; readonly port: number; };
     readonly handler: (incoming: http.IncomingMessage, response: http.ServerResponse) => void;
     readonly logger: Logger;
 };
 
-/** The HTTP listener for callers, with every time limit of the library set on purpose. */
+/** The HTTP listener for callers; sets every timeout of the library explicitly. */
 export class CallerServer {
-    private limits = firstLimits;
+    private limits = initialLimits;
     private closing = false;
-    private readonly open = new Set<http.ServerResponse>();
+    private readonly openResponses = new Set<http.ServerResponse>();
 
     private constructor(private readonly server: http.Server, private readonly options: CallerServerOptions) {}
 
     static async create(options: CallerServerOptions): Promise<CallerServer> {
         const server = http.createServer({
-            maxHeaderSize: mostHeaderBytes,
-            requestTimeout,
-            connectionsCheckingInterval: checkInterval,
+            maxHeaderSize: maxHeaderBytes,
+            requestTimeout: requestTimeoutMilliseconds,
+            connectionsCheckingInterval: connectionCheckIntervalMilliseconds,
             noDelay: true,
         });
-        // An idle limit of the socket would cut a stream whose engine is silent for long.
+        // A socket timeout would cut a stream whose engine sends nothing for a long time.
         server.timeout = 0;
         const created = new CallerServer(server, options);
-        created.setLimits(firstLimits);
+        created.setLimits(initialLimits);
         server.on("request", (incoming, response) => created.receive(incoming, response));
-        server.on("clientError", (error: NodeJS.ErrnoException, socket) => created.refuse(error, socket as Socket));
+        server.on(
+            "clientError",
+            (error: NodeJS.ErrnoException, socket) => created.rejectMalformed(error, socket as Socket),
+        );
         await new Promise<void>((resolve, reject) => {
             server.once("error", reject);
             server.listen({ ...options.address, backlog: 1_024 }, () => {
@@ -57,28 +60,28 @@
         return created;
     }
 
-    /** Takes the limits of a configuration over. */
+    /** Applies the limits of a configuration. */
     setLimits(limits: CallerLimits): void {
         this.limits = limits;
         this.server.headersTimeout = limits.headerTimeout;
-        this.server.keepAliveTimeout = limits.idleTimeout + idleMargin;
+        this.server.keepAliveTimeout = limits.idleTimeout + keepAliveMarginMilliseconds;
     }
 
     currentLimits(): CallerLimits {
         return this.limits;
     }
 
-    /** Requests that aren't answered yet. */
+    /** Number of requests that aren't answered yet. */
     openRequests(): number {
-        return this.open.size;
+        return this.openResponses.size;
     }
 
-    /** From now on every answer tells its caller that the connection ends with it. */
-    endConnections(): void {
+    /** Closes each connection after its next response, which says so in its headers. */
+    closeAfterResponses(): void {
         this.closing = true;
     }
 
-    /** Takes no further connections. */
+    /** Stops accepting connections. */
     stopListening(): void {
         this.server.close();
     }
@@ -95,11 +98,11 @@
     }
 
     private receive(incoming: http.IncomingMessage, response: http.ServerResponse): void {
-        this.open.add(response);
-        response.once("close", () => this.open.delete(response));
-        // Without a listener, an error of a caller's connection would end the process.
-        incoming.on("error", error => this.options.logger.debug("a request broke", { cause: error.message }));
-        response.on("error", error => this.options.logger.debug("an answer broke", { cause: error.message }));
+        this.openResponses.add(response);
+        response.once("close", () => this.openResponses.delete(response));
+        // Without a listener, an error of a caller's connection would terminate the process.
+        incoming.on("error", error => this.options.logger.debug("reading a request failed", { cause: error.message }));
+        response.on("error", error => this.options.logger.debug("writing a response failed", { cause: error.message }));
         response.sendDate = false;
         if (this.closing) {
             response.shouldKeepAlive = false;
@@ -107,10 +110,10 @@
         this.options.handler(incoming, response);
     }
 
-    /** Bytes that aren't a request, or one that takes too long. An answer under way on the socket isn't mixed with this one. */
-    private refuse(error: NodeJS.ErrnoException, socket: Socket): void {
-        const answering = [...this.open].some(response => response.socket === socket);
-        if (!socket.writable || answering || error.code === "ECONNRESET") {
+    /** Answers malformed or oversized input or a request that timed out, unless a response is being written to the socket. */
+    private rejectMalformed(error: NodeJS.ErrnoException, socket: Socket): void {
+        const hasOpenResponse = [...this.openResponses].some(response => response.socket === socket);
+        if (!socket.writable || hasOpenResponse || error.code === "ECONNRESET") {
             socket.destroy();
             return;
         }
@@ -119,7 +122,7 @@
             : error.code === "ERR_HTTP_REQUEST_TIMEOUT"
             ? "408 Request Timeout"
             : "400 Bad Request";
-        this.options.logger.warn("bytes that aren't a request were refused", { status, cause: error.code });
+        this.options.logger.warn("rejected a malformed, oversized or slow request", { status, cause: error.code });
         socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
     }
 }
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
@@ -14,63 +14,63 @@
 import { DisposableStore, type Metrics } from "../../utils/index.js";
 import { BackendConnections } from "../backends/index.js";
 import type { RoutingOptions } from "../routingOptions.js";
-import { CallerRequest, readBody, writeOwn } from "./callerRequest.js";
+import type { ExchangeDependencies } from "./backendSender.js";
+import { CallerRequest, readBody, writeOwnAnswer } from "./callerRequest.js";
 import { CallerServer } from "./callerServer.js";
-import type { ExchangeParts } from "./exchange.js";
 import type { GatewayWire } from "./gatewayWire.js";
 import { headerBytes } from "./headers.js";
-import { PlacesClient } from "./placesClient.js";
-import { RepeatAllowance } from "./repeatAllowance.js";
+import { PlacementClient } from "./placementClient.js";
+import { RetryAllowance } from "./retryAllowance.js";
 import { ServiceExchange } from "./serviceExchange.js";
 import { StreamExchange } from "./streamExchange.js";
 
-/** Seconds after which a caller should come back to a gateway that has no configuration yet. */
-const unreadySeconds = 0.3;
-/** Most milliseconds that a request waits for the first configuration, and the part of its caller's time that it may take. */
-const mostStartWait = 2_000;
-const startWaitPart = 0.4;
-/** Milliseconds that a gateway waits for most directories before it counts as ready with what it has. */
-const majorityPatience = 1_500;
-/** Milliseconds in which the balancer notices that a gateway is leaving, two questions a second apart and some. */
-const balancerNotice = 2_800;
-/** Milliseconds kept back at the end of a shutdown for closing. */
-const shutdownMargin = 600;
-const shutdownPoll = 50;
+/** Retry-After of a gateway that has no configuration yet. */
+const unconfiguredRetryAfterSeconds = 0.3;
+/** Limit of a request's wait for the first configuration, and the fraction of its caller's deadline that the wait may take. */
+const maxConfigurationWaitMilliseconds = 2_000;
+const configurationWaitFraction = 0.4;
+/** How long a gateway waits to reach a majority of the directories before it reports ready without one. */
+const majorityTimeoutMilliseconds = 1_500;
+/** Time in which the balancer notices that a gateway is leaving: two probes a second apart, and a margin. */
+const balancerNoticeMilliseconds = 2_800;
+/** Time reserved for closing at the end of a shutdown, and the interval of checking for open requests. */
+const shutdownMarginMilliseconds = 600;
+const shutdownPollMilliseconds = 50;
 
-/** What a gateway needs. */
+/** Settings and dependencies of a gateway. */
 export type GatewayDaemonOptions = RoutingOptions<GatewaySettings, GatewayWire> & {
     readonly metrics: Metrics;
-    /** Milliseconds after the start in which the count of gateways isn't trusted. @default 4000 */
+    /** Milliseconds after the start during which the number of gateways isn't reliable. @default 4000 */
     readonly settleTime?: number;
 };
 
-/** Takes callers' requests and has them answered by backend servers. It has no state that must survive. */
+/** Receives callers' requests and forwards them to backend servers. It has no persistent state. */
 export class GatewayDaemon {
     private readonly store = DisposableStore.create();
     private readonly instances = InstanceTable.create();
     private readonly links = LinkQuality.create();
     private readonly tally = CallTally.create();
-    private readonly repeats: RepeatAllowance;
+    private readonly retries: RetryAllowance;
     private readonly connections: BackendConnections;
-    /** Requests under which backend servers ended. */
+    /** Requests that backend servers crashed on. */
     readonly held: HeldRequests;
-    private readonly crashes: CrashWatch;
+    private readonly crashDetector: CrashWatch;
     private readonly watcher: DirectoryWatcher;
-    private readonly places: PlacesClient;
-    private readonly parts: ExchangeParts;
-    private callers!: CallerServer;
-    private table: RouteTable | undefined;
+    private readonly placementClient: PlacementClient;
+    private readonly exchangeDependencies: ExchangeDependencies;
+    private callerServer!: CallerServer;
+    private routeTable: RouteTable | undefined;
     private configuredAt: number | undefined;
     private leaving = false;
-    private readonly tableWaiters = new Set<() => void>();
+    private readonly routeTableWaiters = new Set<() => void>();
 
     private constructor(private readonly options: GatewayDaemonOptions) {
         const { settings, wire, clock, logger, metrics } = options;
-        this.repeats = RepeatAllowance.create({
+        this.retries = RetryAllowance.create({
             rules: settings.repeats,
             clock,
             sharers: () => this.watcher.mostGateways(),
-            borrow: service => this.places.borrowRepeat(service),
+            borrow: service => this.placementClient.borrowRetry(service),
         });
         this.connections = BackendConnections.create(logger);
         this.store.add(() => this.connections.close());
@@ -80,7 +80,7 @@
             clock,
             logger,
         });
-        this.crashes = CrashWatch.create({
+        this.crashDetector = CrashWatch.create({
             held: this.held,
             isGone: id => this.instances.isGone(id),
             listens,
@@ -88,7 +88,7 @@
             logger,
             metrics,
         });
-        this.store.add(() => this.crashes.close());
+        this.store.add(() => this.crashDetector.close());
         this.watcher = DirectoryWatcher.create({
             name: settings.name,
             observer: false,
@@ -99,23 +99,23 @@
             logger,
             settleTime: options.settleTime,
             onAnnounced: announced => this.instances.take(announced),
-            borrowed: () => this.repeats.borrowed(),
+            borrowed: () => this.retries.borrowed(),
             onCrashes: records => void this.held.merge(records),
             knownCrashes: () => this.held.all(),
             onDocument: (version, content) => this.configure(version, content),
         });
         this.store.add(() => this.watcher.close());
-        this.places = PlacesClient.create({
+        this.placementClient = PlacementClient.create({
             name: settings.name,
             watcher: this.watcher,
             instances: this.instances,
-            engineRule: service => this.table?.service(service)?.engine,
+            engineRule: service => this.routeTable?.service(service)?.engine,
             calls: () => this.tally.take(clock.monotonic()),
             clock,
             logger,
         });
-        this.store.add(() => this.places.close());
-        this.parts = {
+        this.store.add(() => this.placementClient.close());
+        this.exchangeDependencies = {
             wire,
             connections: this.connections,
             instances: this.instances,
@@ -125,14 +125,14 @@
             clock,
             logger,
             metrics,
-            reportEnded: instance => this.places.reportEnded(instance),
-            crashes: this.crashes,
-            repeats: this.repeats,
+            reportEnded: instance => this.placementClient.reportEnded(instance),
+            crashes: this.crashDetector,
+            retryAllowance: this.retries,
             gateways: () => this.watcher.gateways(),
         };
     }
 
-    /** Listens for callers and for the balancer. */
+    /** Starts a gateway that listens for callers and for the balancer. */
     static async create(options: GatewayDaemonOptions): Promise<GatewayDaemon> {
         const daemon = new GatewayDaemon(options);
         try {
@@ -146,41 +146,42 @@
     }
 
     /**
-     * Shuts down: says that it isn't ready, goes on serving while the balancer notices, tells callers on kept
-     * connections to leave, and ends once nothing is open or its time is up. Gives the number of requests cut off.
+     * Shuts down: reports not ready, continues to serve until the balancer has noticed, closes callers' connections after
+     * their next response, and ends once no request is open or the shutdown time is up. Returns the number of requests
+     * that were cut off.
      */
     async close(): Promise<number> {
         const { clock, settings, logger } = this.options;
         const startedAt = clock.monotonic();
-        const until = startedAt + settings.shutdownTime - shutdownMargin;
+        const until = startedAt + settings.shutdownTime - shutdownMarginMilliseconds;
         this.leaving = true;
-        this.callers.endConnections();
+        this.callerServer.closeAfterResponses();
         let listening = true;
         while (clock.monotonic() < until) {
-            // A caller that kept its connection would send its next request here until the end, and lose it then.
-            this.callers.closeIdle();
-            if (listening && clock.monotonic() - startedAt > balancerNotice) {
+            // A caller with an idle connection would send its next request here, and lose it when the gateway exits.
+            this.callerServer.closeIdle();
+            if (listening && clock.monotonic() - startedAt > balancerNoticeMilliseconds) {
                 listening = false;
-                this.callers.stopListening();
+                this.callerServer.stopListening();
             }
-            if (!listening && this.callers.openRequests() === 0) {
+            if (!listening && this.callerServer.openRequests() === 0) {
                 break;
             }
-            await new Promise<void>(resolve => clock.after(shutdownPoll, resolve));
+            await new Promise<void>(resolve => clock.after(shutdownPollMilliseconds, resolve));
         }
-        const cut = this.callers.openRequests();
+        const cut = this.callerServer.openRequests();
         logger.info("closing", { cut, after: Math.round(clock.monotonic() - startedAt) });
-        this.callers.closeAll();
+        this.callerServer.closeAll();
         await this.store.dispose();
         return cut;
     }
 
-    /** Whether new callers should come here. */
+    /** Whether the balancer should send new requests here. */
     isReady(): boolean {
         if (this.leaving || this.configuredAt === undefined) {
             return false;
         }
-        const waited = this.options.clock.monotonic() - this.configuredAt > majorityPatience;
+        const waited = this.options.clock.monotonic() - this.configuredAt > majorityTimeoutMilliseconds;
         return waited || this.watcher.reachesMajority();
     }
 
@@ -192,12 +193,12 @@
 
     private async open(): Promise<void> {
         const { settings, logger } = this.options;
-        this.callers = await CallerServer.create({
+        this.callerServer = await CallerServer.create({
             address: settings.callers,
             handler: (incoming, response) => void this.receive(incoming, response),
             logger,
         });
-        this.store.add(() => this.callers.closeAll());
+        this.store.add(() => this.callerServer.closeAll());
         const readiness = http.createServer({ keepAliveTimeout: 10_000 }, (incoming, response) => {
             const known = (incoming.url ?? "").split("?", 1)[0] === this.options.wire.readinessPath;
             response.writeHead(known && this.isReady() ? 200 : known ? 503 : 404, { "Content-Length": 0 });
@@ -218,13 +219,13 @@
         const { wire, logger, clock } = this.options;
         wire.traffic(content).caseOf<void>({
             Left: findings => {
-                logger.error("a stored configuration can't be read", { version, findings });
+                logger.error("cannot parse a stored configuration", { version, findings });
             },
             Right: traffic => {
-                this.table = RouteTable.create(traffic);
-                this.callers?.setLimits(traffic.limits);
+                this.routeTable = RouteTable.create(traffic);
+                this.callerServer?.setLimits(traffic.limits);
                 this.configuredAt ??= clock.monotonic();
-                [...this.tableWaiters].forEach(settle => settle());
+                [...this.routeTableWaiters].forEach(settle => settle());
                 logger.info("a configuration is in force here", { version, routes: traffic.routes.length });
             },
         });
@@ -237,12 +238,12 @@
             await this.serve(incoming, response, arrivedAt);
         }
         catch (error) {
-            logger.error("a request failed by a fault of this daemon", { error, target: incoming.url });
+            logger.error("a request failed with an internal error", { error, target: incoming.url });
             if (response.headersSent) {
                 response.destroy();
             }
             else {
-                writeOwn(response, 500, "a fault of the gateway");
+                writeOwnAnswer(response, 500, "internal error of the gateway");
             }
         }
     }
@@ -253,26 +254,26 @@
         arrivedAt: number,
     ): Promise<void> {
         const { wire, clock } = this.options;
-        const table = this.table ?? await this.firstTable(wire.caller(incoming.headers).deadlineWithin);
+        const table = this.routeTable ?? await this.awaitRouteTable(wire.caller(incoming.headers).deadlineWithin);
         if (table === undefined) {
-            const retry = { "Retry-After": String(unreadySeconds) };
-            this.turnAway(incoming, response, 503, "no configuration has come yet", retry);
+            const retry = { "Retry-After": String(unconfiguredRetryAfterSeconds) };
+            this.rejectRequest(incoming, response, 503, "no configuration received yet", retry);
             return;
         }
-        const limits = this.callers.currentLimits();
+        const limits = this.callerServer.currentLimits();
         if (headerBytes(incoming.rawHeaders, incoming.method ?? "", incoming.url ?? "") > limits.headerBytes) {
-            this.turnAway(incoming, response, 431, `the header is larger than ${limits.headerBytes} bytes`);
+            this.rejectRequest(incoming, response, 431, `the header is larger than ${limits.headerBytes} bytes`);
             return;
         }
         const route = table.match(incoming.headers.host ?? "", incoming.url ?? "");
         if (route === undefined) {
-            this.turnAway(incoming, response, 404, "no route takes the request");
+            this.rejectRequest(incoming, response, 404, "no route matches the request");
             return;
         }
         const facts = wire.caller(incoming.headers);
         const body = await readBody(incoming, limits);
         if (body === "tooLarge") {
-            this.turnAway(incoming, response, 413, `the body is larger than ${limits.bodyBytes} bytes`);
+            this.rejectRequest(incoming, response, 413, `the body is larger than ${limits.bodyBytes} bytes`);
             return;
         }
         if (body === undefined) {
@@ -292,19 +293,19 @@
     }
 
     /**
-     * Waits for the first configuration. After a restart of the whole deployment it comes within a second or so, and a
-     * caller that was sent away at once would spend its one retry before that.
+     * Waits for the first configuration. After a restart of the whole deployment it is received within about a second; a
+     * caller that was refused at once would spend its only retry before that.
      */
-    private firstTable(deadlineWithin: number | undefined): Promise<RouteTable | undefined> {
-        const limit = Math.min(mostStartWait, (deadlineWithin ?? 0) * startWaitPart);
+    private awaitRouteTable(deadlineWithin: number | undefined): Promise<RouteTable | undefined> {
+        const limit = Math.min(maxConfigurationWaitMilliseconds, (deadlineWithin ?? 0) * configurationWaitFraction);
         return new Promise(resolve => {
             const settle = (): void => {
                 cancel();
-                this.tableWaiters.delete(settle);
-                resolve(this.table);
+                this.routeTableWaiters.delete(settle);
+                resolve(this.routeTable);
             };
             const cancel = this.options.clock.after(limit, settle);
-            this.tableWaiters.add(settle);
+            this.routeTableWaiters.add(settle);
         });
     }
 
@@ -316,8 +317,8 @@
         }
         const { settings } = this.options;
         const exchange = service.engine !== undefined && route.prompts
-            ? StreamExchange.create(this.parts, this.places, settings, request, service)
-            : ServiceExchange.create(this.parts, request, service);
+            ? StreamExchange.create(this.exchangeDependencies, this.placementClient, settings, request, service)
+            : ServiceExchange.create(this.exchangeDependencies, request, service);
         await exchange.run();
         this.log(request, exchange.trace(), table.traffic.version);
     }
@@ -341,8 +342,8 @@
         });
     }
 
-    /** Turns away what isn't a request that some route takes; the body that may follow is read away by the library. */
-    private turnAway(
+    /** Answers a request that can't be routed with an error, and discards the rest of its body. */
+    private rejectRequest(
         incoming: http.IncomingMessage,
         response: http.ServerResponse,
         status: number,
@@ -351,7 +352,7 @@
     ): void {
         this.options.logger.info("request turned away", { target: incoming.url, status, cause });
         incoming.resume();
-        writeOwn(
+        writeOwnAnswer(
             response,
             status,
             cause,
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayWire.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayWire.ts
@@ -3,68 +3,68 @@
 import type { Finding, Traffic } from "../../protocol/index.js";
 import type { EngineCall } from "../backends/index.js";
 
-/** What a caller says of its request beside method, path and body. */
+/** Metadata that a caller sends with its request beside method, path and body. */
 export type CallerFacts = {
-    /** Identifier of this attempt; undefined where the caller sent none. */
+    /** Identifier of this attempt; undefined if the caller sent none. */
     readonly attempt: string | undefined;
     /** Milliseconds that the caller will wait, counted from when it sent the request. */
     readonly deadlineWithin: number | undefined;
     readonly promptTokens: number;
-    /** Most tokens of the answer, and the caller's guess of their number. */
+    /** Limit of the answer's tokens, and the caller's estimate of their number. */
     readonly maxTokens: number;
     readonly expectedTokens: number | undefined;
 };
 
-/** What this system says to a backend server beside the caller's own headers. */
+/** Metadata that this system sends to a backend server in addition to the caller's headers. */
 export type RunFacts = {
     readonly attempt: string | undefined;
-    /** Milliseconds that are left. */
+    /** Milliseconds left until the deadline. */
     readonly deadlineWithin: number;
-    /** The incarnation that is meant: any other one at the address turns the request away. */
+    /** The intended incarnation: any other one at the address rejects the request. */
     readonly instance: string;
-    /** Only the prompt is to be read. */
+    /** Only the prefill is requested. */
     readonly prefillOnly?: boolean;
-    /** Where the KV cache of the prompt waits. */
+    /** Engine that holds the KV cache of the prompt, and the handle of the cache. */
     readonly source?: { readonly address: string; readonly handle: string; };
-    /** Number of the last event that the caller has got. */
+    /** Number of the last event that the caller has received. */
     readonly resumeAfter?: string;
 };
 
-/** What the head of a backend server's answer says. */
+/** Metadata in the head of a backend server's answer. */
 export type AnswerFacts = {
-    /** Whose answer it is. */
+    /** The attempt that it answers. */
     readonly attempt: string | undefined;
-    /** Whether it bears the backend server's mark of a whole answer. */
+    /** Whether it carries the backend server's seal of a complete answer. */
     readonly sealed: boolean;
-    /** Whether it promises that the request did not run. */
+    /** Whether it guarantees that the request did not run. */
     readonly notRun: boolean;
-    /** Which incarnation answers, where it says so. */
+    /** The incarnation that answers, if it is named. */
     readonly instance: string | undefined;
 };
 
-/** The wire between callers, gateways and backend servers. Translates, and decides nothing. */
+/** Translates between the wire format of callers and backend servers and the gateway's own types; makes no decisions. */
 export abstract class GatewayWire {
-    /** Path at which the balancer asks whether the gateway is ready. */
+    /** Path of the balancer's readiness probe. */
     abstract readonly readinessPath: string;
 
-    /** Names, in lower case, of headers that only this system sets: those of a caller are dropped. */
+    /** Lower-case names of headers that only this system sets; a caller's headers of these names are dropped. */
     abstract readonly reserved: ReadonlySet<string>;
 
-    /** Reads what a caller says. */
+    /** Parses a caller's headers. */
     abstract caller(headers: IncomingHttpHeaders): CallerFacts;
 
-    /** Headers that take the place of those of the same names in the caller's request. */
+    /** Headers that replace those of the same names in the caller's request. */
     abstract run(facts: RunFacts): Readonly<Record<string, string>>;
 
-    /** Reads the head of an answer. */
+    /** Parses the head of an answer. */
     abstract answer(status: number, headers: Readonly<Record<string, string | undefined>>): AnswerFacts;
 
-    /** Reads the answer to a call that only had the prompt read. */
+    /** Parses the answer to a prefill; returns the handle of the KV cache, undefined if there is none. */
     abstract prefilled(body: string): string | undefined;
 
-    /** The call that frees a prompt's KV cache which nobody will take. */
+    /** The call that frees a prompt's unused KV cache. */
     abstract dropHandle(handle: string): EngineCall;
 
-    /** Reads a configuration. */
+    /** Parses a configuration; Left holds the findings. */
     abstract traffic(content: string): Either<readonly Finding[], Traffic>;
 }
--- a/packages/basilpaddle/src/node/daemon/gateway/headers.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/headers.ts
@@ -1,4 +1,4 @@
-/** Headers that concern one connection only, in lower case (RFC 9110, 7.6.1), and those that the HTTP library sets itself. */
+/** Lower-case names of hop-by-hop headers (RFC 9110, 7.6.1) and of those that the HTTP library sets itself. */
 const connectionHeaders: ReadonlySet<string> = new Set([
     "connection",
     "keep-alive",
@@ -14,27 +14,27 @@
 ]);
 
 /**
- * Headers of a message that are passed on, as names and values by turns: without those of the connection it came over,
- * without those that its `Connection` header names, and without those in `dropped`.
+ * The headers of a message that are forwarded, as alternating names and values: without hop-by-hop headers, without those
+ * that its `Connection` header names, and without those in `dropped`.
  */
-export function passedOn(rawHeaders: readonly string[], dropped: ReadonlySet<string>): string[] {
+export function endToEndHeaders(rawHeaders: readonly string[], dropped: ReadonlySet<string>): string[] {
     const named = new Set<string>();
     forEachHeader(rawHeaders, (name, value) => {
         if (name.toLowerCase() === "connection") {
             value.split(",").forEach(token => named.add(token.trim().toLowerCase()));
         }
     });
-    const passed: string[] = [];
+    const kept: string[] = [];
     forEachHeader(rawHeaders, (name, value) => {
         const lower = name.toLowerCase();
         if (!connectionHeaders.has(lower) && !named.has(lower) && !dropped.has(lower)) {
-            passed.push(name, value);
+            kept.push(name, value);
         }
     });
-    return passed;
+    return kept;
 }
 
-/** Bytes of a header block, as it came over the wire. */
+/** Size in bytes of a request's head as received. */
 export function headerBytes(rawHeaders: readonly string[], method: string, target: string): number {
     let bytes = method.length + target.length + " HTTP/1.1\r\n".length + 3;
     forEachHeader(rawHeaders, (name, value) => {
--- a/packages/basilpaddle/src/node/daemon/gateway/leaderTimeout.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/leaderTimeout.ts
@@ -1,48 +1,47 @@
-/** Milliseconds for the leader to answer, at least and at the most: it holds a question for 100 ms at the most. */
-const leastTimeout = 250;
-const mostTimeout = 700;
-/** Times the slowest answer of late. */
+/** Bounds of the timeout; the leader itself holds a request for at most 100 ms before it answers. */
+const minTimeoutMilliseconds = 250;
+const maxTimeoutMilliseconds = 700;
+/** The timeout as a multiple of the slowest recent answer. */
 const slownessFactor = 2;
-/** Milliseconds in which the slowest answer counts half. */
-const halfLife = 2_000;
+/** Half-life of the slowest answer's weight. */
+const slownessHalfLifeMilliseconds = 2_000;
 
 /**
- * How long a question waits for the leader before its gateway places alone.
+ * How long a placement request waits for the leader before its gateway places locally.
  *
- * Each gateway finds out by a request of its own that the leader's host is gone; among hundreds of gateways that is every
- * request of the first seconds. With 400 ms for the leader 18 of the 21 first events that were late on one such day had
- * waited so long, several of them twice. A leader that has just been elected answers late as well, though, while all
- * gateways come to it at once: with 250 ms at all times, gateways gave it up again and again for two seconds, and waited
- * up to 0.9 s in turns. So the timeout follows the slowest answers of late.
+ * Each gateway detects by a request of its own that the leader's host is gone; among hundreds of gateways that affects every
+ * request of the first seconds. With a timeout of 400 ms, 18 of 21 late first events had waited that long, several of them
+ * twice. A newly elected leader is slow too, since all gateways contact it at once: with a constant 250 ms, gateways gave it
+ * up repeatedly for two seconds, and waited up to 0.9 s in total. So the timeout follows the slowest recent answers.
  */
 export class LeaderTimeout {
     private slowest = 0;
-    private seenAt = 0;
+    private slowestAt = 0;
 
     static create(): LeaderTimeout {
         return new LeaderTimeout();
     }
 
-    /** Notes how long an answer took. */
-    answered(milliseconds: number, now: number): void {
+    /** Records how long an answer took. */
+    recordAnswer(milliseconds: number, now: number): void {
         const slowest = this.current(now);
         if (milliseconds >= slowest) {
             this.slowest = milliseconds;
-            this.seenAt = now;
+            this.slowestAt = now;
         }
     }
 
-    /** Milliseconds that the next question should wait. */
+    /** Timeout in milliseconds of the next placement request. */
     timeout(now: number): number {
-        return Math.min(mostTimeout, Math.max(leastTimeout, slownessFactor * this.current(now)));
+        return Math.min(maxTimeoutMilliseconds, Math.max(minTimeoutMilliseconds, slownessFactor * this.current(now)));
     }
 
-    /** Milliseconds for a question that nobody waits for: a slow answer to it says that the leader is there. */
+    /** Timeout in milliseconds of a probe. No request waits for it, and even a slow answer shows that the leader is up. */
     probeTimeout(): number {
-        return mostTimeout;
+        return maxTimeoutMilliseconds;
     }
 
     private current(now: number): number {
-        return this.slowest * 0.5 ** ((now - this.seenAt) / halfLife);
+        return this.slowest * 0.5 ** ((now - this.slowestAt) / slownessHalfLifeMilliseconds);
     }
 }
--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
@@ -0,0 +1,259 @@
+import { type DirectoryWatcher, EnginePlaces, type InstanceTable, placingAlone } from "../../coordination/index.js";
+import {
+    type EngineRule,
+    type PlaceDecision,
+    type PlaceDemand,
+    type PlaceEnd,
+    type ServerCalls,
+} from "../../protocol/index.js";
+import type { Clock, Logger } from "../../utils/index.js";
+import { PlacementLeader } from "./placementLeader.js";
+
+/** How long a request waits for a local placement before the leader is asked again. */
+const localPlacementMilliseconds = 300;
+/** Interval of probing an unresponsive leader. */
+const probeIntervalMilliseconds = 300;
+/**
+ * How long a request waits for the first leader after this gateway's start, and the interval of checking for it. After a
+ * power loss of the whole deployment, gateways know all engines before a leader is elected and have a backlog; each would
+ * place it locally, on the same prefill engines.
+ */
+const firstLeaderTimeoutMilliseconds = 600;
+const firstLeaderPollMilliseconds = 20;
+/** Time after the start during which requests wait for it: by then directories have loaded and voted, or can't. */
+const startupMilliseconds = 3_000;
+/** Retry-After for a request that can't be placed. */
+const refusalRetryAfterMilliseconds = 500;
+/** Interval of reporting all held placements to the leader. */
+const holdingsIntervalMilliseconds = 1_000;
+/** Interval of reporting calls to plain services: a hanging server is known to all gateways within a second. */
+const callsIntervalMilliseconds = 500;
+/** Interval of reviewing the requests that wait for a local placement. */
+const localReviewIntervalMilliseconds = 25;
+
+/** A placement on engines, and whether the leader or this gateway alone granted it. */
+export type PlacementGrant = Extract<PlaceDecision, { kind: "placed"; }> & { readonly by: "leader" | "alone"; };
+/** A granted or refused placement; undefined if the caller disconnected in the meantime. */
+export type PlacementResult = PlacementGrant | Extract<PlaceDecision, { kind: "refused"; }> | undefined;
+
+type HeldGrant = { readonly demand: PlaceDemand; readonly decode: string; };
+type DecisionCallback = (decision: PlaceDecision) => void;
+
+/** Dependencies of the placement client. */
+export type PlacementClientOptions = {
+    readonly name: string;
+    readonly watcher: DirectoryWatcher;
+    readonly instances: InstanceTable;
+    readonly engineRule: (service: string) => EngineRule | undefined;
+    /** Outcomes of calls to plain services since the previous call of this function. */
+    readonly calls: () => readonly ServerCalls[];
+    readonly clock: Clock;
+    readonly logger: Logger;
+};
+
+/**
+ * Requests placements on engines from the leading directory. While no leader answers, this gateway places requests locally
+ * within its share of every engine: callers are served during an election, and the shares of all gateways together don't
+ * exceed an engine's capacity.
+ */
+export class PlacementClient {
+    private readonly heldGrants = new Map<string, HeldGrant>();
+    private readonly localPools = new Map<string, EnginePlaces>();
+    private readonly localCallbacks = new Map<string, DecisionCallback>();
+    private readonly cancels: (() => void)[] = [];
+    private readonly leader: PlacementLeader;
+    private hadLeader = false;
+    private hasReportedHoldings = false;
+
+    private readonly startedAt: number;
+
+    private constructor(private readonly options: PlacementClientOptions) {
+        const { name, watcher, clock, logger } = options;
+        this.startedAt = clock.monotonic();
+        this.leader = PlacementLeader.create({
+            name,
+            watcher,
+            clock,
+            logger,
+            onRecovered: () => this.reportHoldings(),
+        });
+        this.every(holdingsIntervalMilliseconds, () => this.reportHoldings());
+        this.every(callsIntervalMilliseconds, () => this.reportCalls());
+        this.every(localReviewIntervalMilliseconds, () => this.reviewLocalPools());
+        this.every(probeIntervalMilliseconds, () => void this.leader.probe());
+    }
+
+    static create(options: PlacementClientOptions): PlacementClient {
+        return new PlacementClient(options);
+    }
+
+    /** Requests a placement until there is a decision. When the signal aborts, the request is withdrawn. */
+    async requestPlacement(demand: PlaceDemand, signal: AbortSignal): Promise<PlacementResult> {
+        const { clock } = this.options;
+        const askedAt = clock.monotonic();
+        while (!signal.aborted) {
+            const elapsed = clock.monotonic() - askedAt;
+            if (elapsed > demand.patienceWithin) {
+                const reason = "no placement decision before the caller's timeout";
+                this.leader.send({ kind: "withdraw", attempt: demand.attempt });
+                return { kind: "refused", attempt: demand.attempt, reason, comeBackIn: refusalRetryAfterMilliseconds };
+            }
+            const current = {
+                ...demand,
+                targetWithin: demand.targetWithin - elapsed,
+                patienceWithin: demand.patienceWithin - elapsed,
+            };
+            if (this.awaitsFirstLeader() && elapsed < firstLeaderTimeoutMilliseconds) {
+                await new Promise<void>(resolve => clock.after(firstLeaderPollMilliseconds, resolve));
+                continue;
+            }
+            const answer = this.leader.isAvailable() ? await this.leader.requestPlacement(current) : undefined;
+            if (signal.aborted) {
+                break;
+            }
+            if (answer?.kind === "decided") {
+                return this.accept(demand, answer.decision, "leader");
+            }
+            const result = answer === undefined ? await this.placeLocally(current, signal) : "waiting";
+            if (result !== "waiting") {
+                return result;
+            }
+        }
+        this.leader.send({ kind: "withdraw", attempt: demand.attempt });
+        return undefined;
+    }
+
+    /** Reports that the prefill of an attempt is done. */
+    prefilled(attempt: string): void {
+        this.leader.send({ kind: "prefilled", attempt });
+        this.localPools.forEach(pool => pool.prefilled(attempt, this.options.clock.monotonic()));
+    }
+
+    /** Releases a placement. */
+    release(attempt: string, end: PlaceEnd): void {
+        this.heldGrants.delete(attempt);
+        this.leader.send({ kind: "release", attempt, end });
+        const now = this.options.clock.monotonic();
+        this.localPools.forEach(pool => this.settleLocal(pool.release(attempt, end, now)));
+    }
+
+    /** Reports to the leader that an incarnation has ended, so that it places nothing there and notifies all gateways. */
+    reportEnded(instance: string): void {
+        this.leader.send({ kind: "ended", instance });
+    }
+
+    /** Borrows a retry from the leader, beyond this gateway's share of a service's allowance. */
+    borrowRetry(service: string): Promise<boolean> {
+        return this.leader.borrowRetry(service);
+    }
+
+    /** Stops all periodic reports. */
+    close(): void {
+        this.cancels.forEach(cancel => cancel());
+    }
+
+    private accept(demand: PlaceDemand, decision: PlaceDecision, by: PlacementGrant["by"]): PlacementResult {
+        if (decision.kind === "refused") {
+            return decision;
+        }
+        this.heldGrants.set(demand.attempt, { demand, decode: decision.decode });
+        return { ...decision, by };
+    }
+
+    private awaitsFirstLeader(): boolean {
+        const { watcher, clock } = this.options;
+        this.hadLeader ||= watcher.leader() !== undefined;
+        return !this.hadLeader && clock.monotonic() - this.startedAt < startupMilliseconds;
+    }
+
+    /**
+     * Places a request locally. Returns "waiting" after a while, since a leader may be available by then. Otherwise requests
+     * that were waiting when a leader was elected would still wait for this gateway's share of the engines: after a power
+     * loss of the whole deployment, some first events came a second later than necessary.
+     */
+    private placeLocally(demand: PlaceDemand, signal: AbortSignal): Promise<PlacementResult | "waiting"> {
+        const pool = this.localPool(demand.service);
+        if (pool === undefined) {
+            const reason = "the service has no engine rule";
+            return Promise.resolve({
+                kind: "refused",
+                attempt: demand.attempt,
+                reason,
+                comeBackIn: refusalRetryAfterMilliseconds,
+            });
+        }
+        return new Promise(resolve => {
+            const withdraw = (outcome: undefined | "waiting"): void => {
+                cancel();
+                signal.removeEventListener("abort", gone);
+                this.localCallbacks.delete(demand.attempt);
+                this.settleLocal(pool.withdraw(demand.attempt, this.options.clock.monotonic()));
+                resolve(outcome);
+            };
+            const gone = (): void => withdraw(undefined);
+            const cancel = this.options.clock.after(localPlacementMilliseconds, () => withdraw("waiting"));
+            signal.addEventListener("abort", gone);
+            this.localCallbacks.set(demand.attempt, decision => {
+                cancel();
+                signal.removeEventListener("abort", gone);
+                resolve(this.accept(demand, decision, "alone"));
+            });
+            this.settleLocal(pool.ask(demand, this.options.clock.monotonic()));
+        });
+    }
+
+    private localPool(service: string): EnginePlaces | undefined {
+        const rule = this.options.engineRule(service);
+        if (rule === undefined) {
+            return undefined;
+        }
+        let pool = this.localPools.get(service);
+        if (pool === undefined) {
+            pool = EnginePlaces.create({ ...placingAlone, share: 1 });
+            this.localPools.set(service, pool);
+        }
+        const now = this.options.clock.monotonic();
+        pool.setShare(1 / this.options.watcher.gateways());
+        pool.setEngines(this.options.instances.all().filter(instance => instance.service === service), rule);
+        const held = [...this.heldGrants.values()].filter(({ demand }) => demand.service === service);
+        this.settleLocal(pool.reconcile(this.options.name, held, 0, now));
+        return pool;
+    }
+
+    private reviewLocalPools(): void {
+        const now = this.options.clock.monotonic();
+        this.localPools.forEach(pool => this.settleLocal(pool.review(now)));
+    }
+
+    private settleLocal(decisions: readonly PlaceDecision[]): void {
+        for (const decision of decisions) {
+            const settle = this.localCallbacks.get(decision.attempt);
+            this.localCallbacks.delete(decision.attempt);
+            settle?.(decision);
+        }
+    }
+
+    private reportHoldings(): void {
+        if (this.heldGrants.size > 0 || this.hasReportedHoldings) {
+            this.leader.send({ kind: "holdings", gateway: this.options.name, held: [...this.heldGrants.values()] });
+        }
+        this.hasReportedHoldings = this.heldGrants.size > 0;
+    }
+
+    private reportCalls(): void {
+        const calls = this.options.calls();
+        if (calls.length > 0) {
+            this.leader.send({ kind: "calls", calls: [...calls] });
+        }
+    }
+
+    private every(interval: number, act: () => void): void {
+        let cancel = (): void => undefined;
+        const runAndReschedule = (): void => {
+            act();
+            cancel = this.options.clock.after(interval, runAndReschedule);
+        };
+        cancel = this.options.clock.after(interval, runAndReschedule);
+        this.cancels.push(() => cancel());
+    }
+}
--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementLeader.ts
@@ -0,0 +1,123 @@
+import type { DirectoryWatcher } from "../../coordination/index.js";
+import { type PlaceDemand, type Placing, type PlacingAnswer, placingAnswerSchema } from "../../protocol/index.js";
+import type { Clock, Logger } from "../../utils/index.js";
+import { LeaderTimeout } from "./leaderTimeout.js";
+
+/** Timeout for borrowing a retry. The leader answers at once; otherwise it is better to refuse the caller. */
+const borrowTimeoutMilliseconds = 150;
+
+/** The leader's answer to a placement request: its decision, or that the request is queued there. */
+export type LeaderAnswer = Extract<PlacingAnswer, { kind: "decided" | "waiting"; }>;
+
+/** Dependencies of the connection to the leader. */
+export type PlacementLeaderOptions = {
+    /** The gateway's own name. */
+    readonly name: string;
+    readonly watcher: DirectoryWatcher;
+    readonly clock: Clock;
+    readonly logger: Logger;
+    /** Called when a leader answers again after one was found unresponsive. */
+    readonly onRecovered: () => void;
+};
+
+/**
+ * One gateway's connection to the leading directory. After one request has timed out, the leader is only probed, separately
+ * from all requests: otherwise each of these would wait for the full timeout, as every third request did with hundreds of
+ * gateways while a leader was away for two seconds.
+ */
+export class PlacementLeader {
+    private readonly timeout = LeaderTimeout.create();
+    private unresponsive = false;
+    private unresponsiveName: string | undefined;
+    private probing = false;
+
+    private constructor(private readonly options: PlacementLeaderOptions) {}
+
+    static create(options: PlacementLeaderOptions): PlacementLeader {
+        return new PlacementLeader(options);
+    }
+
+    /** Whether requests may be sent to the leader: it answers, or it isn't the one that was found unresponsive. */
+    isAvailable(): boolean {
+        const leader = this.options.watcher.leader();
+        return !this.unresponsive || (leader !== undefined && leader !== this.unresponsiveName);
+    }
+
+    /** Requests a placement; undefined if no leader answers. */
+    async requestPlacement(demand: PlaceDemand): Promise<LeaderAnswer | undefined> {
+        const { watcher, clock } = this.options;
+        const leader = watcher.leader();
+        const askedAt = clock.monotonic();
+        const answer = await this.request(leader, { kind: "place", demand }, this.timeout.timeout(askedAt));
+        if (answer?.kind === "decided" || answer?.kind === "waiting") {
+            this.recordAnswer(leader, answer.term, askedAt);
+            return answer;
+        }
+        this.recordNoAnswer(leader, answer?.kind ?? "none");
+        return undefined;
+    }
+
+    /** Borrows a retry beyond this gateway's share of a service's allowance; false if the leader grants none. */
+    async borrowRetry(service: string): Promise<boolean> {
+        const { watcher, name } = this.options;
+        if (!this.isAvailable()) {
+            return false;
+        }
+        const borrow = { kind: "borrow", gateway: name, service } as const;
+        const answer = await this.request(watcher.leader(), borrow, borrowTimeoutMilliseconds);
+        return answer?.kind === "lent" && answer.granted;
+    }
+
+    /** Checks whether an unresponsive leader answers again; to be called every few hundred milliseconds. */
+    async probe(): Promise<void> {
+        const { watcher, name, clock } = this.options;
+        if (!this.unresponsive || this.probing) {
+            return;
+        }
+        this.probing = true;
+        const leader = watcher.leader();
+        const askedAt = clock.monotonic();
+        const answer = await this.request(leader, { kind: "probe", gateway: name }, this.timeout.probeTimeout());
+        this.probing = false;
+        if (answer?.kind === "leading") {
+            this.recordAnswer(leader, answer.term, askedAt);
+        }
+    }
+
+    /** Sends a message that has no reply. */
+    send(message: Placing): void {
+        const leader = this.options.watcher.leader();
+        if (leader !== undefined) {
+            this.options.watcher.link(leader)?.send(message);
+        }
+    }
+
+    private async request(
+        leader: string | undefined,
+        message: Placing,
+        timeout: number,
+    ): Promise<PlacingAnswer | undefined> {
+        const link = leader === undefined ? undefined : this.options.watcher.link(leader);
+        const answer = await link?.request(message, timeout);
+        return placingAnswerSchema.safeParse(answer?.toMaybe().extract()).data;
+    }
+
+    private recordAnswer(leader: string | undefined, term: number, askedAt: number): void {
+        const { clock, logger, onRecovered: onRegained } = this.options;
+        const now = clock.monotonic();
+        this.timeout.recordAnswer(now - askedAt, now);
+        if (this.unresponsive) {
+            this.unresponsive = false;
+            logger.info("the placement leader answers again", { leader, term });
+            onRegained();
+        }
+    }
+
+    private recordNoAnswer(leader: string | undefined, answer: string): void {
+        this.unresponsiveName = leader;
+        if (!this.unresponsive) {
+            this.unresponsive = true;
+            this.options.logger.warn("the placement leader doesn't answer; placing locally", { asked: leader, answer });
+        }
+    }
+}
--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/gateway/prefilledPrompt.ts
@@ -0,0 +1,62 @@
+import type { Announced, ServiceRule } from "../../protocol/index.js";
+import { drain, isAnswer } from "../backends/index.js";
+import type { ExchangeDependencies } from "./backendSender.js";
+
+/** Timeout of the call that frees a prompt's KV cache. */
+const freeTimeoutMilliseconds = 1_200;
+
+/** Maximum time of a prefill, constant and per token: well above what it takes under load. */
+const basePrefillTimeoutMilliseconds = 700;
+const prefillTimeoutPerTokenMilliseconds = 0.1;
+/**
+ * Timeout of a prefill with a forecast: a multiple of the forecast, and a margin for the network and unforeseen delays. An
+ * unresponsive engine keeps its connections open and answers nothing. With a timeout of a second, its requests would be late
+ * at any other engine; with 0.6 s, those with prompts of usual length can still meet their target.
+ */
+const forecastFactor = 3;
+const forecastMarginMilliseconds = 250;
+
+/**
+ * Timeout in milliseconds of a prefill: an engine whose host is gone doesn't close its connections, and callers would leave
+ * before an error is seen. `forecast`: expected duration of the prefill in milliseconds, if known.
+ */
+export function prefillTimeout(
+    request: { readonly left: () => number; readonly facts: { readonly promptTokens: number; }; },
+    forecast: number | undefined,
+): number {
+    const maxTimeout = basePrefillTimeoutMilliseconds + request.facts.promptTokens * prefillTimeoutPerTokenMilliseconds;
+    const forecastTimeout = forecast === undefined
+        ? maxTimeout
+        : forecastMarginMilliseconds + forecastFactor * forecast;
+    return Math.min(request.left(), maxTimeout, forecastTimeout);
+}
+
+/** A prompt whose KV cache waits at its prefill engine for a decode engine. */
+export type PrefilledPrompt = { readonly engine: Announced; readonly handle: string; readonly prefilledAt: number; };
+
+/** Frees the KV cache of a prompt that won't be decoded: otherwise it takes up memory until it expires. */
+export function freePromptCache(parts: ExchangeDependencies, service: ServiceRule, prompt: PrefilledPrompt): void {
+    if (parts.instances.get(prompt.engine.id) === undefined) {
+        return;
+    }
+    const { method, path, headers } = parts.wire.dropHandle(prompt.handle);
+    const call = {
+        server: prompt.engine,
+        method,
+        path,
+        headers: Object.entries(headers).flat(),
+        body: undefined,
+        signal: AbortSignal.timeout(freeTimeoutMilliseconds),
+    };
+    void parts.connections.call(call, service.connectionLimit, parts.gateways()).then(result => {
+        if (isAnswer(result)) {
+            drain(result);
+        }
+        else {
+            parts.logger.warn("failed to free a prompt's KV cache; it will expire", {
+                engine: prompt.engine.id,
+                ...result,
+            });
+        }
+    });
+}
--- a/packages/basilpaddle/src/node/daemon/gateway/refuseHeld.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/refuseQuarantined.ts
@@ -3,10 +3,10 @@
 import type { CallerRequest } from "./callerRequest.js";
 
 /**
- * Turns a request away, or ends it where it has run, if backend servers ended under it. To be asked before each sending,
- * as early as it can be: nothing is spent on a request that must not run. Tells whether it did.
+ * Refuses a quarantined request, or fails it if it has already run; returns whether it did. Call it before each send and as
+ * early as possible, so that no work is spent on a request that must not run.
  */
-export function refuseHeld(
+export function refuseQuarantined(
     { crashes, metrics }: { readonly crashes: CrashWatch; readonly metrics: Metrics; },
     request: CallerRequest,
     hasRun: boolean,
--- a/packages/basilpaddle/src/node/daemon/gateway/repeatAllowance.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/retryAllowance.ts
@@ -1,34 +1,34 @@
 import { RepeatBudget, type RepeatBudgetRules } from "../../coordination/index.js";
 import type { Clock } from "../../utils/index.js";
 
-/** What the allowance is drawn with. */
-export type RepeatAllowanceOptions = {
+/** Dependencies of the allowance. */
+export type RetryAllowanceOptions = {
     readonly rules: RepeatBudgetRules;
     readonly clock: Clock;
-    /** Gateways that share the allowance: never fewer than there may be. */
+    /** Upper bound of the number of gateways that share the allowance. */
     readonly sharers: () => number;
-    /** Asks the leader for a repeat beyond this gateway's own part. */
+    /** Borrows a retry from the leader, beyond this gateway's own share. */
     readonly borrow: (service: string) => Promise<boolean>;
 };
 
-/** The allowance for repeats of each service: this gateway's own part first, then what the leader lends. */
-export class RepeatAllowance {
+/** The retry allowance of each service: this gateway's own share first, then retries that the leader lends. */
+export class RetryAllowance {
     private readonly budgets = new Map<string, RepeatBudget>();
-    /** What the leader lent, for the next leader to know. */
+    /** Retries that the leader lent, to be reported to the next leader. */
     private readonly loans = new Map<string, RepeatBudget>();
 
-    private constructor(private readonly options: RepeatAllowanceOptions) {}
+    private constructor(private readonly options: RetryAllowanceOptions) {}
 
-    static create(options: RepeatAllowanceOptions): RepeatAllowance {
-        return new RepeatAllowance(options);
+    static create(options: RetryAllowanceOptions): RetryAllowance {
+        return new RetryAllowance(options);
     }
 
-    /** Notes a request of the service. */
+    /** Counts a request of the service. */
     request(service: string): void {
         this.budget(service).request(this.now());
     }
 
-    /** Takes one repeat, or tells that none is to be had. */
+    /** Takes one retry; returns false if none is available. */
     async take(service: string): Promise<boolean> {
         const { sharers, borrow, rules } = this.options;
         if (this.budget(service).take(this.now(), sharers())) {
@@ -43,13 +43,13 @@
         return granted;
     }
 
-    /** Repeats that were borrowed within the last window, by service. */
+    /** Number of retries borrowed within the last window, by service. */
     borrowed(): { readonly service: string; readonly count: number; }[] {
         const loans = [...this.loans].map(([service, taken]) => ({ service, count: taken.taken(this.now()) }));
         return loans.filter(({ count }) => count > 0);
     }
 
-    /** Gives a repeat back that reached no server after all; one that was lent stays here as the gateway's own. */
+    /** Returns a retry that didn't reach a server. A borrowed one isn't returned to the leader but added to the own share. */
     giveBack(service: string): void {
         this.budget(service).giveBack(this.now());
     }
--- a/packages/basilpaddle/src/node/daemon/gateway/streamExchange.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/streamExchange.ts
@@ -1,211 +1,211 @@
 import { PauseWatch } from "../../coordination/index.js";
 import type { Announced, PlaceEnd, ServiceRule } from "../../protocol/index.js";
 import { type BackendAnswer, discard, wholeBody } from "../backends/index.js";
-import { type ArrivalEnd, Arrivals } from "./arrivals.js";
+import { awaitEngines } from "./awaitEngines.js";
+import { BackendSender, type ExchangeDependencies } from "./backendSender.js";
 import type { CallerRequest } from "./callerRequest.js";
-import { type ExchangeParts, Sender } from "./exchange.js";
-import { placeDemand } from "./placeDemand.js";
-import type { Place, PlacesClient } from "./placesClient.js";
-import { freePrompt, readingLimit, type ReadPrompt } from "./readPrompt.js";
-import { refuseHeld } from "./refuseHeld.js";
-import { StreamPass } from "./streamPass.js";
+import type { PlacementClient, PlacementGrant } from "./placementClient.js";
+import { placementRequest } from "./placementRequest.js";
+import { freePromptCache, type PrefilledPrompt, prefillTimeout } from "./prefilledPrompt.js";
+import { refuseQuarantined } from "./refuseQuarantined.js";
+import { type ReportSendOutcome, RetryCharges } from "./retryCharges.js";
+import { StreamRelay } from "./streamRelay.js";
 import { TimeLimit } from "./timeLimit.js";
-import { untilKnown } from "./untilKnown.js";
 
-/** Largest answer in bytes of a call that only has the prompt read, or of a failure. */
-const shortAnswerLimit = 1024 * 1024;
-/** Turns of placing, reading and running that one request may take. */
-const mostTurns = 4;
-/** Part of a prompt cache's life within which it is offered to another engine; after that it may lapse on the way. */
-const handleLifePart = 0.7;
-/** Milliseconds after which a caller whom every engine turned away should come back. */
-const turnedAwayComeBack = 300;
-/** Milliseconds of silence of a stream after which its run is given up for lost, where it may go on elsewhere. */
-const silenceLimit = 1_200;
-/** Milliseconds for the head of a run's answer, where the run may be made elsewhere: an engine that is gone stays silent. */
-const headPatience = 1_500;
-const leastTime = 5;
-/** Engines that a prompt's KV cache is offered to before it counts as lapsed. */
-const mostOffers = 2;
-/** Engines that couldn't be connected to which don't count as turns. */
-const mostUnreached = 6;
-const noRepeatLeft = "no repeat is left in the allowance";
-const firstFailure = 400;
+/** Largest answer of a prefill, or of a failed run. */
+const maxShortAnswerBytes = 1024 * 1024;
+/** Limit of rounds per request; a round is a placement, a prefill and a run. */
+const maxRounds = 4;
+/** Fraction of a prompt cache's lifetime within which it is offered to an engine; later it may expire in transit. */
+const handleLifeFraction = 0.7;
+/** Retry-After for a request that every engine rejected. */
+const rejectedRetryAfterMilliseconds = 300;
+/** Idle time of a stream after which its run is aborted, if it may be resumed on another engine. */
+const idleLimitMilliseconds = 1_200;
+/** Timeout of the head of a run's answer, if the run may be made on another engine: one whose host is gone sends nothing. */
+const headLimitMilliseconds = 1_500;
+const minAnswerMilliseconds = 5;
+/** Number of engines that a prompt's KV cache is offered to before it is assumed to have expired. */
+const maxCacheOffers = 2;
+/** Number of failed connections to engines that don't count as rounds. */
+const maxFreeConnectionFailures = 6;
+const noRetryLeft = "no retry is left in the allowance";
+const minFailureStatus = 400;
 
-/** What came of a run at a decode engine. */
+/** Result of a run at a decode engine. */
 type RunEnd =
     | { readonly kind: "done"; }
-    /** It didn't run there; the prompt's KV cache may still be there. */
+    /** It didn't run there; the prompt's KV cache may still exist. */
     | { readonly kind: "turnedAway"; readonly cause: string; readonly unreachable: boolean; }
-    /** It ran, or may have, and broke off. */
+    /** It ran, or may have, and was cut off. */
     | { readonly kind: "lost"; readonly cause: string; }
-    /** Its engine answered with a failure of its own, which was passed on. */
+    /** The engine answered with an error, which was forwarded. */
     | { readonly kind: "failureGiven"; };
 
-/** Has one request answered by the engines of a pool: a place, the prompt read, then the run. */
+/** Has one request answered by the engines of a pool: a placement, the prefill, then the run. */
 export class StreamExchange {
-    private readonly sender: Sender;
+    private readonly sender: BackendSender;
     private readonly path: string[] = [];
     private readonly avoid: string[] = [];
     private runs = 0;
-    private turns = 0;
-    /** Times that the KV cache at hand was offered. */
-    private offers = 0;
-    private unreached = 0;
-    private readsAtDecode = false;
-    private readonly pass: StreamPass;
-    private readonly arrivals: Arrivals;
-    private read: ReadPrompt | undefined;
+    private rounds = 0;
+    /** Number of engines that the current KV cache was offered to. */
+    private cacheOffers = 0;
+    private connectionFailures = 0;
+    private prefillsAtDecode = false;
+    private readonly relay: StreamRelay;
+    private readonly retryCharges: RetryCharges;
+    private prompt: PrefilledPrompt | undefined;
 
     private constructor(
-        private readonly parts: ExchangeParts,
-        private readonly places: PlacesClient,
+        private readonly parts: ExchangeDependencies,
+        private readonly placementClient: PlacementClient,
         private readonly gateway: { readonly name: string; readonly failureDomain: string; },
         private readonly request: CallerRequest,
         private readonly service: ServiceRule,
     ) {
-        this.sender = Sender.create(parts);
-        this.arrivals = Arrivals.create(parts.repeats, service.name);
-        this.pass = StreamPass.create(request, () => {
-            places.prefilled(request.attempt);
+        this.sender = BackendSender.create(parts);
+        this.retryCharges = RetryCharges.create(parts.retryAllowance, service.name);
+        this.relay = StreamRelay.create(request, () => {
+            placementClient.prefilled(request.attempt);
             this.path.push(`first ${Math.round(request.age())}`);
         });
     }
 
     static create(
-        parts: ExchangeParts,
-        places: PlacesClient,
+        parts: ExchangeDependencies,
+        placementClient: PlacementClient,
         gateway: { readonly name: string; readonly failureDomain: string; },
         request: CallerRequest,
         service: ServiceRule,
     ): StreamExchange {
-        return new StreamExchange(parts, places, gateway, request, service);
+        return new StreamExchange(parts, placementClient, gateway, request, service);
     }
 
-    /** Engines asked and what they did, for the log. */
+    /** Engines that were used, with their results, for the log. */
     trace(): readonly string[] {
         return this.path;
     }
 
-    /** Drives the request to its end. */
+    /** Processes the request until it is answered, refused or failed. */
     async run(): Promise<void> {
         const { parts, request } = this;
-        parts.repeats.request(this.service.name);
+        parts.retryAllowance.request(this.service.name);
         try {
             while (!request.isGone() && request.outcome() === undefined) {
-                await this.turn();
+                await this.round();
             }
         }
         finally {
-            this.dropRead();
+            this.dropPrompt();
         }
     }
 
-    private async turn(): Promise<void> {
-        const { request, places } = this;
-        if (this.refuseHeld()) {
+    private async round(): Promise<void> {
+        const { request, placementClient } = this;
+        if (this.refuseIfQuarantined()) {
             return;
         }
-        this.turns += 1;
+        this.rounds += 1;
         const placedAt = this.now();
-        const place = await places.reserve(
-            placeDemand(request, this.service.name, this.gateway, this.avoid, this.parts.links.stalls(placedAt)),
-            request.gone.signal,
+        const grantOrRefusal = await placementClient.requestPlacement(
+            placementRequest(request, this.service.name, this.gateway, this.avoid, this.parts.links.stalls(placedAt)),
+            request.disconnected.signal,
         );
-        if (place === undefined) {
+        if (grantOrRefusal === undefined) {
             return;
         }
-        if (place.kind === "refused") {
+        if (grantOrRefusal.kind === "refused") {
             this.path.push(`refused ${Math.round(this.now() - placedAt)}`);
-            this.refuse(place.comeBackIn, place.reason);
+            this.refuse(grantOrRefusal.comeBackIn, grantOrRefusal.reason);
             return;
         }
-        this.path.push(`placed ${place.by} ${Math.round(this.now() - placedAt)}`);
-        places.release(place.attempt, await this.use(place));
+        this.path.push(`placed ${grantOrRefusal.by} ${Math.round(this.now() - placedAt)}`);
+        placementClient.release(grantOrRefusal.attempt, await this.useGrant(grantOrRefusal));
     }
 
-    /** Uses a place up. */
-    private async use(place: Place): Promise<PlaceEnd> {
+    /** Uses a placement for the prefill and the run; returns what to report on its release. */
+    private async useGrant(grant: PlacementGrant): Promise<PlaceEnd> {
         const { instances } = this.parts;
-        await untilKnown(this.parts, place, () => this.request.isGone());
-        const decode = instances.get(place.decode);
-        const prefill = place.prefill === undefined ? undefined : instances.get(place.prefill);
-        if (decode === undefined || (place.prefill !== undefined && prefill === undefined)) {
-            const missing = decode === undefined ? place.decode : place.prefill!;
-            this.again(missing, "an engine that has gone was placed");
+        await awaitEngines(this.parts, grant, () => this.request.isGone());
+        const decode = instances.get(grant.decode);
+        const prefill = grant.prefill === undefined ? undefined : instances.get(grant.prefill);
+        if (decode === undefined || (grant.prefill !== undefined && prefill === undefined)) {
+            const missing = decode === undefined ? grant.decode : grant.prefill!;
+            this.retryElsewhere(missing, "the placed engine has gone");
             return { failed: missing };
         }
-        if (this.refuseHeld()) {
+        if (this.refuseIfQuarantined()) {
             return {};
         }
-        const reader = this.hasFreshRead() || this.readsAtDecode ? undefined : prefill;
-        const arrivals = await this.arrivals.begin(reader !== undefined);
-        if (arrivals === undefined) {
-            this.refuse(turnedAwayComeBack, noRepeatLeft);
+        const prefillEngine = this.hasUsablePrompt() || this.prefillsAtDecode ? undefined : prefill;
+        const reports = await this.retryCharges.begin(prefillEngine !== undefined);
+        if (reports === undefined) {
+            this.refuse(rejectedRetryAfterMilliseconds, noRetryLeft);
             return {};
         }
-        if (!this.hasFreshRead()) {
-            this.dropRead();
+        if (!this.hasUsablePrompt()) {
+            this.dropPrompt();
         }
-        const unread = reader === undefined
+        const prefillFailure = prefillEngine === undefined
             ? undefined
-            : await this.readPrompt(reader, place.readingWithin, arrivals.read);
-        if (unread !== undefined || this.request.isGone() || this.refuseHeld()) {
-            arrivals.run("unreached");
-            return unread ?? {};
+            : await this.prefillAt(prefillEngine, grant.readingWithin, reports.reportPrefill);
+        if (prefillFailure !== undefined || this.request.isGone() || this.refuseIfQuarantined()) {
+            reports.reportRun("unreached");
+            return prefillFailure ?? {};
         }
-        return this.runAt(decode, arrivals.run);
+        return this.runAt(decode, reports.reportRun);
     }
 
     /**
-     * Has the prompt read. Gives how the place ended where it wasn't: the engine is to blame unless the caller left or
-     * nothing was sent. An engine that is blamed gets no work for a while, and many callers leave just in a burst.
+     * Runs the prefill; on failure, returns what to report on the placement's release. The engine counts as failed unless the
+     * caller disconnected. A failed engine gets no work for a while, and many callers disconnect during a burst.
      */
-    private async readPrompt(
+    private async prefillAt(
         prefill: Announced,
         forecast: number | undefined,
-        arrive: ArrivalEnd,
+        reportPrefill: ReportSendOutcome,
     ): Promise<PlaceEnd | undefined> {
-        const { request, parts, places } = this;
+        const { request, parts, placementClient } = this;
         const startedAt = this.now();
-        const limit = TimeLimit.create(parts.clock, readingLimit(request, forecast), request.gone.signal);
+        const limit = TimeLimit.create(parts.clock, prefillTimeout(request, forecast), request.disconnected.signal);
         try {
             const sent = await this.sender.send(request, prefill, this.service, { prefillOnly: true }, limit.signal);
             const handle = sent.kind === "answer" && sent.answer.status === 200
-                ? parts.wire.prefilled((await wholeBody(sent.answer, shortAnswerLimit))?.toString("utf8") ?? "")
+                ? parts.wire.prefilled((await wholeBody(sent.answer, maxShortAnswerBytes))?.toString("utf8") ?? "")
                 : undefined;
             this.path.push(`read ${prefill.id} ${handle === undefined ? "failed" : "done"} ${this.since(startedAt)}`);
             if (handle !== undefined) {
-                this.read = { engine: prefill, handle, readAt: this.now() };
-                this.offers = 0;
-                places.prefilled(request.attempt);
+                this.prompt = { engine: prefill, handle, prefilledAt: this.now() };
+                this.cacheOffers = 0;
+                placementClient.prefilled(request.attempt);
                 return undefined;
             }
             if (sent.kind === "unknown" && !request.isGone()) {
                 void parts.crashes.lost(request, prefill, "early");
             }
             const unreached = sent.kind === "notRun" && sent.unreachable;
-            arrive(unreached ? "unreached" : handle === undefined ? "counted" : "read");
-            this.noteUnreached(unreached);
+            reportPrefill(unreached ? "unreached" : handle === undefined ? "counted" : "read");
+            this.discountFailedConnection(unreached);
             if (request.isGone()) {
                 return {};
             }
             const cause = sent.kind === "answer" ? `status ${sent.answer.status}` : sent.cause;
-            this.again(prefill.id, `the prompt wasn't read: ${cause}`);
+            this.retryElsewhere(prefill.id, `the prefill failed: ${cause}`);
             return { failed: prefill.id };
         }
         finally {
-            limit.end();
+            limit.clear();
         }
     }
 
-    private async runAt(decode: Announced, arrive: ArrivalEnd): Promise<PlaceEnd> {
+    private async runAt(decode: Announced, reportRun: ReportSendOutcome): Promise<PlaceEnd> {
         const startedAt = this.now();
-        const eventsBefore = this.pass.events();
+        const eventsBefore = this.relay.events();
         const end = await this.runOnce(decode);
         const unreached = end.kind === "turnedAway" && end.unreachable;
-        arrive(unreached ? "unreached" : "counted");
-        this.noteUnreached(unreached);
+        reportRun(unreached ? "unreached" : "counted");
+        this.discountFailedConnection(unreached);
         const cause = "cause" in end ? ` (${end.cause})` : "";
         this.path.push(`run ${decode.id} ${end.kind} ${this.since(startedAt)}${cause}`);
         if (this.request.isGone()) {
@@ -216,138 +216,137 @@
             case "failureGiven":
                 return {};
             case "turnedAway":
-                return this.turnedAway(decode, end);
+                return this.afterRejection(decode, end);
             case "lost":
                 void this.parts.crashes.lost(
                     this.request,
                     decode,
-                    this.pass.events() === eventsBefore ? "early" : "late",
+                    this.relay.events() === eventsBefore ? "early" : "late",
                 );
                 this.runs += 1;
-                this.read = undefined;
-                this.resume(decode.id, end.cause);
-                // One broken stream says little of its engine; one that is gone refuses the next connection.
+                this.prompt = undefined;
+                this.resumeElsewhere(decode.id, end.cause);
+                // One broken stream is little evidence against its engine; if it is gone, the next connection will fail.
                 return {};
         }
     }
 
     /**
-     * Goes on after an engine turned the run away. The prompt's KV cache is offered to one more engine; turned away there
-     * too, the next engine reads the prompt itself: reading it elsewhere first would waste as much again where caches
-     * lapse.
+     * Continues after an engine rejected the run. The prompt's KV cache is offered to one more engine. If that rejects it
+     * too, the next decode engine runs the prefill itself: a separate prefill would waste as much again if caches expire.
      */
-    private turnedAway(decode: Announced, end: Extract<RunEnd, { kind: "turnedAway"; }>): PlaceEnd {
-        const { read } = this;
-        this.again(decode.id, end.cause);
+    private afterRejection(decode: Announced, end: Extract<RunEnd, { kind: "turnedAway"; }>): PlaceEnd {
+        const { prompt } = this;
+        this.retryElsewhere(decode.id, end.cause);
         if (end.unreachable) {
             return { failed: decode.id };
         }
-        if (read === undefined) {
+        if (prompt === undefined) {
             return { turnedAwayBy: decode.id };
         }
-        this.offers += 1;
-        if (this.offers >= mostOffers) {
-            this.dropRead();
-            this.readsAtDecode = true;
+        this.cacheOffers += 1;
+        if (this.cacheOffers >= maxCacheOffers) {
+            this.dropPrompt();
+            this.prefillsAtDecode = true;
         }
-        return { turnedAwayBy: decode.id, readBy: read.engine.id };
+        return { turnedAwayBy: decode.id, readBy: prompt.engine.id };
     }
 
     private async runOnce(decode: Announced): Promise<RunEnd> {
-        const { request, read, pass, parts } = this;
-        const limit = TimeLimit.create(parts.clock, request.left(), request.gone.signal);
-        const cancelHead = this.mayMove() ? parts.clock.after(headPatience, () => limit.cut()) : undefined;
+        const { request, prompt, relay, parts } = this;
+        const limit = TimeLimit.create(parts.clock, request.left(), request.disconnected.signal);
+        const clearHead = this.canResume() ? parts.clock.after(headLimitMilliseconds, () => limit.expire()) : undefined;
         try {
             const sent = await this.sender.send(request, decode, this.service, {
-                ...read === undefined ? {} : { source: { address: read.engine.address, handle: read.handle } },
-                ...pass.lastEvent() === undefined ? {} : { resumeAfter: String(pass.lastEvent()) },
+                ...prompt === undefined ? {} : { source: { address: prompt.engine.address, handle: prompt.handle } },
+                ...relay.lastEvent() === undefined ? {} : { resumeAfter: String(relay.lastEvent()) },
             }, limit.signal);
-            cancelHead?.();
+            clearHead?.();
             if (sent.kind === "notRun") {
                 return { kind: "turnedAway", cause: sent.cause, unreachable: sent.unreachable };
             }
-            this.read = undefined;
+            this.prompt = undefined;
             if (sent.kind === "unknown") {
                 return { kind: "lost", cause: sent.cause };
             }
             const { answer, facts } = sent;
-            if (answer.status >= firstFailure) {
-                return await this.passFailure(answer);
+            if (answer.status >= minFailureStatus) {
+                return await this.forwardFailure(answer);
             }
             if (!facts.sealed) {
                 discard(answer);
-                return { kind: "lost", cause: "an answer without its seal" };
+                return { kind: "lost", cause: "the answer has no seal" };
             }
             return await this.stream(decode, answer, limit.signal);
         }
         finally {
-            cancelHead?.();
-            limit.end();
+            clearHead?.();
+            limit.clear();
         }
     }
 
-    /** Whether the run may be made again at another engine if this one is lost. */
-    private mayMove(): boolean {
+    /** Whether the run may be resumed on another engine if this one is lost. */
+    private canResume(): boolean {
         const { route } = this.request;
         return route.resumable && this.runs + 1 < route.attempts;
     }
 
-    /** Passes the engine's own failure on, unless a part of an answer was given already or it could be taken for a promise. */
-    private async passFailure(answer: BackendAnswer): Promise<RunEnd> {
-        const body = await wholeBody(answer, shortAnswerLimit);
+    /** Forwards the engine's error, unless the answer has begun or the status would guarantee that the request didn't run. */
+    private async forwardFailure(answer: BackendAnswer): Promise<RunEnd> {
+        const body = await wholeBody(answer, maxShortAnswerBytes);
         const { status } = answer;
-        const promises = status === 503 || status === 429 || status === 408 || status === 421;
-        if (body === undefined || promises || this.request.hasBegun()) {
+        const claimsNotRun = status === 503 || status === 429 || status === 408 || status === 421;
+        if (body === undefined || claimsNotRun || this.request.hasBegun()) {
             return { kind: "lost", cause: `the engine answered ${status}` };
         }
-        this.request.give(answer, body);
+        this.request.sendAnswer(answer, body);
         return { kind: "failureGiven" };
     }
 
     private async stream(decode: Announced, answer: BackendAnswer, signal: AbortSignal): Promise<RunEnd> {
-        const { request, pass, parts } = this;
+        const { request, relay, parts } = this;
         const pauses = PauseWatch.create();
         const onBytes = (): void => parts.links.event(decode, pauses.event(this.now()), this.now());
-        const end = await pass.pass(answer, this.mayMove() ? silenceLimit : undefined, signal, onBytes);
+        const end = await relay.forward(answer, this.canResume() ? idleLimitMilliseconds : undefined, signal, onBytes);
         if (pauses.longest() > (request.route.gap ?? Number.POSITIVE_INFINITY)) {
             this.path.push(`pause ${Math.round(pauses.longest())}`);
         }
         if (end.kind === "broken") {
             return { kind: "lost", cause: end.cause };
         }
-        request.finish();
+        request.finishStream();
         if (answer.framed) {
             parts.crashes.answered(request);
         }
         else {
-            // It ended with its connection: nobody can tell whether its engine ended it, or ended itself.
+            // The answer ended with its connection: a regular end and a crash of the engine look the same.
             void parts.crashes.lost(request, decode, "late");
         }
         return { kind: "done" };
     }
 
-    /** Another engine is asked: nothing has run at this one. */
-    private again(engine: string, cause: string): void {
+    /** Excludes an engine that has run nothing, and refuses the request if no further round is possible. */
+    private retryElsewhere(engine: string, cause: string): void {
         const { request } = this;
         this.avoid.push(engine);
-        if (this.turns >= mostTurns || request.left() < leastTime) {
-            this.refuse(turnedAwayComeBack, cause);
+        if (this.rounds >= maxRounds || request.left() < minAnswerMilliseconds) {
+            this.refuse(rejectedRetryAfterMilliseconds, cause);
         }
     }
 
-    /** A run broke off: it goes on elsewhere where its route allows it, else its caller is told. */
-    private resume(engine: string, cause: string): void {
+    /** Excludes the engine of a lost run, and fails the request if its route or its time doesn't allow it to be resumed. */
+    private resumeElsewhere(engine: string, cause: string): void {
         const { request } = this;
         const { route } = request;
         this.avoid.push(engine);
-        const mayRun = route.resumable && this.runs < route.attempts && this.turns < mostTurns;
-        if (!mayRun || request.left() < leastTime) {
-            request.fail(request.left() < leastTime ? 504 : 502, cause);
+        const mayRun = route.resumable && this.runs < route.attempts && this.rounds < maxRounds;
+        if (!mayRun || request.left() < minAnswerMilliseconds) {
+            request.fail(request.left() < minAnswerMilliseconds ? 504 : 502, cause);
         }
     }
 
-    private refuseHeld(): boolean {
-        return refuseHeld(this.parts, this.request, this.runs > 0, this.path);
+    private refuseIfQuarantined(): boolean {
+        return refuseQuarantined(this.parts, this.request, this.runs > 0, this.path);
     }
 
     private refuse(comeBackIn: number, cause: string): void {
@@ -360,27 +359,27 @@
         }
     }
 
-    private hasFreshRead(): boolean {
-        const life = (this.service.engine?.handleLife ?? 0) * handleLifePart;
-        return this.read !== undefined && this.now() - this.read.readAt < life;
+    private hasUsablePrompt(): boolean {
+        const maxAgeMilliseconds = (this.service.engine?.handleLife ?? 0) * handleLifeFraction;
+        return this.prompt !== undefined && this.now() - this.prompt.prefilledAt < maxAgeMilliseconds;
     }
 
-    private dropRead(): void {
-        const { read, parts } = this;
-        this.read = undefined;
-        if (read !== undefined) {
-            freePrompt(parts, this.service, read);
+    private dropPrompt(): void {
+        const { prompt, parts } = this;
+        this.prompt = undefined;
+        if (prompt !== undefined) {
+            freePromptCache(parts, this.service, prompt);
         }
     }
 
     /**
-     * An engine that can't be connected to has seen nothing, and costs no turn. When a quarter of the
-     * engines crash at once, a request may meet several of them before word of it has come.
+     * A failed connection doesn't count as a round, since the engine has received nothing. When a quarter of the engines crash
+     * at once, a request may be placed on several of them before their end is reported.
      */
-    private noteUnreached(unreached: boolean): void {
+    private discountFailedConnection(unreached: boolean): void {
         if (unreached) {
-            this.unreached += 1;
-            this.turns -= this.unreached <= mostUnreached ? 1 : 0;
+            this.connectionFailures += 1;
+            this.rounds -= this.connectionFailures <= maxFreeConnectionFailures ? 1 : 0;
         }
     }
 
--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/gateway/streamRelay.ts
@@ -0,0 +1,125 @@
+import { type BackendAnswer, discard } from "../backends/index.js";
+import type { CallerRequest } from "./callerRequest.js";
+import { type CompleteEvent, EventSplitter } from "./eventSplitter.js";
+
+/** How forwarding the events of one run ended. */
+export type RelayEnd =
+    | { readonly kind: "whole"; }
+    /** The stream was cut off, or sent events out of order. */
+    | { readonly kind: "broken"; readonly cause: string; };
+
+/** Forwards the events of one answer, which may come from several consecutive runs. */
+export class StreamRelay {
+    private lastEventNumber: number | undefined;
+    private eventCount = 0;
+
+    private constructor(private readonly request: CallerRequest, private readonly onFirst: () => void) {}
+
+    /** `onFirst`: called on the first event of the answer. */
+    static create(request: CallerRequest, onFirst: () => void): StreamRelay {
+        return new StreamRelay(request, onFirst);
+    }
+
+    /** Number of the last numbered event that was forwarded to the caller; undefined before the first. */
+    lastEvent(): number | undefined {
+        return this.lastEventNumber;
+    }
+
+    /** Number of events that were forwarded to the caller, over all runs. */
+    events(): number {
+        return this.eventCount;
+    }
+
+    /**
+     * Forwards a run's events as they arrive. `idleTimeoutMilliseconds`: time without a byte after which the run is aborted;
+     * undefined if there is no alternative to waiting. `onBytes`: called for each chunk that is received.
+     */
+    async forward(
+        answer: BackendAnswer,
+        idleTimeoutMilliseconds: number | undefined,
+        signal: AbortSignal,
+        onBytes: () => void,
+    ): Promise<RelayEnd> {
+        const { request } = this;
+        if (!request.hasBegun()) {
+            request.beginStream(answer);
+        }
+        const splitter = EventSplitter.create();
+        const idle = IdleTimeout.create(answer, idleTimeoutMilliseconds);
+        try {
+            for await (const chunk of answer.body as AsyncIterable<Buffer>) {
+                idle.received();
+                onBytes();
+                for (const event of splitter.push(chunk)) {
+                    await this.forwardEvent(event);
+                }
+                if (request.isGone()) {
+                    break;
+                }
+            }
+        }
+        catch (error) {
+            discard(answer);
+            const cause = idle.timedOut ? "the engine stopped sending" : String((error as Error).message);
+            return { kind: "broken", cause: signal.aborted ? "the request timed out" : cause };
+        }
+        finally {
+            idle.end();
+        }
+        if (request.isGone()) {
+            discard(answer);
+            return { kind: "broken", cause: "the caller disconnected" };
+        }
+        return splitter.pending() > 0
+            ? { kind: "broken", cause: "the stream ended within an event" }
+            : { kind: "whole" };
+    }
+
+    private async forwardEvent({ bytes, id }: CompleteEvent): Promise<void> {
+        if (id !== undefined && this.lastEventNumber !== undefined) {
+            // A resumed run may begin with events that the caller already has.
+            if (id <= this.lastEventNumber) {
+                return;
+            }
+            if (id !== this.lastEventNumber + 1) {
+                throw new RangeError(`event ${id} follows event ${this.lastEventNumber}`);
+            }
+        }
+        this.lastEventNumber = id ?? this.lastEventNumber;
+        this.eventCount += 1;
+        if (this.eventCount === 1) {
+            this.onFirst();
+        }
+        await this.request.write(bytes);
+    }
+}
+
+/** Aborts an answer whose stream is idle for too long: a host that is gone doesn't close its connections. */
+class IdleTimeout {
+    timedOut = false;
+    private receivedAt = performance.now();
+    private readonly timer: NodeJS.Timeout | undefined;
+
+    private constructor(answer: BackendAnswer, limit: number | undefined) {
+        if (limit !== undefined) {
+            this.timer = setInterval(() => {
+                if (performance.now() - this.receivedAt > limit) {
+                    this.timedOut = true;
+                    discard(answer);
+                }
+            }, limit / 4);
+        }
+    }
+
+    static create(answer: BackendAnswer, limit: number | undefined): IdleTimeout {
+        return new IdleTimeout(answer, limit);
+    }
+
+    received(): void {
+        this.receivedAt = performance.now();
+    }
+
+    end(): void {
+        clearInterval(this.timer);
+    }
+}
--- a/packages/basilpaddle/src/node/daemon/gateway/timeLimit.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/timeLimit.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "../../utils/index.js";
 
-/** Aborts when its time is up or when what it belongs to is aborted, whichever comes first. */
+/** An abort signal that fires after a timeout or when its parent signal aborts, whichever comes first. */
 export class TimeLimit {
     private readonly controller = new AbortController();
     private readonly abort = (): void => this.controller.abort();
@@ -22,13 +22,13 @@
         return this.controller.signal;
     }
 
-    /** Ends the time now. */
-    cut(): void {
+    /** Aborts the signal now. */
+    expire(): void {
         this.abort();
     }
 
-    /** Takes the limit off; to be called however its work ends. */
-    end(): void {
+    /** Removes the timer and the listener; always call it when the work has ended, also after an error. */
+    clear(): void {
         this.cancel();
         this.parent.removeEventListener("abort", this.abort);
     }
