--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/callers.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/callers.spec.ts
@@ -2,10 +2,10 @@
 import * as net from "node:net";
 import { type Stage } from "../../../../../../../simulation/requests/fakes.js";
 import { until } from "../../../../../../../simulation/until.js";
-import { Bench, chatBody, replyOf, streamedText } from "./bench.js";
+import { chatBody, EntryHarness, replyOf, streamedText } from "./entryHarness.js";
 
-/** Sends bytes over a bare connection and gives all that comes back until it ends. */
-function raw(port: number, bytes: string): Promise<string> {
+/** Sends bytes over a TCP connection and returns everything received until it closes. */
+function sendRaw(port: number, bytes: string): Promise<string> {
     return new Promise((resolve, reject) => {
         const socket = net.connect({ host: "127.0.0.1", port }, () => socket.write(bytes));
         let got = "";
@@ -18,10 +18,10 @@
 }
 
 describe("callers of an entry daemon", () => {
-    let bench: Bench;
+    let harness: EntryHarness;
 
     beforeEach(async () => {
-        bench = await Bench.create({
+        harness = await EntryHarness.create({
             bodyBytes: 100_000,
             receiveTimeout: 300,
             stalledReader: 200,
@@ -30,46 +30,46 @@
     });
 
     afterEach(async () => {
-        await bench.daemon.close();
+        await harness.daemon.close();
     });
 
-    /** What an engine still holds beyond results that evict themselves. */
-    function decodeHeld(): number {
-        return bench.engine("d1").holds.size + bench.engine("d2").holds.size + bench.placement.reserved.size;
+    /** Reservations and decode attempts that are still held; engines evict prefill results by themselves. */
+    function heldDecodes(): number {
+        return harness.engine("d1").holds.size + harness.engine("d2").holds.size + harness.placement.reserved.size;
     }
 
-    async function goAt(arrive: (proceed: () => void) => void, headers: object = {}): Promise<void> {
-        const request = bench.open("/v1/chat/completions", { ...headers });
+    async function disconnectAt(onReached: (proceed: () => void) => void, headers: object = {}): Promise<void> {
+        const request = harness.open("/v1/chat/completions", { ...headers });
         request.on("error", () => undefined);
         request.on("response", response => response.on("error", () => undefined).resume());
-        const arrived = new Promise<void>(arrive);
+        const reached = new Promise<void>(onReached);
         request.end(JSON.stringify(chatBody({ stream: true })));
-        await arrived;
+        await reached;
         request.destroy();
-        await until("request ended", () => bench.daemon.openRequests() === 0);
-        await until("everything freed", () => decodeHeld() === 0);
+        await until("request ended", () => harness.daemon.openRequests() === 0);
+        await until("everything freed", () => heldDecodes() === 0);
     }
 
-    it("leave nothing held when they go while queued", async () => {
-        // Symptom: a slot stayed reserved for a caller who had gone. Events: the caller goes while its demand waits in
-        // the queue. Cause: the queue wasn't told.
-        await goAt(proceed => {
-            bench.placement.queue = signal => {
+    it("leave nothing held when they disconnect while queued", async () => {
+        // Failure: a slot stayed reserved for a caller that had disconnected while its request was queued, since the
+        // queue wasn't notified.
+        await disconnectAt(proceed => {
+            harness.placement.queue = signal => {
                 proceed();
                 return new Promise(resolve => signal.addEventListener("abort", () => resolve()));
             };
         });
-        expect(bench.engine("p1").ran).to.deep.equal([]);
+        expect(harness.engine("p1").ran).to.deep.equal([]);
     });
 
     for (const stage of ["prefill", "import", "decode"] as const satisfies readonly Stage[]) {
-        it(`leave nothing held when they go during ${stage}, though the first cancel gets lost`, async () => {
-            // Symptom: decode memory stayed held for an agent who had closed the screen. Events: the caller goes
-            // during this stage, the engine goes on, and the cancel gets lost. Cause: the cancel was sent once.
-            const engine = bench.engine(stage === "prefill" ? "p1" : "d1");
+        it(`leave nothing held when they disconnect during ${stage} and the first cancel is lost`, async () => {
+            // Failure: decode memory stayed held for a caller that had disconnected during this stage. The engine keeps
+            // running and the cancel is lost, and the cancel was sent only once.
+            const engine = harness.engine(stage === "prefill" ? "p1" : "d1");
             engine.faults[stage].push("hang");
             engine.lostCancels = 1;
-            await goAt(proceed => {
+            await disconnectAt(proceed => {
                 engine.begun = begun => begun === stage && proceed();
             });
             await until("engine freed", () => engine.holds.size === 0);
@@ -77,30 +77,30 @@
         });
     }
 
-    it("that stop reading are cancelled, and the engine is read no further meanwhile", async () => {
-        // Symptom: the daemon's memory grew, and an engine stayed busy for a caller who read nothing. Events: the
-        // caller keeps its connection open and stops reading. Cause: tokens were buffered without bound.
-        const engine = bench.engine("d1");
+    it("that stop reading are cancelled, and reading from the engine is paused meanwhile", async () => {
+        // Failure: the daemon's memory grew and an engine stayed busy for a caller that keeps its connection open but
+        // stops reading, since tokens were buffered without a limit.
+        const engine = harness.engine("d1");
         engine.tokens = Array.from({ length: 4_000 }, () => "x".repeat(4_000));
         let sent = 0;
         engine.beat = async () => {
             sent++;
             await new Promise(resolve => setImmediate(resolve));
         };
-        const request = bench.open("/v1/chat/completions", {});
+        const request = harness.open("/v1/chat/completions", {});
         request.on("error", () => undefined);
         request.on("response", response => response.pause());
         request.end(JSON.stringify(chatBody({ stream: true })));
-        await until("cancelled", () => engine.cancels > 0 && decodeHeld() === 0);
+        await until("cancelled", () => engine.cancels > 0 && heldDecodes() === 0);
         expect(sent).to.be.below(4_000);
         request.destroy();
     });
 
-    it("never take a cut stream for a whole one", async () => {
-        // Symptom: half a notice was read as the whole. Events: the engine fails after tokens went out.
-        // Cause: the stream was ended as if it were complete.
-        bench.engine("d1").faults.decode.push("cut", "fail");
-        const reply = await bench.chat({ stream: true }, {
+    it("can tell a truncated stream from a complete one", async () => {
+        // Failure: half an answer was taken for a complete one. The engine fails after tokens were sent, and the stream
+        // was ended as if it were complete.
+        harness.engine("d1").faults.decode.push("cut", "fail");
+        const reply = await harness.chat({ stream: true }, {
             "idempotency-key": "k",
             "basilpaddle-non-idempotent": "true",
         });
@@ -110,30 +110,30 @@
         expect(reply.broken).to.equal(true);
     });
 
-    it("don't keep a drain from ending by not reading an answer that is whole", async () => {
-        // Symptom: a daemon that was told to end never did. Events: an answer is written whole, its caller keeps the
-        // connection open and reads nothing. Cause: only answers still in the making had a limit.
-        bench.engine("d1").tokens = Array.from({ length: 5 }, () => "x".repeat(4_000_000));
-        const request = bench.open("/v1/chat/completions", {});
+    it("can't block a drain by not reading a complete answer", async () => {
+        // Failure: a daemon never finished its shutdown. An answer is written completely, its caller keeps the connection
+        // open and doesn't read; the timeout applied only to answers that were still being generated.
+        harness.engine("d1").tokens = Array.from({ length: 5 }, () => "x".repeat(4_000_000));
+        const request = harness.open("/v1/chat/completions", {});
         request.on("error", () => undefined);
         request.on("response", response => response.on("error", () => undefined).pause());
         request.end(JSON.stringify(chatBody()));
-        await until("decoded", () => bench.placement.told.some(progress => progress.stage === "finished"));
-        expect(bench.daemon.openRequests()).to.equal(1);
-        await bench.daemon.close();
-        expect(bench.daemon.openRequests()).to.equal(0);
+        await until("decoded", () => harness.placement.told.some(progress => progress.stage === "finished"));
+        expect(harness.daemon.openRequests()).to.equal(1);
+        await harness.daemon.close();
+        expect(harness.daemon.openRequests()).to.equal(0);
     });
 
-    it("get a final answer at their deadline", async () => {
-        bench.engine("p1").faults.prefill.push("hang");
-        const reply = await bench.chat({}, { "basilpaddle-deadline-ms": "50" });
+    it("get a final answer when their deadline expires", async () => {
+        harness.engine("p1").faults.prefill.push("hang");
+        const reply = await harness.chat({}, { "basilpaddle-deadline-ms": "50" });
         expect(reply.status).to.equal(504);
         expect(JSON.parse(reply.body).error).to.include({ code: "deadlineExceeded", outcome: "unknown" });
     });
 
-    it("can't loosen what a route marks", async () => {
+    it("can't override a route that is marked as non-idempotent", async () => {
         const headers = { "basilpaddle-organisation": "letters", "basilpaddle-non-idempotent": "false" };
-        const reply = await bench.chat({}, headers);
+        const reply = await harness.chat({}, headers);
         expect(reply.status).to.equal(400);
         expect(JSON.parse(reply.body).error).to.include({ code: "keyMissing", outcome: "not_run" });
     });
@@ -151,7 +151,7 @@
         ["an unknown path", "/v2", {}, {}, 404, "unknownRoute"],
         ["a wrong method", "/v1/models", {}, {}, 405, "methodNotAllowed"],
         ["a body that is too large", "/v1/completions", "x".repeat(3_000_000), {}, 413, "bodyTooLarge"],
-        ["a deadline of nought", "/v1/completions", {}, { "basilpaddle-deadline-ms": "0" }, 400, "badRequest"],
+        ["a deadline of zero", "/v1/completions", {}, { "basilpaddle-deadline-ms": "0" }, 400, "badRequest"],
         [
             "an organisation that isn't a name",
             "/v1/completions",
@@ -162,7 +162,7 @@
         ],
         ["a key given twice", "/v1/completions", {}, { "idempotency-key": ["a", "b"] }, 400, "badRequest"],
         [
-            "a mark that is neither",
+            "an invalid non-idempotent header",
             "/v1/completions",
             {},
             { "basilpaddle-non-idempotent": "maybe", ...key },
@@ -179,20 +179,20 @@
         ],
     ];
     for (const [name, path, body, headers, status, code] of bad) {
-        it(`get a clear refusal of ${name}, and the daemon goes on`, async () => {
-            const request = bench.open(path, headers as Record<string, string>);
+        it(`get a specific refusal of ${name}, and the daemon keeps working`, async () => {
+            const request = harness.open(path, headers as Record<string, string>);
             const reply = replyOf(request);
             request.end(Buffer.isBuffer(body) || typeof body === "string" ? body : JSON.stringify(body));
-            const { status: got, body: text, headers: told } = await reply;
+            const { status: got, body: text, headers: replyHeaders } = await reply;
             expect(got).to.equal(status);
             expect(JSON.parse(text).error).to.include({ code, outcome: "not_run" });
-            expect(told["basilpaddle-outcome"]).to.equal("not_run");
-            expect((await bench.chat()).status).to.equal(200);
+            expect(replyHeaders["basilpaddle-outcome"]).to.equal("not_run");
+            expect((await harness.chat()).status).to.equal(200);
         });
     }
 
-    it("that send in chunks without end, slowly, or no HTTP at all are let go", async () => {
-        const port = bench.daemon.callerPort();
+    it("that send slowly, never complete a request or send malformed HTTP are refused", async () => {
+        const port = harness.daemon.callerPort();
         const head = "POST /v1/completions HTTP/1.1\r\nhost: a\r\n";
         const cases: readonly [string, string][] = [
             [`${head}content-length: 10\r\n\r\n{`, "requestTimeout"],
@@ -202,9 +202,9 @@
             ["\u0001\u0002\u0003\r\n\r\n", "badRequest"],
             ["POST /v1/completions HTTP/1.1\r\nhost: a", "requestTimeout"],
         ];
-        const answers = await Promise.all(cases.map(([bytes]) => raw(port, bytes)));
+        const answers = await Promise.all(cases.map(([bytes]) => sendRaw(port, bytes)));
         cases.forEach(([bytes, expected], place) => expect(answers[place], bytes).to.contain(expected));
-        expect((await bench.chat()).status).to.equal(200);
-        expect(bench.daemon.openRequests()).to.equal(0);
+        expect((await harness.chat()).status).to.equal(200);
+        expect(harness.daemon.openRequests()).to.equal(0);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/bench.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/entryHarness.ts
@@ -6,17 +6,17 @@
 import { createSilentLogger, SilentMetrics, SystemClock, SystemRandomness } from "../../../utils/index.js";
 import { EntryDaemon } from "../entryDaemon.js";
 
-/** An answer as a caller sees it. */
+/** An answer as received by a caller. */
 export type Reply = {
     readonly status: number;
     readonly headers: http.IncomingHttpHeaders;
     readonly body: string;
-    /** The connection broke before the end of the answer. */
+    /** Whether the connection failed before the end of the answer. */
     readonly broken: boolean;
 };
 
-/** One entry daemon on ports of the system's choice, with fakes for all that it talks to. */
-export class Bench {
+/** An entry daemon on ephemeral ports, with fakes for everything that it communicates with. */
+export class EntryHarness {
     private constructor(
         readonly daemon: EntryDaemon,
         readonly control: FakeControl,
@@ -24,23 +24,23 @@
         readonly engines: readonly FakeEngine[],
     ) {}
 
-    static async create(limits: object = {}, declaration: object = {}): Promise<Bench> {
+    static async create(limits: object = {}, declaration: object = {}): Promise<EntryHarness> {
         const engines = ["p1:prefill", "p2:prefill", "d1:decode", "d2:decode"].map(name => {
             const [id, role] = name.split(":") as [string, "prefill" | "decode"];
             return new FakeEngine(announcement(id, role));
         });
         const control = new FakeControl(viewOf(engines.map(engine => engine.announcement), declaration));
         const placement = new FakePlacement(engines);
-        const any = { host: "127.0.0.1", port: 0 };
+        const ephemeral = { host: "127.0.0.1", port: 0 };
         const daemon = await EntryDaemon.create({
             settings: entrySettingsSchema.parse({
                 role: "entry",
                 name: "entry-1",
                 failureDomain: "pocitos",
-                operators: any,
-                peers: any,
-                callers: any,
-                backends: any,
+                operators: ephemeral,
+                peers: ephemeral,
+                callers: ephemeral,
+                backends: ephemeral,
                 controls: [{ name: "control-1", host: "127.0.0.1", port: 1 }],
                 limits,
             }),
@@ -58,19 +58,19 @@
             logger: createSilentLogger(),
             metrics: SilentMetrics.create(),
         });
-        return new Bench(daemon, control, placement, engines);
+        return new EntryHarness(daemon, control, placement, engines);
     }
 
     engine(id: string): FakeEngine {
         return this.engines.find(engine => engine.announcement.id === id) as FakeEngine;
     }
 
-    /** Attempts that still hold something anywhere. */
-    held(): number {
+    /** Number of reservations and of attempts that engines still hold. */
+    heldAttempts(): number {
         return this.placement.reserved.size + this.engines.reduce((sum, engine) => sum + engine.holds.size, 0);
     }
 
-    /** Opens a request and leaves it to the test to send and to read it. */
+    /** Opens a request; the test sends its body and reads the answer. */
     open(path: string, headers: http.OutgoingHttpHeaders, port = this.daemon.callerPort()): http.ClientRequest {
         return http.request({ host: "127.0.0.1", port, path, method: "POST", headers, agent: false });
     }
@@ -97,7 +97,7 @@
     return { model: "draft", messages: [{ role: "user", content: "a dossier" }], ...fields };
 }
 
-/** The whole reply to a request; one that breaks off is marked as broken. */
+/** Reads the whole reply to a request; an incomplete reply is marked as broken. */
 export function replyOf(request: http.ClientRequest): Promise<Reply> {
     return new Promise((resolve, reject) => {
         request.on("error", reject);
@@ -113,7 +113,7 @@
     });
 }
 
-/** The text of a streamed answer. */
+/** Concatenates the text of a streamed answer. */
 export function streamedText(reply: Reply): string {
     return reply.body.split("\n\n")
         .filter(event => event.startsWith("data: {"))
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/services.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/services.spec.ts
@@ -3,13 +3,13 @@
 import type { AddressInfo } from "node:net";
 import { announcement, viewOf } from "../../../../../../../simulation/requests/fakes.js";
 import { until } from "../../../../../../../simulation/until.js";
-import { Bench, replyOf } from "./bench.js";
+import { EntryHarness, replyOf } from "./entryHarness.js";
 
 type Handler = (request: http.IncomingMessage, response: http.ServerResponse, body: string) => void;
 
-/** A fake plain service that notes what it carried out. */
+/** A fake plain service that records the calls that it executed. */
 class FakeService {
-    readonly carriedOut: string[] = [];
+    readonly executedCalls: string[] = [];
     readonly sockets = new Set<object>();
     handler: Handler = (_request, response) => response.end("done");
 
@@ -25,7 +25,7 @@
                 body += chunk;
             });
             request.on("end", () => {
-                service.carriedOut.push(`${request.method} ${request.url} ${body}`);
+                service.executedCalls.push(`${request.method} ${request.url} ${body}`);
                 service.handler(request, response, body);
             });
         });
@@ -43,35 +43,39 @@
     }
 }
 
-describe("plain services", () => {
-    let bench: Bench;
+describe("calls to plain services", () => {
+    let harness: EntryHarness;
     let service: FakeService;
 
     beforeEach(async () => {
         service = await FakeService.create();
-        bench = await Bench.create({}, { services: { policies: { pathPrefix: "/policies", timeout: 20_000 } } });
+        harness = await EntryHarness.create({}, {
+            services: { policies: { pathPrefix: "/policies", timeout: 20_000 } },
+        });
         announce({ one: service.url });
     });
 
     afterEach(async () => {
         await service.close();
-        await bench.daemon.close();
+        await harness.daemon.close();
     });
 
     function announce(urls: Record<string, string>): void {
-        const copies = Object.entries(urls).map(([id, url]) => announcement(id, "service", { url, pool: "policies" }));
-        bench.control.setView({ ...bench.control.view(), backends: viewOf(copies).backends });
+        const instances = Object.entries(urls).map(([id, url]) =>
+            announcement(id, "service", { url, pool: "policies" })
+        );
+        harness.control.setView({ ...harness.control.view(), backends: viewOf(instances).backends });
     }
 
-    function post(key: string, body = "{}"): ReturnType<Bench["send"]> {
-        return bench.send("/policies/1/cancel", body, { "idempotency-key": key });
+    function post(key: string, body = "{}"): ReturnType<EntryHarness["send"]> {
+        return harness.send("/policies/1/cancel", body, { "idempotency-key": key });
     }
 
     function errorOf(reply: { readonly body: string; }): { readonly code: string; readonly outcome: string; } {
         return JSON.parse(reply.body).error;
     }
 
-    it("are passed on both ways without the headers of a connection", async () => {
+    it("are forwarded in both directions without hop-by-hop headers", async () => {
         let got: http.IncomingHttpHeaders = {};
         service.handler = (request, response) => {
             got = request.headers;
@@ -79,7 +83,7 @@
         };
         const request = http.get({
             host: "127.0.0.1",
-            port: bench.daemon.callerPort(),
+            port: harness.daemon.callerPort(),
             path: "/policies/7?full=1",
             agent: false,
             headers: { te: "trailers", "x-own": "2" },
@@ -90,54 +94,54 @@
         expect(reply.headers).to.not.have.property("x-inner");
         expect(got).to.include({ "x-own": "2" });
         expect(got).to.not.have.property("te");
-        expect(service.carriedOut).to.deep.equal(["GET /policies/7?full=1 "]);
+        expect(service.executedCalls).to.deep.equal(["GET /policies/7?full=1 "]);
     });
 
-    it("are asked anew each time, and elsewhere where a copy refuses the connection", async () => {
+    it("aren't cached, and are retried at another instance if one refuses the connection", async () => {
         const dead = await FakeService.create();
         announce({ one: service.url, two: dead.url });
         await dead.close();
         for (let call = 0; call < 10; call++) {
-            expect((await bench.get("/policies/7")).status).to.equal(200);
+            expect((await harness.get("/policies/7")).status).to.equal(200);
         }
-        expect(service.carriedOut).to.have.length(10);
+        expect(service.executedCalls).to.have.length(10);
     });
 
-    it("refuse paths that two servers could read differently, and paths of no service", async () => {
-        expect(errorOf(await bench.get("/policies/../admin"))).to.include({ code: "badRequest" });
-        expect(errorOf(await bench.get("/policiesx"))).to.include({ code: "unknownRoute" });
+    it("are refused for ambiguous paths and for paths of no service", async () => {
+        expect(errorOf(await harness.get("/policies/../admin"))).to.include({ code: "badRequest" });
+        expect(errorOf(await harness.get("/policiesx"))).to.include({ code: "unknownRoute" });
     });
 
-    it("carry out a call that may not be repeated once, and give a repetition its answer", async () => {
-        expect(errorOf(await bench.send("/policies/1/cancel", "{}"))).to.include({ code: "keyMissing" });
+    it("run once if they aren't idempotent, and a retry with the same key is given the recorded answer", async () => {
+        expect(errorOf(await harness.send("/policies/1/cancel", "{}"))).to.include({ code: "keyMissing" });
         expect((await post("k")).body).to.equal("done");
         const again = await post("k");
         expect(again.body).to.equal("done");
         expect(again.headers).to.include({ "basilpaddle-replayed": "true" });
         expect(errorOf(await post("k", "[]"))).to.include({ code: "keyReused" });
-        expect(service.carriedOut).to.have.length(1);
+        expect(service.executedCalls).to.have.length(1);
     });
 
-    it("carry such a call out once where the connection breaks after it was sent", async () => {
-        // Symptom: a policy was cancelled twice. Events: the service takes the call on a kept-alive connection and
-        // closes it without an answer; the call is sent again. Cause: the reset was read as "not sent".
-        await bench.get("/policies/7");
+    it("run once if the connection fails after the call was sent", async () => {
+        // Failure: a policy was cancelled twice. The service receives the call on a kept-alive connection and closes it
+        // without an answer; the reset was interpreted as "not sent", and the call was sent again.
+        await harness.get("/policies/7");
         service.handler = request => request.socket.destroy();
         const reply = await post("k");
         expect(reply.status).to.equal(502);
         expect(errorOf(reply)).to.include({ code: "backendFailed", outcome: "unknown" });
         const again = await post("k");
         expect(errorOf(again)).to.include({ code: "outcomeUnknown", outcome: "unknown" });
-        expect(service.carriedOut.filter(call => call.startsWith("POST"))).to.have.length(1);
+        expect(service.executedCalls.filter(call => call.startsWith("POST"))).to.have.length(1);
     });
 
-    it("take no kept-alive connection for such a call", async () => {
-        await bench.get("/policies/7");
+    it("use a new connection if they aren't idempotent", async () => {
+        await harness.get("/policies/7");
         await post("k");
         expect(service.sockets.size).to.equal(2);
     });
 
-    it("free the key where it is proved that nothing was carried out", async () => {
+    it("release the key if it is certain that the call wasn't executed", async () => {
         await service.close();
         const refused = await post("k");
         expect(refused.status).to.equal(503);
@@ -153,42 +157,42 @@
         expect((await post("k")).body).to.equal("done");
     });
 
-    it("aren't taken to have refused a call by a 503 alone", async () => {
-        // Symptom: a call ran twice. Events: a service carries it out, and a part behind it answers 503; the caller
-        // is told "not run" and comes again. Cause: the status was read as a proof.
+    it("aren't reported as not_run for a 503 status alone", async () => {
+        // Failure: a call ran twice. A service executes it, and a component behind the service answers 503; the status
+        // was treated as proof, so the caller was told "not run" and retried.
         service.handler = (_request, response) => response.writeHead(503).end("upstream timed out");
         const reply = await post("k");
         expect(reply.status).to.equal(503);
         expect(reply.headers).to.include({ "basilpaddle-outcome": "unknown" });
         expect((await post("k")).headers).to.include({ "basilpaddle-replayed": "true" });
-        expect(service.carriedOut).to.have.length(1);
+        expect(service.executedCalls).to.have.length(1);
     });
 
-    it("finish such a call for a caller who has gone, and keep its answer", async () => {
-        // Symptom: a caller lost its connection, came again with its key, and got no answer for what was carried out.
-        // Events: the caller goes while the service works. Cause: the call was cut off with its caller.
+    it("finish after the caller has disconnected if they aren't idempotent, and their answer is recorded", async () => {
+        // Failure: a caller lost its connection, retried with its key, and got no answer for the executed call. The call
+        // was aborted when its caller disconnected while the service was working.
         let answer = () => {};
         service.handler = (_request, response) => {
             answer = () => void response.end("done late");
         };
-        const request = bench.open("/policies/1/cancel", { "idempotency-key": "k" });
+        const request = harness.open("/policies/1/cancel", { "idempotency-key": "k" });
         request.on("error", () => undefined);
         request.end("{}");
-        await until("carried out", () => service.carriedOut.length === 1);
+        await until("executed", () => service.executedCalls.length === 1);
         request.destroy();
         expect(errorOf(await post("k"))).to.include({ code: "runInProgress", outcome: "unknown" });
         answer();
-        await until("recorded", () => [...bench.control.runs.values()][0]?.state === "answered");
+        await until("recorded", () => [...harness.control.runs.values()][0]?.state === "answered");
         expect((await post("k")).body).to.equal("done late");
-        expect(service.carriedOut).to.have.length(1);
+        expect(service.executedCalls).to.have.length(1);
     });
 
-    it("don't make a cut answer look whole", async () => {
+    it("don't let a truncated answer look complete", async () => {
         service.handler = (_request, response) => {
             response.write("half");
             setImmediate(() => response.destroy());
         };
-        expect((await bench.get("/policies/7")).broken).to.equal(true);
+        expect((await harness.get("/policies/7")).broken).to.equal(true);
         const once = await post("k");
         expect(once.status).to.equal(502);
         expect(errorOf(once)).to.include({ code: "backendFailed", outcome: "failed_after_starting" });
--- a/packages/basilpaddle/src/node/daemon/entry/backendWords.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/backendMessages.ts
@@ -17,12 +17,13 @@
 import { notRun, sendJson, sendRefusal } from "./reply.js";
 import { parseJson, readBody } from "./requestBody.js";
 
-const proposeTimeout = 2_000;
-const renewalsInTimeout = 4;
-const shortestRetry = 250;
+const proposeTimeoutMilliseconds = 2_000;
+const renewalsPerTimeout = 4;
+/** Upper limit of the delay after which a message that wasn't accepted is sent again. */
+const retryDelayMilliseconds = 250;
 
-/** What the words of backend servers need. */
-export type BackendWordParts = {
+/** Dependencies of the handler of backend servers' messages. */
+export type BackendMessagesParts = {
     readonly settings: EntrySettings;
     readonly control: ControlClient;
     readonly placement: Placement;
@@ -35,15 +36,15 @@
 
 type AnswerOutcome = BackendAnswer["outcome"];
 
-/** Takes the words of backend servers: that they are there, that they still are, and that they leave. */
-export class BackendWords {
-    private constructor(private readonly parts: BackendWordParts) {}
+/** Handles the announcements, renewals and leave messages of backend servers. */
+export class BackendMessages {
+    private constructor(private readonly parts: BackendMessagesParts) {}
 
-    static create(parts: BackendWordParts): BackendWords {
-        return new BackendWords(parts);
+    static create(parts: BackendMessagesParts): BackendMessages {
+        return new BackendMessages(parts);
     }
 
-    /** Answers one word over HTTP. */
+    /** Handles one message received over HTTP. */
     async serve(requestId: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
         if (request.url !== backendWordPath) {
             sendRefusal(response, notRun("unknownRoute", `backend servers POST to ${backendWordPath}`), requestId);
@@ -60,31 +61,31 @@
             sendRefusal(response, parsed.extract() as Refusal, requestId);
             return;
         }
-        const word = backendWordSchema.safeParse(parsed.extract());
-        if (!word.success) {
-            const causes = word.error.issues.slice(0, 5).map(issue => `${issue.path.join(".")}: ${issue.message}`);
+        const message = backendWordSchema.safeParse(parsed.extract());
+        if (!message.success) {
+            const causes = message.error.issues.slice(0, 5).map(issue => `${issue.path.join(".")}: ${issue.message}`);
             sendRefusal(response, notRun("badRequest", causes.join("; ")), requestId);
             return;
         }
-        const outcome = await this.take(word.data);
-        sendJson(response, 200, { outcome, renewAfter: this.renewAfter(outcome) } satisfies BackendAnswer);
+        const outcome = await this.handle(message.data);
+        sendJson(response, 200, { outcome, renewAfter: this.renewAfterMilliseconds(outcome) } satisfies BackendAnswer);
     }
 
-    /** Takes in one word. */
-    async take(word: BackendWord): Promise<AnswerOutcome> {
-        switch (word.kind) {
+    /** Applies one message and returns its outcome. */
+    async handle(message: BackendWord): Promise<AnswerOutcome> {
+        switch (message.kind) {
             case "announce": {
-                const outcome = await this.announce(word.announcement);
-                this.load(outcome, word.announcement, word.load);
+                const outcome = await this.announce(message.announcement);
+                this.applyLoadReport(outcome, message.announcement, message.load);
                 return outcome;
             }
             case "renew": {
-                const outcome = this.renew(word.id, word.incarnation);
-                this.load(outcome, this.known(word.id)?.announcement, word.load);
+                const outcome = this.renew(message.id, message.incarnation);
+                this.applyLoadReport(outcome, this.known(message.id)?.announcement, message.load);
                 return outcome;
             }
             case "leave":
-                return this.leave(word.id, word.incarnation);
+                return this.leave(message.id, message.incarnation);
         }
     }
 
@@ -131,19 +132,23 @@
     }
 
     private async propose(command: Command): Promise<AnswerOutcome> {
-        const proposed = await this.parts.control.propose(command, proposeTimeout);
+        const proposed = await this.parts.control.propose(command, proposeTimeoutMilliseconds);
         return proposed.caseOf<AnswerOutcome>({
             Left: () => "tryAgain",
             Right: result => result.kind === "stale" ? "superseded" : "accepted",
         });
     }
 
-    private load(outcome: AnswerOutcome, backend: Announcement | undefined, report: LoadReport | undefined): void {
+    private applyLoadReport(
+        outcome: AnswerOutcome,
+        backend: Announcement | undefined,
+        report: LoadReport | undefined,
+    ): void {
         if (outcome !== "accepted" || backend === undefined || report === undefined) {
             return;
         }
         this.parts.placement.load(backend.pool, report);
-        // A call that was given up can reach the engine after its cancel did; the engine then holds it for nobody.
+        // A call can reach the engine after the cancel for it; the engine then runs an attempt that has already ended.
         for (const attempt of this.parts.attempts.ended(report.active)) {
             this.parts.cancellations.owe(attempt, backend, false);
         }
@@ -153,8 +158,8 @@
         return this.parts.control.view().backends[id];
     }
 
-    private renewAfter(outcome: AnswerOutcome): number {
-        const interval = Math.ceil(this.parts.settings.timing.backendTimeout / renewalsInTimeout);
-        return outcome === "accepted" ? interval : Math.min(shortestRetry, interval);
+    private renewAfterMilliseconds(outcome: AnswerOutcome): number {
+        const interval = Math.ceil(this.parts.settings.timing.backendTimeout / renewalsPerTimeout);
+        return outcome === "accepted" ? interval : Math.min(retryDelayMilliseconds, interval);
     }
 }
--- a/packages/basilpaddle/src/node/daemon/entry/callerHeaders.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/callerHeaders.ts
@@ -7,8 +7,8 @@
 const keyPattern = /^[\x21-\x7e]{1,128}$/;
 const deadlinePattern = /^[1-9][0-9]{0,8}$/;
 
-/** What a caller says in headers. */
-export type CallerWishes = {
+/** The options that a caller sets by request headers. */
+export type CallerOptions = {
     readonly organisation: string;
     readonly key: string | undefined;
     readonly nonIdempotent: boolean;
@@ -16,32 +16,32 @@
     readonly deadline: number | undefined;
 };
 
-/** Reads and checks the headers of a caller's request. */
-export function readWishes(request: IncomingMessage): Either<Refusal, CallerWishes> {
+/** Parses and validates the headers of a caller's request. */
+export function readCallerOptions(request: IncomingMessage): Either<Refusal, CallerOptions> {
     const organisation = header(request, callerHeaders.organisation) ?? anonymousOrganisation;
     const key = header(request, callerHeaders.key);
-    const mark = header(request, callerHeaders.nonIdempotent) ?? "false";
+    const nonIdempotentText = header(request, callerHeaders.nonIdempotent) ?? "false";
     const deadline = header(request, callerHeaders.deadline);
     if (!organisationPattern.test(organisation)) {
-        return wrong(callerHeaders.organisation, "a name of 1 to 127 letters, digits, '.', '_' and '-'");
+        return invalidHeader(callerHeaders.organisation, "a name of 1 to 127 letters, digits, '.', '_' and '-'");
     }
     if (key !== undefined && !keyPattern.test(key)) {
-        return wrong(callerHeaders.key, "1 to 128 visible characters of ASCII, given once");
+        return invalidHeader(callerHeaders.key, "1 to 128 visible ASCII characters, given once");
     }
-    if (mark !== "true" && mark !== "false") {
-        return wrong(callerHeaders.nonIdempotent, "true or false");
+    if (nonIdempotentText !== "true" && nonIdempotentText !== "false") {
+        return invalidHeader(callerHeaders.nonIdempotent, "true or false");
     }
     if (deadline !== undefined && !deadlinePattern.test(deadline)) {
-        return wrong(callerHeaders.deadline, "whole milliseconds, at least 1");
+        return invalidHeader(callerHeaders.deadline, "whole milliseconds, at least 1");
     }
     return Right({
         organisation,
         key,
-        nonIdempotent: mark === "true",
+        nonIdempotent: nonIdempotentText === "true",
         deadline: deadline === undefined ? undefined : Number(deadline),
     });
 }
 
-function wrong(name: string, rule: string): Either<Refusal, never> {
+function invalidHeader(name: string, rule: string): Either<Refusal, never> {
     return Left(notRun("badRequest", `header ${name}: must be ${rule}`));
 }
--- a/packages/basilpaddle/src/node/daemon/entry/callerRoutes.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/callerRoutes.ts
@@ -3,7 +3,7 @@
 import { RequestScope } from "../../coordination/request/index.js";
 import type { EntrySettings } from "../../protocol/index.js";
 import type { Clock } from "../../utils/index.js";
-import { flushed } from "./flush.js";
+import { waitUntilFlushed } from "./flush.js";
 import type { ModelCalls } from "./modelCalls.js";
 import type { ModelForm } from "./modelRequest.js";
 import type { OpenRequests } from "./openRequests.js";
@@ -11,10 +11,10 @@
 import type { ServiceCalls } from "./services/serviceCalls.js";
 import { findService, isAmbiguous } from "./services/serviceRoute.js";
 
-const drainRetryAfter = 1_000;
-const fullRetryAfter = 1_000;
+const drainRetryAfterMilliseconds = 1_000;
+const overloadRetryAfterMilliseconds = 1_000;
 
-/** What the callers' routes need. */
+/** Dependencies of the callers' routes. */
 export type CallerRouteParts = {
     readonly calls: ModelCalls;
     readonly services: ServiceCalls;
@@ -26,12 +26,12 @@
     readonly isDraining: () => boolean;
 };
 
-const modelForms: ReadonlyMap<string, ModelForm> = new Map([
+const modelFormsByPath: ReadonlyMap<string, ModelForm> = new Map([
     ["/v1/chat/completions", "chat"],
     ["/v1/completions", "completion"],
 ]);
 
-/** Sends each caller's request to what serves it. */
+/** Dispatches each caller's request to the health checks, the model API or a plain service. */
 export class CallerRoutes {
     private constructor(private readonly parts: CallerRouteParts) {}
 
@@ -45,17 +45,21 @@
             return;
         }
         if (this.parts.isDraining()) {
-            sendRefusal(response, notRun("shuttingDown", "this daemon shuts down", drainRetryAfter), requestId);
+            sendRefusal(
+                response,
+                notRun("shuttingDown", "this daemon is shutting down", drainRetryAfterMilliseconds),
+                requestId,
+            );
             return;
         }
         if (this.parts.open.size >= this.parts.limits.openRequests) {
-            const message = `${this.parts.limits.openRequests} requests are open at this daemon`;
-            sendRefusal(response, notRun("poolFull", message, fullRetryAfter), requestId);
+            const message = `${this.parts.limits.openRequests} requests are already in progress at this daemon`;
+            sendRefusal(response, notRun("poolFull", message, overloadRetryAfterMilliseconds), requestId);
             return;
         }
-        const form = modelForms.get(path);
+        const form = modelFormsByPath.get(path);
         if (form !== undefined) {
-            if (this.allows("POST", request, response, requestId)) {
+            if (this.requireMethod("POST", request, response, requestId)) {
                 await this.track(
                     requestId,
                     response,
@@ -65,8 +69,8 @@
             return;
         }
         if (path === "/v1/models") {
-            if (this.allows("GET", request, response, requestId)) {
-                this.models(response);
+            if (this.requireMethod("GET", request, response, requestId)) {
+                this.sendModels(response);
             }
             return;
         }
@@ -82,7 +86,7 @@
         if (isAmbiguous(path)) {
             sendRefusal(
                 response,
-                notRun("badRequest", "the path must be absolute and without dot segments"),
+                notRun("badRequest", "the path must be absolute and must not contain dot segments"),
                 requestId,
             );
             return;
@@ -90,7 +94,7 @@
         const declaration = this.parts.control.view().configuration.declaration;
         const route = findService(declaration, request.headers.host, path);
         if (route === undefined) {
-            sendRefusal(response, notRun("unknownRoute", `nothing is served at ${path}`), requestId);
+            sendRefusal(response, notRun("unknownRoute", `no service matches the path ${path}`), requestId);
             return;
         }
         await this.track(
@@ -100,7 +104,7 @@
         );
     }
 
-    /** A request counts as in progress from its first header on, so that a drain waits for one that is still coming. */
+    /** A request counts as in progress once its headers are read, so that a drain waits for one that is still being received. */
     private async track(
         requestId: string,
         response: ServerResponse,
@@ -110,7 +114,7 @@
         this.parts.open.add(requestId, scope);
         try {
             await serve(scope);
-            await flushed(response, this.parts.limits.stalledReader, this.parts.clock);
+            await waitUntilFlushed(response, this.parts.limits.stalledReader, this.parts.clock);
         }
         finally {
             this.parts.open.remove(requestId);
@@ -130,7 +134,12 @@
         return false;
     }
 
-    private allows(method: string, request: IncomingMessage, response: ServerResponse, requestId: string): boolean {
+    private requireMethod(
+        method: string,
+        request: IncomingMessage,
+        response: ServerResponse,
+        requestId: string,
+    ): boolean {
         if (request.method === method) {
             return true;
         }
@@ -139,7 +148,7 @@
         return false;
     }
 
-    private models(response: ServerResponse): void {
+    private sendModels(response: ServerResponse): void {
         const pools = Object.values(this.parts.control.view().configuration.declaration.pools);
         const names = new Set(
             pools.flatMap(pool =>
--- a/packages/basilpaddle/src/node/daemon/entry/entryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/entryDaemon.ts
@@ -19,19 +19,19 @@
 import { callerHeaders, type EntrySettings, PrefixHash, type View } from "../../protocol/index.js";
 import { listens } from "../../transport/index.js";
 import { type Clock, DisposableStore, type Logger, type Metrics, type Randomness } from "../../utils/index.js";
-import { BackendWords } from "./backendWords.js";
+import { BackendMessages } from "./backendMessages.js";
 import { CallerRoutes } from "./callerRoutes.js";
 import { HttpServer } from "./httpServer.js";
 import { ModelCalls } from "./modelCalls.js";
 import { OpenRequests } from "./openRequests.js";
-import { notRun, outcomeOfFault, sendRefusal } from "./reply.js";
+import { internalErrorOutcome, notRun, sendRefusal } from "./reply.js";
 import { ServiceCalls } from "./services/serviceCalls.js";
 import { ServiceConnections } from "./services/serviceConnections.js";
 
-/** Milliseconds that a drain waits for engines to confirm cancels, and for run records to be decided. */
-const settleTimeout = 5_000;
+/** How long a drain waits for engines to confirm cancels, and for run records to be decided. */
+const settleTimeoutMilliseconds = 5_000;
 
-/** What an entry daemon is made of. */
+/** Dependencies of an entry daemon. */
 export type EntryDaemonParts = {
     readonly settings: EntrySettings;
     readonly control: ControlClient;
@@ -41,15 +41,15 @@
     readonly randomness: Randomness;
     readonly logger: Logger;
     readonly metrics: Metrics;
-    /** This daemon's copy of what is known of requests under which backend servers ended. */
+    /** This daemon's copy of the quarantined requests. */
     readonly held: HeldRequests;
 };
 
-/** What a drain left behind. */
+/** Result of a drain. */
 export type DrainReport = {
-    /** Requests that were cut off, by identifier; only where the drain was hurried. */
+    /** Identifiers of the requests that were stopped by a second call of `drain`. */
     readonly cut: readonly string[];
-    /** Cancels that no engine confirmed in time, and run records that no quorum decided in time. */
+    /** Cancels that the engine didn't confirm in time, and run records that no quorum decided in time. */
     readonly unconfirmedCancels: number;
     readonly undecidedRuns: number;
 };
@@ -58,8 +58,8 @@
 export class EntryDaemon {
     private readonly store = DisposableStore.create();
     private readonly open = OpenRequests.create();
-    private callers!: HttpServer;
-    private backends!: HttpServer;
+    private callerListener!: HttpServer;
+    private backendListener!: HttpServer;
     private draining: Promise<DrainReport> | undefined;
     private readonly cut: string[] = [];
 
@@ -77,12 +77,12 @@
 
     /** Port of the callers' listener. */
     callerPort(): number {
-        return this.callers.port();
+        return this.callerListener.port();
     }
 
     /** Port of the backend servers' listener. */
     backendPort(): number {
-        return this.backends.port();
+        return this.backendListener.port();
     }
 
     /** Requests in progress. */
@@ -90,27 +90,27 @@
         return this.open.size;
     }
 
-    /** Whether the platform's balancer should send callers here. */
+    /** Whether the platform's load balancer should send requests to this daemon. */
     isReady(): boolean {
         return this.draining === undefined && this.parts.control.mayStart();
     }
 
     /**
-     * Refuses new requests and waits until those in progress have ended, however long that takes. A second call
-     * cuts them off, and both calls then tell which.
+     * Refuses new requests and waits without a time limit until those in progress have ended. A second call stops them;
+     * both calls then report which requests were stopped.
      */
     drain(): Promise<DrainReport> {
         if (this.draining !== undefined) {
-            this.cut.push(...this.open.cut());
+            this.cut.push(...this.open.stopAll());
             return this.draining;
         }
         this.parts.logger.info("draining", { open: this.open.size });
-        this.draining = this.waitForEnd();
-        this.callers.closeIdle();
+        this.draining = this.waitUntilDrained();
+        this.callerListener.closeIdle();
         return this.draining;
     }
 
-    /** Drains if that wasn't done, and closes the listeners and the engines. The control client and the placement are their owner's. */
+    /** Drains unless that was already done, then closes the listeners and engine clients, but not the control client or the placement. */
     async close(): Promise<void> {
         await (this.draining ?? this.drain());
         await this.store.dispose();
@@ -130,28 +130,28 @@
             isReady: () => this.isReady(),
             isDraining: () => this.draining !== undefined,
         });
-        const words = BackendWords.create({ ...this.request, settings });
+        const messages = BackendMessages.create({ ...this.request, settings });
         this.store.add(() => connections.close());
         this.store.add(() => this.request.engines.close());
         this.store.add(() => this.request.cancellations.close());
         this.store.add(() => this.request.runs.close());
         this.store.add(() => this.request.crashes.close());
-        this.store.add(control.onView(view => this.follow(view)));
+        this.store.add(control.onView(view => this.applyView(view)));
         const receiveTimeout = settings.limits.receiveTimeout;
-        this.callers = await HttpServer.create({
+        this.callerListener = await HttpServer.create({
             address: settings.callers,
             receiveTimeout,
             logger,
             handler: (request, response) => this.handle(request, response, id => routes.serve(id, request, response)),
         });
-        this.store.add(() => this.callers.close());
-        this.backends = await HttpServer.create({
+        this.store.add(() => this.callerListener.close());
+        this.backendListener = await HttpServer.create({
             address: settings.backends,
             receiveTimeout,
             logger,
-            handler: (request, response) => this.handle(request, response, id => words.serve(id, request, response)),
+            handler: (request, response) => this.handle(request, response, id => messages.serve(id, request, response)),
         });
-        this.store.add(() => this.backends.close());
+        this.store.add(() => this.backendListener.close());
     }
 
     private handle(
@@ -165,30 +165,30 @@
             response.setHeader("connection", "close");
         }
         serve(requestId).catch((failure: unknown) => {
-            this.parts.logger.error("request failed inside", {
+            this.parts.logger.error("request failed with an internal error", {
                 request: requestId,
                 path: request.url,
                 failure: failure instanceof Error ? failure.stack : String(failure),
             });
-            const refusal = { ...notRun("internal", "a fault of this daemon"), outcome: outcomeOfFault };
+            const refusal = { ...notRun("internal", "a fault of this daemon"), outcome: internalErrorOutcome };
             sendRefusal(response, refusal, requestId);
         });
     }
 
-    private async waitForEnd(): Promise<DrainReport> {
-        await this.open.ended();
+    private async waitUntilDrained(): Promise<DrainReport> {
+        await this.open.untilEmpty();
         const [unconfirmedCancels, undecidedRuns] = await Promise.all([
-            this.request.cancellations.drain(settleTimeout),
-            this.request.runs.drain(settleTimeout),
+            this.request.cancellations.drain(settleTimeoutMilliseconds),
+            this.request.runs.drain(settleTimeoutMilliseconds),
         ]);
         return { cut: this.cut, unconfirmedCancels, undecidedRuns };
     }
 
-    private follow(view: View): void {
+    private applyView(view: View): void {
         this.request.marks.follow(view);
         const urls = new Set(Object.values(view.backends).map(backend => backend.announcement.url));
         this.request.engines.retain(urls).catch((failure: unknown) => {
-            this.parts.logger.warn("a forgotten engine's client didn't close", { failure: String(failure) });
+            this.parts.logger.warn("the client of a removed engine didn't close", { failure: String(failure) });
         });
     }
 }
@@ -212,7 +212,7 @@
         metrics,
         crashes: CrashWatch.create({
             held: parts.held,
-            isGone: life => hasEnded(control.view(), life),
+            isGone: incarnation => hasEnded(control.view(), incarnation),
             listens,
             clock,
             logger,
--- a/packages/basilpaddle/src/node/daemon/entry/expectedTokens.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/expectedTokens.ts
@@ -1,24 +1,24 @@
 import { LRUCache } from "lru-cache";
 
-const mostPools = 1_000;
-const weight = 0.05;
+const maxPools = 1_000;
+const smoothingFactor = 0.05;
 
-/** Tokens that an answer will likely have, learned from the answers of its pool. */
+/** Estimates the tokens of an answer by an exponential moving average over the answers of its pool. */
 export class ExpectedTokens {
-    private readonly means = new LRUCache<string, number>({ max: mostPools });
+    private readonly means = new LRUCache<string, number>({ max: maxPools });
 
     static create(): ExpectedTokens {
         return new ExpectedTokens();
     }
 
-    /** Takes in the length of a finished answer. */
-    learn(pool: string, tokens: number): void {
+    /** Adds the length of a finished answer to the average. */
+    record(pool: string, tokens: number): void {
         const mean = this.means.get(pool);
-        this.means.set(pool, mean === undefined ? tokens : mean + weight * (tokens - mean));
+        this.means.set(pool, mean === undefined ? tokens : mean + smoothingFactor * (tokens - mean));
     }
 
-    /** The likely length, at most what the caller allows. */
-    expect(pool: string, maxTokens: number): number {
+    /** The estimated length in tokens, at most what the caller allows. */
+    estimate(pool: string, maxTokens: number): number {
         const mean = this.means.get(pool) ?? maxTokens;
         return Math.max(1, Math.min(maxTokens, Math.round(mean)));
     }
--- a/packages/basilpaddle/src/node/daemon/entry/flush.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/flush.ts
@@ -3,10 +3,11 @@
 import type { Clock } from "../../utils/index.js";
 
 /**
- * Waits until the caller has taken the whole answer, so that a drain doesn't end before its last answer is out. A caller
- * that takes nothing for the given time is let go; else it would keep the daemon from ever ending.
+ * Waits until the caller has received the whole answer, so that a drain doesn't end before the last answer is sent. The
+ * connection of a caller that reads nothing for `stalledReader` milliseconds is destroyed; otherwise it could keep the
+ * daemon from ever shutting down.
  */
-export async function flushed(response: ServerResponse, stalledReader: number, clock: Clock): Promise<void> {
+export async function waitUntilFlushed(response: ServerResponse, stalledReader: number, clock: Clock): Promise<void> {
     const end = new AbortController();
     response.once("close", () => end.abort());
     response.once("finish", () => end.abort());
--- a/packages/basilpaddle/src/node/daemon/entry/httpServer.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/httpServer.ts
@@ -5,14 +5,14 @@
 import { notRun, refusalHeaders } from "./reply.js";
 import { malformedEvent } from "./requestBody.js";
 
-const maxHeaderSize = 16_384;
-const headersTimeout = 10_000;
-/** Milliseconds that an idle connection stays open: longer than a balancer's usual 60 s, so that the balancer closes first. */
-const keepAliveTimeout = 75_000;
-const receiveGrace = 5_000;
-const checkInterval = 1_000;
+const maxHeaderBytes = 16_384;
+const headersTimeoutMilliseconds = 10_000;
+/** Longer than the usual 60 s of a load balancer, so that the balancer closes idle connections first. */
+const keepAliveTimeoutMilliseconds = 75_000;
+const receiveGraceMilliseconds = 5_000;
+const checkIntervalMilliseconds = 1_000;
 
-/** What an HTTP listener needs. */
+/** Settings and request handler of an HTTP listener. */
 export type HttpServerParts = {
     readonly address: Address;
     /** Milliseconds for a caller to send a whole request. */
@@ -21,27 +21,30 @@
     readonly handler: (request: http.IncomingMessage, response: http.ServerResponse) => void;
 };
 
-/** An HTTP listener with every timeout of Node's set on purpose: none of them may end an answer in progress. */
+/** An HTTP listener. It sets every timeout of Node's server explicitly, as none of them may end an answer in progress. */
 export class HttpServer {
-    private readonly answering = new WeakMap<Socket, Set<http.ServerResponse>>();
+    private readonly responsesBySocket = new WeakMap<Socket, Set<http.ServerResponse>>();
 
     private constructor(private readonly server: http.Server, private readonly parts: HttpServerParts) {}
 
     static async create(parts: HttpServerParts): Promise<HttpServer> {
         const server = http.createServer({
-            maxHeaderSize,
-            headersTimeout: Math.min(headersTimeout, parts.receiveTimeout),
-            // The body's reader has its own limit and answers better; this one ends what that one doesn't see.
-            requestTimeout: parts.receiveTimeout + receiveGrace,
-            keepAliveTimeout,
-            connectionsCheckingInterval: checkInterval,
+            maxHeaderSize: maxHeaderBytes,
+            headersTimeout: Math.min(headersTimeoutMilliseconds, parts.receiveTimeout),
+            // The reader of the body has a shorter timeout and gives a more specific answer; this one covers all other cases.
+            requestTimeout: parts.receiveTimeout + receiveGraceMilliseconds,
+            keepAliveTimeout: keepAliveTimeoutMilliseconds,
+            connectionsCheckingInterval: checkIntervalMilliseconds,
             noDelay: true,
         });
-        // An idle limit of the socket would cut a stream whose engine is silent for long.
+        // An idle timeout of the socket would break a stream whose engine sends nothing for a long time.
         server.timeout = 0;
         const created = new HttpServer(server, parts);
-        server.on("request", (request, response) => created.receive(request, response));
-        server.on("clientError", (failure: NodeJS.ErrnoException, socket) => created.refuse(failure, socket as Socket));
+        server.on("request", (request, response) => created.handleRequest(request, response));
+        server.on(
+            "clientError",
+            (failure: NodeJS.ErrnoException, socket) => created.handleClientError(failure, socket as Socket),
+        );
         await new Promise<void>((resolve, reject) => {
             server.once("error", reject);
             server.listen(parts.address.port, parts.address.host, () => {
@@ -56,52 +59,67 @@
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Closes connections that carry no request. */
+    /** Closes connections without a request in progress. */
     closeIdle(): void {
         this.server.closeIdleConnections();
     }
 
-    /** Takes no further connections and waits for the open ones; those without a request are closed. */
+    /** Stops accepting connections and waits for the open ones; those without a request are closed. */
     async close(): Promise<void> {
         const closed = new Promise<void>(resolve => this.server.close(() => resolve()));
         this.server.closeIdleConnections();
-        const sweep = setInterval(() => this.server.closeIdleConnections(), checkInterval);
+        const sweep = setInterval(() => this.server.closeIdleConnections(), checkIntervalMilliseconds);
         await closed;
         clearInterval(sweep);
     }
 
-    /** Closes every connection, whatever it carries. */
+    /** Closes every connection, also those with a request in progress. */
     closeAll(): void {
         this.server.closeAllConnections();
     }
 
-    private receive(request: http.IncomingMessage, response: http.ServerResponse): void {
+    private handleRequest(request: http.IncomingMessage, response: http.ServerResponse): void {
         const socket = request.socket;
-        const responses = this.answering.get(socket) ?? new Set();
-        this.answering.set(socket, responses.add(response));
+        const responses = this.responsesBySocket.get(socket) ?? new Set();
+        this.responsesBySocket.set(socket, responses.add(response));
         response.once("close", () => responses.delete(response));
-        // Without a listener, an error of a caller's connection would end the process.
-        request.on("error", failure => this.parts.logger.debug("caller's request broke", { failure: failure.message }));
-        response.on("error", failure => this.parts.logger.debug("answer broke", { failure: failure.message }));
+        // Without a listener, an error event of a caller's connection would end the process.
+        request.on(
+            "error",
+            failure =>
+                this.parts.logger.debug("the connection failed while a request was being received", {
+                    failure: failure.message,
+                }),
+        );
+        response.on(
+            "error",
+            failure =>
+                this.parts.logger.debug("the connection failed while an answer was being sent", {
+                    failure: failure.message,
+                }),
+        );
         this.parts.handler(request, response);
     }
 
-    /** Bytes that aren't a request, or one that takes too long. An answer under way on the socket must not be mixed with this one. */
-    private refuse(failure: NodeJS.ErrnoException, socket: Socket): void {
-        const responses = [...this.answering.get(socket) ?? []];
+    /** Answers malformed HTTP and requests that time out, unless that would corrupt an answer in progress on the same socket. */
+    private handleClientError(failure: NodeJS.ErrnoException, socket: Socket): void {
+        const responses = [...this.responsesBySocket.get(socket) ?? []];
         if (!socket.writable || responses.length > 0) {
-            const [only] = responses;
-            // Whoever still reads the body answers; where it is passed on already, nobody can say what became of it.
-            if (responses.length !== 1 || only?.req.complete !== false || !only.req.emit(malformedEvent)) {
+            const [onlyResponse] = responses;
+            // A request whose body is still being read is answered by that reader. A body that is already being forwarded
+            // has an unknown outcome, so the connection is only closed.
+            if (
+                responses.length !== 1 || onlyResponse?.req.complete !== false || !onlyResponse.req.emit(malformedEvent)
+            ) {
                 socket.destroy();
             }
             return;
         }
         const refusal = failure.code === "HPE_HEADER_OVERFLOW"
-            ? notRun("headersTooLarge", `the headers exceed ${maxHeaderSize} bytes`)
+            ? notRun("headersTooLarge", `the headers exceed ${maxHeaderBytes} bytes`)
             : failure.code === "ERR_HTTP_REQUEST_TIMEOUT"
-            ? notRun("requestTimeout", "no whole request in time")
-            : notRun("badRequest", "this is not an HTTP request");
+            ? notRun("requestTimeout", "the request was not received completely in time")
+            : notRun("badRequest", "not a valid HTTP request");
         const body = JSON.stringify(errorBody(refusal, undefined));
         const headers = Object.entries(refusalHeaders(refusal, undefined)).map(([name, value]) => `${name}: ${value}`);
         socket.end([
--- a/packages/basilpaddle/src/node/daemon/entry/index.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/index.ts
@@ -1,2 +1,2 @@
-export * from "./backendWords.js";
+export * from "./backendMessages.js";
 export * from "./entryDaemon.js";
--- a/packages/basilpaddle/src/node/daemon/entry/modelAnswer.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/modelAnswer.ts
@@ -5,7 +5,7 @@
 import type { ModelRequest } from "./modelRequest.js";
 import { sendRefusal } from "./reply.js";
 
-/** What an answer to a model request needs. */
+/** Dependencies of an answer to a model request. */
 export type ModelAnswerParts = {
     readonly request: ModelRequest;
     readonly requestId: string;
@@ -13,17 +13,17 @@
     readonly scope: RequestScope;
     readonly clock: Clock;
     readonly limits: { readonly waitingBytes: number; readonly stalledReader: number; };
-    /** Whether the whole text may be asked for again. */
-    readonly keeps: boolean;
+    /** Whether the whole text is kept because the answer may be replayed. */
+    readonly retainsText: boolean;
 };
 
-/** The wire writes an answer that goes on with an explicit null. */
+/** The API requires an explicit null as `finish_reason` until the answer ends. */
 const jsonNull: unknown = JSON.parse("null");
-/** Milliseconds for a caller to read why its stream is cut. */
-const cutTime = 1_000;
+/** How long a caller has to read the error event before its connection is destroyed. */
+const errorEventTimeoutMilliseconds = 1_000;
 const eventHeaders = { "content-type": "text/event-stream; charset=utf-8", "cache-control": "no-store" };
 
-/** The answer to a model request in the callers' wire. */
+/** The answer to a model request in the format of the callers' API. */
 export abstract class ModelAnswer extends Answer {
     protected readonly texts: string[] = [];
     protected readonly created: number;
@@ -34,13 +34,13 @@
     }
 
     static create(parts: ModelAnswerParts): ModelAnswer {
-        return parts.request.stream ? new StreamedAnswer(parts) : new WholeAnswer(parts);
+        return parts.request.stream ? new StreamedAnswer(parts) : new BufferedAnswer(parts);
     }
 
-    /** Tells the caller that there is no whole answer. */
+    /** Tells the caller that the request was refused or that the answer is incomplete. */
     abstract refuse(refusal: Refusal): void;
 
-    protected frame(kind: "whole" | "chunk"): Record<string, unknown> {
+    protected envelope(kind: "whole" | "chunk"): Record<string, unknown> {
         const { request, requestId } = this.parts;
         const chat = request.form === "chat";
         const object = chat ? (kind === "whole" ? "chat.completion" : "chat.completion.chunk") : "text_completion";
@@ -61,7 +61,7 @@
     }
 }
 
-class WholeAnswer extends ModelAnswer {
+class BufferedAnswer extends ModelAnswer {
     constructor(parts: ModelAnswerParts) {
         super(parts);
     }
@@ -94,7 +94,7 @@
             ? { message: { role: "assistant", content: text } }
             : { text };
         return JSON.stringify({
-            ...this.frame("whole"),
+            ...this.envelope("whole"),
             choices: [{ index: 0, ...content, finish_reason: end.reason }],
             usage: this.usage(end),
         });
@@ -104,82 +104,86 @@
 class StreamedAnswer extends ModelAnswer {
     private readonly head: string;
     private readonly tail: string;
-    private waiting: string = "";
+    private pendingOutput: string = "";
     private flushing = false;
-    private begun = false;
+    private headersWritten = false;
 
     constructor(parts: ModelAnswerParts) {
         super(parts);
-        // Only the text differs between two tokens; the rest of the event is written once.
+        // Only the text differs between the events of two tokens; the rest is serialised once.
         const [head, tail] = this.event({ text: "\u0000" }).split("\"\\u0000\"") as [string, string];
         this.head = head;
         this.tail = tail;
     }
 
     override token(text: string): Promise<void> | undefined {
-        if (this.parts.keeps) {
+        if (this.parts.retainsText) {
             this.texts.push(text);
         }
-        this.waiting += this.head + JSON.stringify(text) + this.tail;
-        if (!this.begun) {
-            this.begin();
+        this.pendingOutput += this.head + JSON.stringify(text) + this.tail;
+        if (!this.headersWritten) {
+            this.writeHeaders();
             this.flush();
         }
         else if (!this.flushing) {
-            // Tokens that came in one piece go out in one piece: a write for each would cost more than all else.
+            // Tokens that arrive together are sent in one write: a write for each would cost more than everything else.
             this.flushing = true;
             setImmediate(() => this.flush());
         }
-        const held = this.waiting.length + this.parts.response.writableLength;
-        return held > this.parts.limits.waitingBytes ? this.drained() : undefined;
+        const bufferedLength = this.pendingOutput.length + this.parts.response.writableLength;
+        return bufferedLength > this.parts.limits.waitingBytes ? this.waitForDrain() : undefined;
     }
 
     override kept(end: AnswerEnd): KeptAnswer {
         const text = this.head + JSON.stringify(this.texts.join("")) + this.tail;
-        return { status: 200, headers: eventHeaders, body: Buffer.from(this.opening() + text + this.closing(end)) };
+        return {
+            status: 200,
+            headers: eventHeaders,
+            body: Buffer.from(this.openingEvent() + text + this.closingEvents(end)),
+        };
     }
 
     override finish(end: AnswerEnd): void {
-        if (!this.begun) {
-            this.begin();
+        if (!this.headersWritten) {
+            this.writeHeaders();
         }
-        this.parts.response.end(this.waiting + this.closing(end));
-        this.waiting = "";
+        this.parts.response.end(this.pendingOutput + this.closingEvents(end));
+        this.pendingOutput = "";
     }
 
-    /** After the first byte the connection is destroyed, so that a cut answer can't be taken for a whole one. */
+    /** Destroys the connection if output was already sent, so that a truncated answer can't be mistaken for a complete one. */
     override refuse(refusal: Refusal): void {
         const { response, requestId } = this.parts;
-        if (!this.begun) {
+        if (!this.headersWritten) {
             sendRefusal(response, refusal, requestId);
             return;
         }
         const event = `event: error\ndata: ${JSON.stringify(errorBody(refusal, requestId))}\n\n`;
-        response.write(this.waiting + event, () => response.destroy());
-        // A caller that reads nothing would never let the write end, and the connection with it.
-        const disarm = this.parts.clock.after(cutTime, () => response.destroy());
+        response.write(this.pendingOutput + event, () => response.destroy());
+        // The write never completes for a caller that doesn't read, and the connection would stay open.
+        const disarm = this.parts.clock.after(errorEventTimeoutMilliseconds, () => response.destroy());
         response.once("close", disarm);
-        this.waiting = "";
+        this.pendingOutput = "";
     }
 
-    private begin(): void {
-        this.begun = true;
+    private writeHeaders(): void {
+        this.headersWritten = true;
         this.parts.response.writeHead(200, { ...eventHeaders, [callerHeaders.requestId]: this.parts.requestId });
-        this.waiting = this.opening() + this.waiting;
+        this.pendingOutput = this.openingEvent() + this.pendingOutput;
     }
 
     private flush(): void {
         this.flushing = false;
-        if (this.waiting === "" || this.parts.response.destroyed) {
-            this.waiting = "";
+        if (this.pendingOutput === "" || this.parts.response.destroyed) {
+            this.pendingOutput = "";
             return;
         }
-        this.parts.response.write(this.waiting);
-        this.waiting = "";
+        this.parts.response.write(this.pendingOutput);
+        this.pendingOutput = "";
     }
 
-    /** Settles once the caller has read on, or has gone. A caller that stops reading for too long counts as gone. */
-    private drained(): Promise<void> {
+    /** Settles once the caller reads again or has disconnected. One that stops reading for too long counts as disconnected. */
+    private waitForDrain(): Promise<void> {
         this.flush();
         const { response, clock, scope, limits } = this.parts;
         if (response.writableLength <= limits.waitingBytes) {
@@ -200,13 +204,13 @@
         });
     }
 
-    private opening(): string {
+    private openingEvent(): string {
         return this.parts.request.form === "chat" ? this.event({ role: "assistant", text: "" }) : "";
     }
 
-    private closing(end: AnswerEnd): string {
+    private closingEvents(end: AnswerEnd): string {
         const usage = this.parts.request.includeUsage
-            ? `data: ${JSON.stringify({ ...this.frame("chunk"), choices: [], usage: this.usage(end) })}\n\n`
+            ? `data: ${JSON.stringify({ ...this.envelope("chunk"), choices: [], usage: this.usage(end) })}\n\n`
             : "";
         return `${this.event({ end: end.reason })}${usage}data: [DONE]\n\n`;
     }
@@ -215,6 +219,6 @@
         const { text, role, end } = part;
         const content = this.parts.request.form === "chat" ? { delta: { role, content: text } } : { text: text ?? "" };
         const choices = [{ index: 0, ...content, finish_reason: end ?? jsonNull }];
-        return `data: ${JSON.stringify({ ...this.frame("chunk"), choices })}\n\n`;
+        return `data: ${JSON.stringify({ ...this.envelope("chunk"), choices })}\n\n`;
     }
 }
--- a/packages/basilpaddle/src/node/daemon/entry/modelCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/modelCalls.ts
@@ -18,7 +18,7 @@
     type PrefixHash,
     type Refusal,
 } from "../../protocol/index.js";
-import { type CallerWishes, readWishes } from "./callerHeaders.js";
+import { type CallerOptions, readCallerOptions } from "./callerHeaders.js";
 import { ExpectedTokens } from "./expectedTokens.js";
 import { ModelAnswer } from "./modelAnswer.js";
 import {
@@ -29,19 +29,19 @@
     type ModelTarget,
     readModelRequest,
 } from "./modelRequest.js";
-import { notRun, sendKept, sendRefusal } from "./reply.js";
+import { notRun, sendRecordedAnswer, sendRefusal } from "./reply.js";
 import { parseJson, readBody } from "./requestBody.js";
 
-const defaultDeadline = 600_000;
+const defaultDeadlineMilliseconds = 600_000;
 
-/** What calls of models need. */
+/** Dependencies of the model API. */
 export type ModelCallParts = {
     readonly request: RequestParts;
     readonly prefixHash: PrefixHash;
     readonly limits: EntrySettings["limits"];
 };
 
-type Resolved = { readonly request: ModelRequest; readonly work: Work; };
+type ResolvedRequest = { readonly request: ModelRequest; readonly work: Work; };
 
 /** Serves /v1/chat/completions and /v1/completions. */
 export class ModelCalls {
@@ -53,7 +53,7 @@
         return new ModelCalls(parts);
     }
 
-    /** Answers one call; settles once the answer is written, refused or given up. */
+    /** Handles one call; settles once it is answered, refused or abandoned. */
     async serve(
         form: ModelForm,
         path: string,
@@ -76,10 +76,14 @@
             sendRefusal(response, refusal, requestId);
             return;
         }
-        await this.drive(resolved.extract() as Resolved, response, scope);
+        await this.drive(resolved.extract() as ResolvedRequest, response, scope);
     }
 
-    private async drive({ request, work }: Resolved, response: ServerResponse, scope: RequestScope): Promise<void> {
+    private async drive(
+        { request, work }: ResolvedRequest,
+        response: ServerResponse,
+        scope: RequestScope,
+    ): Promise<void> {
         const { request: parts, limits } = this.parts;
         const { requestId } = work;
         const answer = ModelAnswer.create({
@@ -89,24 +93,24 @@
             scope,
             clock: parts.clock,
             limits,
-            keeps: work.run !== undefined,
+            retainsText: work.run !== undefined,
         });
-        const gone = () => scope.stop("callerGone");
-        response.once("close", gone);
+        const onClose = () => scope.stop("callerGone");
+        response.once("close", onClose);
         if (response.destroyed) {
-            gone();
+            onClose();
         }
         const end = await RequestDriver.drive(parts, work, answer, scope);
-        response.off("close", gone);
+        response.off("close", onClose);
         if (end.kind === "replayed") {
-            sendKept(response, end.answer);
+            sendRecordedAnswer(response, end.answer);
         }
         else if (end.kind === "refused") {
             parts.logger.debug("request refused", { request: requestId, ...end.refusal });
             answer.refuse(end.refusal);
         }
         else {
-            this.expected.learn(work.pool, end.tokens);
+            this.expected.record(work.pool, end.tokens);
         }
     }
 
@@ -117,16 +121,16 @@
         request: IncomingMessage,
         bytes: Buffer,
         receivedAt: number,
-    ): Either<Refusal, Resolved> {
+    ): Either<Refusal, ResolvedRequest> {
         const declaration = this.parts.request.control.view().configuration.declaration;
-        return readWishes(request).chain(wishes =>
+        return readCallerOptions(request).chain(callerOptions =>
             parseJson(bytes)
                 .chain(body => readModelRequest(form, body))
                 .chain(model =>
-                    findTarget(declaration, wishes.organisation, model.model).chain(target =>
-                        runOf(wishes, target, path, bytes).map(run => ({
+                    findTarget(declaration, callerOptions.organisation, model.model).chain(target =>
+                        runIdentityOf(callerOptions, target, path, bytes).map(run => ({
                             request: model,
-                            work: this.work(requestId, receivedAt, wishes, model, target, run, path, bytes),
+                            work: this.work(requestId, receivedAt, callerOptions, model, target, run, path, bytes),
                         }))
                     )
                 )
@@ -136,19 +140,22 @@
     private work(
         requestId: string,
         receivedAt: number,
-        wishes: CallerWishes,
+        callerOptions: CallerOptions,
         request: ModelRequest,
         target: ModelTarget,
         run: RunIdentity | undefined,
         path: string,
         body: Buffer,
     ): Work {
-        const deadline = Math.min(target.route?.deadline ?? defaultDeadline, wishes.deadline ?? Infinity);
+        const deadline = Math.min(
+            target.route?.deadline ?? defaultDeadlineMilliseconds,
+            callerOptions.deadline ?? Infinity,
+        );
         return {
             requestId,
             pool: target.poolName,
-            organisation: wishes.organisation,
-            digest: digestOf({ caller: wishes.organisation, method: "POST", target: path, body }),
+            organisation: callerOptions.organisation,
+            digest: digestOf({ caller: callerOptions.organisation, method: "POST", target: path, body }),
             generation: {
                 ...generationOf(request, target),
                 version: servedVersion(this.parts.request.control.view(), target.poolName, target.model),
@@ -156,7 +163,7 @@
             promptTokens: estimateTokens(request.prompt),
             prefixes: this.parts.prefixHash.prefixes(request.prompt),
             blockTokens,
-            expectedTokens: this.expected.expect(target.poolName, request.maxTokens),
+            expectedTokens: this.expected.estimate(target.poolName, request.maxTokens),
             receivedAt,
             deadlineAt: receivedAt + deadline,
             targets: target.pool.targets,
@@ -165,19 +172,19 @@
     }
 }
 
-/** Names the run of a non-idempotent request. The route's mark and the caller's are both enough alone. */
-function runOf(
-    wishes: CallerWishes,
+/** Identifies the run of a non-idempotent request. Either the route or the caller can mark a request as non-idempotent. */
+function runIdentityOf(
+    callerOptions: CallerOptions,
     target: ModelTarget,
     path: string,
     bytes: Buffer,
 ): Either<Refusal, RunIdentity | undefined> {
-    if (target.route?.nonIdempotent !== true && !wishes.nonIdempotent) {
+    if (target.route?.nonIdempotent !== true && !callerOptions.nonIdempotent) {
         return Right(undefined);
     }
-    if (wishes.key === undefined) {
+    if (callerOptions.key === undefined) {
         return Left(notRun("keyMissing", `a non-idempotent request needs the header ${callerHeaders.key}`));
     }
-    // The path names the route: a route's own name may change between a request and its repetition.
-    return Right(identifyRun(wishes.organisation, path, wishes.key, bytes));
+    // The path stands for the route: the name of a route may change between a request and its retry.
+    return Right(identifyRun(callerOptions.organisation, path, callerOptions.key, bytes));
 }
--- a/packages/basilpaddle/src/node/daemon/entry/modelRequest.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/modelRequest.ts
@@ -13,13 +13,13 @@
 } from "../../protocol/index.js";
 import { notRun } from "./reply.js";
 
-/** The two forms in which callers ask for an answer. */
+/** The two request formats of the model API. */
 export type ModelForm = "chat" | "completion";
 
-/** A model request, checked against its schema. */
+/** A validated model request. */
 export type ModelRequest = {
     readonly form: ModelForm;
-    /** As the caller wrote it. */
+    /** As given by the caller, with the adapter if there is one. */
     readonly model: string;
     readonly stream: boolean;
     readonly includeUsage: boolean;
@@ -28,7 +28,7 @@
     readonly sampling: Readonly<Record<string, unknown>>;
 };
 
-/** Where a model request goes by the configuration. */
+/** The pool, route, model and adapter that the configuration assigns to a model request. */
 export type ModelTarget = {
     readonly poolName: string;
     readonly pool: Pool;
@@ -37,8 +37,8 @@
     readonly adapter: string | undefined;
 };
 
-/** Fields that the entry daemon itself goes by; all others are sampling parameters. */
-const ownFields = new Set([
+/** Fields that the entry daemon handles itself; all others are sampling parameters. */
+const handledFields = new Set([
     "model",
     "messages",
     "prompt",
@@ -50,45 +50,50 @@
     "user",
 ]);
 
-/** Checks a body by the schema of its form. */
+/** Validates a body against the schema of its format. */
 export function readModelRequest(form: ModelForm, body: unknown): Either<Refusal, ModelRequest> {
     if (form === "chat") {
         const chat = chatRequestSchema.safeParse(body);
         if (!chat.success) {
-            return Left(invalid(chat.error));
+            return Left(validationRefusal(chat.error));
         }
         const maxTokens = chat.data.max_completion_tokens ?? chat.data.max_tokens ?? defaultMaxTokens;
-        return Right(resolved(form, chat.data, promptOf(chat.data.messages), maxTokens));
+        return Right(buildModelRequest(form, chat.data, renderPrompt(chat.data.messages), maxTokens));
     }
     const completion = completionRequestSchema.safeParse(body);
     if (!completion.success) {
-        return Left(invalid(completion.error));
+        return Left(validationRefusal(completion.error));
     }
     return Right(
-        resolved(form, completion.data, completion.data.prompt, completion.data.max_tokens ?? defaultMaxTokens),
+        buildModelRequest(
+            form,
+            completion.data,
+            completion.data.prompt,
+            completion.data.max_tokens ?? defaultMaxTokens,
+        ),
     );
 }
 
-/** Finds the pool that carries the model, and the first route that matches. */
+/** Finds the pool that serves the model, and the first matching route. */
 export function findTarget(
     declaration: Declaration,
     organisation: string,
-    asked: string,
+    requestedModel: string,
 ): Either<Refusal, ModelTarget> {
-    const [model, adapter] = asked.split(":", 2) as [string, string | undefined];
+    const [model, adapter] = requestedModel.split(":", 2) as [string, string | undefined];
     for (const [poolName, pool] of Object.entries(declaration.pools)) {
-        const carried = pool.models.find(candidate => candidate.name === model);
-        if (carried !== undefined && (adapter === undefined || carried.adapters.includes(adapter))) {
+        const served = pool.models.find(candidate => candidate.name === model);
+        if (served !== undefined && (adapter === undefined || served.adapters.includes(adapter))) {
             const route = declaration.routes.find(candidate =>
                 (candidate.model ?? model) === model && (candidate.organisation ?? organisation) === organisation
             );
             return Right({ poolName, pool, route, model, adapter });
         }
     }
-    return Left(notRun("unknownModel", `no pool carries the model ${JSON.stringify(asked)}`));
+    return Left(notRun("unknownModel", `no pool serves the model ${JSON.stringify(requestedModel)}`));
 }
 
-/** What the engines are asked to compute. */
+/** Builds the generation parameters that the engines receive. */
 export function generationOf(request: ModelRequest, target: ModelTarget): Generation {
     return {
         model: target.model,
@@ -100,7 +105,7 @@
     };
 }
 
-function resolved(
+function buildModelRequest(
     form: ModelForm,
     fields: Pick<ChatRequest, "model" | "stream" | "stream_options">,
     prompt: string,
@@ -115,13 +120,13 @@
         maxTokens,
         sampling: Object.fromEntries(
             Object.entries(fields).filter(([name, value]) =>
-                !ownFields.has(name) && (value ?? undefined) !== undefined
+                !handledFields.has(name) && (value ?? undefined) !== undefined
             ),
         ),
     };
 }
 
-function promptOf(messages: ChatRequest["messages"]): string {
+function renderPrompt(messages: ChatRequest["messages"]): string {
     const texts = messages.map(({ role, content }) => {
         const text = typeof content === "string" ? content : content.map(part => part.text).join("");
         return `<|${role}|>\n${text}\n`;
@@ -129,7 +134,7 @@
     return `${texts.join("")}<|assistant|>\n`;
 }
 
-function invalid(error: z.ZodError): Refusal {
+function validationRefusal(error: z.ZodError): Refusal {
     const causes = error.issues.slice(0, 5).map(issue => `${issue.path.join(".") || "body"}: ${issue.message}`);
     return notRun("badRequest", causes.join("; "));
 }
--- a/packages/basilpaddle/src/node/daemon/entry/openRequests.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/openRequests.ts
@@ -1,9 +1,9 @@
 import type { RequestScope } from "../../coordination/request/index.js";
 
-/** The requests in progress, by identifier. */
+/** Tracks the requests in progress by identifier. */
 export class OpenRequests {
     private readonly scopes = new Map<string, RequestScope>();
-    private waiting: (() => void)[] = [];
+    private waiters: (() => void)[] = [];
 
     static create(): OpenRequests {
         return new OpenRequests();
@@ -20,21 +20,21 @@
     remove(requestId: string): void {
         this.scopes.delete(requestId);
         if (this.scopes.size === 0) {
-            const waiting = this.waiting;
-            this.waiting = [];
-            waiting.forEach(resolve => resolve());
+            const waiters = this.waiters;
+            this.waiters = [];
+            waiters.forEach(resolve => resolve());
         }
     }
 
     /** Settles once no request is in progress. */
-    ended(): Promise<void> {
-        return this.scopes.size === 0 ? Promise.resolve() : new Promise(resolve => this.waiting.push(resolve));
+    untilEmpty(): Promise<void> {
+        return this.scopes.size === 0 ? Promise.resolve() : new Promise(resolve => this.waiters.push(resolve));
     }
 
-    /** Stops all of them and gives their identifiers. */
-    cut(): readonly string[] {
-        const cut = [...this.scopes.keys()];
+    /** Stops all requests and returns their identifiers. */
+    stopAll(): readonly string[] {
+        const stopped = [...this.scopes.keys()];
         this.scopes.forEach(scope => scope.stop("shuttingDown"));
-        return cut;
+        return stopped;
     }
 }
--- a/packages/basilpaddle/src/node/daemon/entry/reply.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/reply.ts
@@ -10,15 +10,15 @@
     wireOutcomes,
 } from "../../protocol/index.js";
 
-/** Milliseconds for a caller to read an answer that came before it had sent its whole request. */
-const lingerTime = 1_000;
+/** How long a connection stays open after an answer that was sent before the request was received completely. */
+const lingerMilliseconds = 1_000;
 
-/** Makes a refusal of a request that nothing was sent for. */
+/** Builds a refusal of a request that was not forwarded to any backend server. */
 export function notRun(code: RefusalCode, message: string, retryAfter?: number): Refusal {
     return { code, outcome: "notRun", message, retryAfter };
 }
 
-/** Headers that tell a caller of a refusal. */
+/** Response headers of a refusal. */
 export function refusalHeaders(refusal: Refusal, requestId: string | undefined): Record<string, string> {
     const headers: Record<string, string> = { [callerHeaders.outcome]: wireOutcomes[refusal.outcome] };
     if (requestId !== undefined) {
@@ -30,7 +30,7 @@
     return headers;
 }
 
-/** Answers with a refusal. Nothing of the answer may have been written yet. */
+/** Answers with a refusal. If headers were already sent, the connection is destroyed instead. */
 export function sendRefusal(response: ServerResponse, refusal: Refusal, requestId: string): void {
     if (response.headersSent || response.destroyed) {
         response.destroy();
@@ -46,8 +46,9 @@
 }
 
 /**
- * Ends an answer that comes before the end of its request. Closing at once would reset the connection while the caller
- * still sends, and the reset can overtake the answer: the caller would see a broken connection and no reason.
+ * Ends an answer that is sent before its request was received completely. Closing at once would reset the connection
+ * while the caller still sends; the reset can overtake the answer, and the caller would see a connection error without
+ * the reason.
  */
 function endAfterRequest(response: ServerResponse, body: string): void {
     const request = response.req;
@@ -56,7 +57,7 @@
         return;
     }
     response.write(body);
-    const timer = setTimeout(() => response.end(), lingerTime);
+    const timer = setTimeout(() => response.end(), lingerMilliseconds);
     const end = () => {
         clearTimeout(timer);
         response.end();
@@ -73,8 +74,8 @@
     response.end(body);
 }
 
-/** Gives the answer of an earlier arrival again. */
-export function sendKept(response: ServerResponse, answer: KeptAnswer): void {
+/** Replays the recorded answer of an earlier request with the same key. */
+export function sendRecordedAnswer(response: ServerResponse, answer: KeptAnswer): void {
     response.writeHead(answer.status, {
         ...answer.headers,
         "content-length": answer.body.length,
@@ -83,10 +84,10 @@
     response.end(answer.body);
 }
 
-/** Outcome of a request that failed inside this daemon, where nothing more is known. */
-export const outcomeOfFault: Outcome = "unknown";
+/** Outcome of a request that failed with an internal error of this daemon: whether it ran isn't known. */
+export const internalErrorOutcome: Outcome = "unknown";
 
-/** A header's only value. Node joins a header that comes twice; the checks of each value refuse that. */
+/** A header's value. Repeated headers are joined, which the validation of each header then refuses. */
 export function header(request: IncomingMessage, name: string): string | undefined {
     const value = request.headers[name];
     return Array.isArray(value) ? value.join(",") : value;
--- a/packages/basilpaddle/src/node/daemon/entry/requestBody.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/requestBody.ts
@@ -4,17 +4,17 @@
 import type { Clock } from "../../utils/index.js";
 import { notRun } from "./reply.js";
 
-/** Told to a request whose body breaks the rules of HTTP while it comes. */
+/** Event emitted on a request whose body turns out to be malformed HTTP while it is received. */
 export const malformedEvent = "basilpaddleMalformed";
 
-/** Limits of a request's body. */
+/** Limits of a request's body, in bytes and milliseconds. */
 export type BodyLimits = { readonly bodyBytes: number; readonly receiveTimeout: number; };
 
 const decoder = new TextDecoder("utf-8", { fatal: true });
 
 /**
- * Reads a request's body whole. A body that is too large or too slow is refused while it still comes, and the
- * connection ends after the answer: the rest of it would be read as the next request.
+ * Reads the whole body of a request. A body that is too large or too slow is refused before it is received completely,
+ * and the connection closes after the answer: the rest of the body would be parsed as the next request.
  */
 export function readBody(
     request: IncomingMessage,
@@ -41,11 +41,17 @@
         };
         const disarm = clock.after(
             limits.receiveTimeout,
-            () => end(Left(notRun("requestTimeout", `no whole request within ${limits.receiveTimeout} ms`))),
+            () =>
+                end(Left(
+                    notRun(
+                        "requestTimeout",
+                        `the request was not received completely within ${limits.receiveTimeout} ms`,
+                    ),
+                )),
         );
-        request.on("error", () => end(Left(notRun("malformedBody", "the request ended before its body did"))));
-        request.on(malformedEvent, () => end(Left(notRun("malformedBody", "the body is not encoded as HTTP asks"))));
-        request.on("close", () => end(Left(notRun("callerGone", "the caller has gone"))));
+        request.on("error", () => end(Left(notRun("malformedBody", "the request ended before its body was complete"))));
+        request.on(malformedEvent, () => end(Left(notRun("malformedBody", "the body's HTTP encoding is invalid"))));
+        request.on("close", () => end(Left(notRun("callerGone", "the caller disconnected"))));
         if (Number(request.headers["content-length"] ?? 0) > limits.bodyBytes) {
             end(Left(tooLarge));
             return;
@@ -65,7 +71,7 @@
     });
 }
 
-/** Parses a body as JSON in UTF-8. */
+/** Parses a body as UTF-8 encoded JSON. */
 export function parseJson(body: Uint8Array): Either<Refusal, unknown> {
     try {
         return Right(JSON.parse(decoder.decode(body)));
--- a/packages/basilpaddle/src/node/daemon/entry/services/limitedBody.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/limitedBody.ts
@@ -1,12 +1,12 @@
 import type { IncomingMessage } from "node:http";
 import { Transform, type TransformCallback } from "node:stream";
 
-/** Code of the error of a body that grew over its limit. */
-export const bodyLimitCode = "ERR_BODY_LIMIT";
+/** Error code for a body that exceeds its size limit. */
+export const bodyLimitErrorCode = "ERR_BODY_LIMIT";
 
 /**
- * A request's body as a stream of its own, with a limit. Undici destroys the body of a call that fails, and with the
- * request itself the caller's connection would go, and the answer with it.
+ * A request's body as a separate stream with a size limit. Undici destroys the body of a call that fails; if that were
+ * the request itself, the caller's connection would be closed and the caller would get no answer.
  */
 export class LimitedBody extends Transform {
     private length = 0;
@@ -15,8 +15,8 @@
         super();
     }
 
-    /** The body, where the request has one. */
-    static of(request: IncomingMessage, limit: number): LimitedBody | undefined {
+    /** The request's body, undefined if it has none; `limit` is in bytes. */
+    static forRequest(request: IncomingMessage, limit: number): LimitedBody | undefined {
         const hasBody = request.headers["transfer-encoding"] !== undefined
             || Number(request.headers["content-length"] ?? 0) > 0;
         return hasBody ? request.pipe(new LimitedBody(limit)) : undefined;
@@ -25,7 +25,7 @@
     override _transform(chunk: Buffer, _encoding: BufferEncoding, done: TransformCallback): void {
         this.length += chunk.length;
         if (this.length > this.limit) {
-            done(Object.assign(new Error(`the body exceeds ${this.limit} bytes`), { code: bodyLimitCode }));
+            done(Object.assign(new Error(`the body exceeds ${this.limit} bytes`), { code: bodyLimitErrorCode }));
             return;
         }
         done(undefined, chunk);
--- a/packages/basilpaddle/src/node/daemon/entry/services/onceOnly.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/recordedCall.ts
@@ -5,79 +5,82 @@
 import { type ServiceCall, writeHead } from "./serviceCall.js";
 import { endToEnd } from "./serviceHeaders.js";
 
-const largestProof = 65_536;
-const largestKept = 262_144;
-const keptHeaders = ["content-type", "content-encoding", "location", "etag"];
+const maxProofBytes = 65_536;
+const maxRecordedBytes = 262_144;
+const recordedHeaders = ["content-type", "content-encoding", "location", "etag"];
 
 /**
- * Hands the answer of a recorded call on, and keeps it. The last piece waits for the record: a caller that has the
- * whole answer can be sure that a repetition gets it again. A caller who goes doesn't end the call: it may have been
- * carried out already, and its answer is what a repetition with the same key is given.
+ * Forwards the answer of a recorded call and records it. The last chunk is held until the record is stored, so a caller
+ * that received the whole answer can rely on a retry being given the same one. The call goes on if the caller
+ * disconnects: the service may have executed it already, and a retry with the same key is given its answer.
  */
-export async function handOver(
+export async function forwardRecordedAnswer(
     parts: RequestParts,
     run: Run,
     call: ServiceCall,
     answer: Dispatcher.ResponseData,
 ): Promise<void> {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     const mayProve = engineRefusalStatuses.has(answer.statusCode);
     let length = 0;
     let last: Buffer | undefined;
     try {
-        for await (const piece of answer.body as AsyncIterable<Buffer>) {
-            length += piece.length;
-            const isKept = length <= largestKept;
-            if (isKept) {
-                pieces.push(piece);
+        for await (const chunk of answer.body as AsyncIterable<Buffer>) {
+            length += chunk.length;
+            const isRecorded = length <= maxRecordedBytes;
+            if (isRecorded) {
+                chunks.push(chunk);
             }
-            if (mayProve && length <= largestProof) {
+            if (mayProve && length <= maxProofBytes) {
                 continue;
             }
             if (last === undefined) {
-                last = Buffer.concat(isKept ? pieces : [...pieces, piece]);
+                last = Buffer.concat(isRecorded ? chunks : [...chunks, chunk]);
                 continue;
             }
             if (!call.response.headersSent) {
                 writeHead(call, answer, undefined);
             }
             await write(call.response, last);
-            last = piece;
+            last = chunk;
         }
     }
     catch (failure) {
-        parts.logger.warn("answer of a service broke off", { request: call.requestId, failure: String(failure) });
+        parts.logger.warn("the answer of a service ended prematurely", {
+            request: call.requestId,
+            failure: String(failure),
+        });
         await parts.runs.finish(run, "failedAfterStarting", undefined);
         throw failure;
     }
-    const proved = mayProve && length <= largestProof && isProof(Buffer.concat(pieces));
+    const proved = mayProve && length <= maxProofBytes && isNotRunProof(Buffer.concat(chunks));
     const recorded = proved
         ? parts.runs.release(run)
-        : parts.runs.finish(run, "answered", length <= largestKept ? keep(answer, pieces) : undefined);
+        : parts.runs.finish(run, "answered", length <= maxRecordedBytes ? recordedAnswer(answer, chunks) : undefined);
     await untilAborted(recorded, call.scope.signal, undefined);
     if (!call.response.headersSent) {
         writeHead(call, answer, proved ? "notRun" : undefined);
     }
-    call.response.end(last ?? Buffer.concat(pieces));
+    call.response.end(last ?? Buffer.concat(chunks));
 }
 
-/** What a caller may be told of a call whose answer broke off. */
-export const outcomeOfBreak: Outcome = "failedAfterStarting";
+/** Outcome reported to the caller for a call whose answer ended prematurely. */
+export const brokenAnswerOutcome: Outcome = "failedAfterStarting";
 
-function keep(answer: Dispatcher.ResponseData, pieces: readonly Buffer[]): KeptAnswer {
+function recordedAnswer(answer: Dispatcher.ResponseData, chunks: readonly Buffer[]): KeptAnswer {
     const all = endToEnd(answer.headers);
     const headers: Record<string, string> = {};
-    for (const name of keptHeaders) {
+    for (const name of recordedHeaders) {
         const value = all[name];
         if (typeof value === "string") {
             headers[name] = value;
         }
     }
-    return { status: answer.statusCode, headers, body: Buffer.concat(pieces) };
+    return { status: answer.statusCode, headers, body: Buffer.concat(chunks) };
 }
 
-/** A service's 503 alone proves nothing: it may come from a part that gave up waiting for another. */
-function isProof(body: Buffer): boolean {
+/** A 503 status alone doesn't prove that the call wasn't executed: it may come from a component that timed out waiting for another. */
+function isNotRunProof(body: Buffer): boolean {
     try {
         return engineRefusalSchema.safeParse(JSON.parse(body.toString())).success;
     }
@@ -86,8 +89,8 @@
     }
 }
 
-function write(response: ServerResponse, piece: Buffer | undefined): Promise<void> {
-    if (piece === undefined || response.destroyed || response.write(piece)) {
+function write(response: ServerResponse, chunk: Buffer | undefined): Promise<void> {
+    if (chunk === undefined || response.destroyed || response.write(chunk)) {
         return Promise.resolve();
     }
     return new Promise(resolve => {
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceCall.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceCall.ts
@@ -11,12 +11,12 @@
     wireOutcomes,
 } from "../../../protocol/index.js";
 import type { DisposableStore } from "../../../utils/index.js";
-import { bodyLimitCode } from "./limitedBody.js";
+import { bodyLimitErrorCode } from "./limitedBody.js";
 import { provesNothingSent } from "./serviceConnections.js";
 import { endToEnd, forwardedHeaders } from "./serviceHeaders.js";
 import type { ServiceRoute } from "./serviceRoute.js";
 
-const retryAfterFault = 1_000;
+const retryAfterMilliseconds = 1_000;
 
 /** One call of a caller to a plain service. */
 export type ServiceCall = {
@@ -25,59 +25,63 @@
     readonly request: IncomingMessage;
     readonly response: ServerResponse;
     readonly scope: RequestScope;
-    /** What is released when the call has ended. */
+    /** Disposed when the call has ended. */
     readonly store: DisposableStore;
-    /** What it holds; undefined where that isn't known before it is sent. */
+    /** Digest and attempt of the call; undefined where the body isn't known before it is forwarded. */
     readonly arrived?: Arrived;
 };
 
-/** What became of sending a call to a copy of its service. */
-export type Sent =
-    | { readonly kind: "answer"; readonly answer: Dispatcher.ResponseData; readonly copy: Announcement; }
+/** Result of sending a call to an instance of its service. */
+export type SendResult =
+    | { readonly kind: "answer"; readonly answer: Dispatcher.ResponseData; readonly instance: Announcement; }
     | { readonly kind: "failed"; readonly refusal: Refusal; };
 
-/** Sends a call to a copy. Undici makes no second try of its own on either kind of dispatcher. */
+/** Sends a call to an instance. Undici doesn't retry by itself with either kind of dispatcher. */
 export async function sendTo(
     call: ServiceCall,
-    copy: Announcement,
+    instance: Announcement,
     dispatcher: Dispatcher,
     body: Dispatcher.DispatchOptions["body"],
     signal: AbortSignal,
-): Promise<Sent> {
+): Promise<SendResult> {
     try {
         const answer = await dispatcher.request({
-            origin: copy.url,
+            origin: instance.url,
             path: call.request.url ?? "/",
             method: call.request.method as Dispatcher.HttpMethod,
             headers: forwardedHeaders(call.request, call.requestId),
             body,
             signal,
         });
-        return { kind: "answer", answer, copy };
+        return { kind: "answer", answer, instance };
     }
     catch (failure) {
         const outcome = provesNothingSent(failure) ? "notRun" : "unknown";
-        if ((failure as NodeJS.ErrnoException).code === bodyLimitCode) {
-            return failed("bodyTooLarge", outcome, (failure as Error).message);
+        if ((failure as NodeJS.ErrnoException).code === bodyLimitErrorCode) {
+            return failedResult("bodyTooLarge", outcome, (failure as Error).message);
         }
         const code = call.scope.stopped ?? (outcome === "notRun" ? "noBackend" : "backendFailed");
-        return failed(code, outcome, `${copy.id}: ${(failure as Error).message}`);
+        return failedResult(code, outcome, `${instance.id}: ${(failure as Error).message}`);
     }
 }
 
-/** A call without an answer. */
-export function failed(code: RefusalCode, outcome: Outcome, message: string): Sent & { readonly kind: "failed"; } {
-    const retryAfter = outcome === "notRun" ? retryAfterFault : undefined;
+/** The result of a call without an answer. */
+export function failedResult(
+    code: RefusalCode,
+    outcome: Outcome,
+    message: string,
+): SendResult & { readonly kind: "failed"; } {
+    const retryAfter = outcome === "notRun" ? retryAfterMilliseconds : undefined;
     return { kind: "failed", refusal: { code, outcome, message, retryAfter } };
 }
 
-/** Begins the caller's answer with the service's own head. */
+/** Starts the caller's answer with the status and headers of the service's answer. */
 export function writeHead(call: ServiceCall, answer: Dispatcher.ResponseData, outcome: Outcome | undefined): void {
     const headers = endToEnd(answer.headers);
-    // A service that fails or refuses without a proof may have carried the call out all the same.
-    const told = outcome ?? (answer.statusCode >= 500 ? "unknown" : undefined);
-    if (told !== undefined) {
-        headers[callerHeaders.outcome] = wireOutcomes[told];
+    // A service that answers with a server error and no proof may still have executed the call.
+    const reportedOutcome = outcome ?? (answer.statusCode >= 500 ? "unknown" : undefined);
+    if (reportedOutcome !== undefined) {
+        headers[callerHeaders.outcome] = wireOutcomes[reportedOutcome];
     }
     headers[callerHeaders.requestId] = call.requestId;
     call.response.writeHead(answer.statusCode, headers);
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceCalls.ts
@@ -4,26 +4,26 @@
 import { identifyRun, type RequestParts, type RequestScope, type Run } from "../../../coordination/request/index.js";
 import { type Announcement, callerHeaders, type EntrySettings, type Refusal } from "../../../protocol/index.js";
 import { DisposableStore } from "../../../utils/index.js";
-import { type CallerWishes, readWishes } from "../callerHeaders.js";
-import { notRun, sendKept, sendRefusal } from "../reply.js";
+import { type CallerOptions, readCallerOptions } from "../callerHeaders.js";
+import { notRun, sendRecordedAnswer, sendRefusal } from "../reply.js";
 import { readBody } from "../requestBody.js";
 import { LimitedBody } from "./limitedBody.js";
-import { handOver, outcomeOfBreak } from "./onceOnly.js";
-import { failed, sendTo, type Sent, type ServiceCall, writeHead } from "./serviceCall.js";
+import { brokenAnswerOutcome, forwardRecordedAnswer } from "./recordedCall.js";
+import { failedResult, type SendResult, sendTo, type ServiceCall, writeHead } from "./serviceCall.js";
 import type { ServiceConnections } from "./serviceConnections.js";
 import type { ServiceRoute } from "./serviceRoute.js";
 
-/** What calls of plain services need. */
+/** Dependencies of calls to plain services. */
 export type ServiceCallParts = {
     readonly request: RequestParts;
     readonly limits: EntrySettings["limits"];
     readonly connections: ServiceConnections;
 };
 
-const firstFailure = 400;
-const viewExpired = failed("viewExpired", "notRun", "this daemon's view of the deployment is not confirmed");
+const firstErrorStatus = 400;
+const viewExpired = failedResult("viewExpired", "notRun", "this daemon's view of the deployment is not confirmed");
 
-/** Passes calls on to plain services. Nothing is ever answered from an earlier call, but from a recorded run. */
+/** Forwards calls to plain services. Answers are never cached; only a recorded run is replayed. */
 export class ServiceCalls {
     private constructor(private readonly parts: ServiceCallParts) {}
 
@@ -31,7 +31,7 @@
         return new ServiceCalls(parts);
     }
 
-    /** Answers one call. */
+    /** Handles one call. */
     async serve(
         route: ServiceRoute,
         requestId: string,
@@ -50,57 +50,60 @@
 
     private async answer(call: ServiceCall): Promise<void> {
         const { request, response, scope, route, store } = call;
-        const wishes = readWishes(request);
-        if (wishes.isLeft()) {
-            this.refuse(call, wishes.extract() as Refusal);
+        const parsed = readCallerOptions(request);
+        if (parsed.isLeft()) {
+            this.refuse(call, parsed.extract() as Refusal);
             return;
         }
-        const wished = wishes.extract() as CallerWishes;
-        const limit = Math.min(route.service.timeout, wished.deadline ?? Infinity);
+        const options = parsed.extract() as CallerOptions;
+        const limit = Math.min(route.service.timeout, options.deadline ?? Infinity);
         store.add(this.parts.request.clock.after(limit, () => scope.stop("deadlineExceeded")));
         const methods: readonly string[] = route.service.idempotentMethods;
-        if (wished.nonIdempotent || !methods.includes(request.method ?? "")) {
-            await this.serveOnce(call, wished, limit);
+        if (options.nonIdempotent || !methods.includes(request.method ?? "")) {
+            await this.serveAtMostOnce(call, options, limit);
             return;
         }
-        const gone = () => scope.stop("callerGone");
-        response.once("close", gone);
-        store.add(() => void response.off("close", gone));
-        await this.passOn(call, wished);
+        const onClose = () => scope.stop("callerGone");
+        response.once("close", onClose);
+        store.add(() => void response.off("close", onClose));
+        await this.forward(call, options);
     }
 
-    /** A call that may be repeated: streamed both ways; once more elsewhere if it is proved that nothing was sent. */
-    private async passOn(asked: ServiceCall, wished: CallerWishes): Promise<void> {
-        const body = LimitedBody.of(asked.request, this.parts.limits.bodyBytes);
-        // What a body holds that is streamed through isn't known before it is sent.
-        const call = body === undefined ? { ...asked, arrived: arrivedOf(asked, wished, body) } : asked;
-        const avoided = new Set<string>();
+    /**
+     * Forwards an idempotent call, streamed in both directions. A call without a body is retried once at another instance
+     * if it is certain that nothing was sent.
+     */
+    private async forward(received: ServiceCall, options: CallerOptions): Promise<void> {
+        const body = LimitedBody.forRequest(received.request, this.parts.limits.bodyBytes);
+        // The digest of a streamed body isn't known before the body is forwarded.
+        const call = body === undefined ? { ...received, arrived: arrivedOf(received, options, body) } : received;
+        const tried = new Set<string>();
         for (;;) {
             const sent = await this.send(
                 call,
-                avoided,
-                copy => sendTo(call, copy, this.parts.connections.shared, body, call.scope.signal),
+                tried,
+                instance => sendTo(call, instance, this.parts.connections.shared, body, call.scope.signal),
             );
             if (sent.kind === "answer") {
                 writeHead(call, sent.answer, undefined);
                 await pipeline(sent.answer.body, call.response).then(
-                    () => this.noteAnswer(call, sent),
-                    (failure: unknown) => this.cut(call, sent.copy, failure),
+                    () => this.reportAnswer(call, sent),
+                    (failure: unknown) => this.endBrokenAnswer(call, sent.instance, failure),
                 );
                 return;
             }
-            const mayRepeat = sent.refusal.code === "noBackend" && avoided.size === 1 && body === undefined;
-            if (!mayRepeat || call.scope.stopped !== undefined) {
+            const mayRetry = sent.refusal.code === "noBackend" && tried.size === 1 && body === undefined;
+            if (!mayRetry || call.scope.stopped !== undefined) {
                 this.refuse(call, sent.refusal);
                 return;
             }
         }
     }
 
-    /** A call that runs at most once: recorded before its first byte leaves, on a connection of its own. */
-    private async serveOnce(call: ServiceCall, wished: CallerWishes, limit: number): Promise<void> {
+    /** Handles a call that runs at most once: recorded before its first byte is sent, on a dedicated connection. */
+    private async serveAtMostOnce(call: ServiceCall, options: CallerOptions, limit: number): Promise<void> {
         const { request: parts, limits } = this.parts;
-        if (wished.key === undefined) {
+        if (options.key === undefined) {
             const message = `this call runs at most once and needs the header ${callerHeaders.key}`;
             this.refuse(call, notRun("keyMissing", message));
             return;
@@ -117,30 +120,33 @@
         }
         const { name } = call.route;
         const content = Buffer.concat([Buffer.from(`${call.request.method} ${call.request.url}\n`), body]);
-        const start = await parts.runs.start(identifyRun(wished.organisation, `/${name}`, wished.key, content), limit);
+        const start = await parts.runs.start(
+            identifyRun(options.organisation, `/${name}`, options.key, content),
+            limit,
+        );
         if (start.kind === "replayed") {
-            sendKept(call.response, start.answer);
+            sendRecordedAnswer(call.response, start.answer);
         }
         else if (start.kind === "refused") {
             this.refuse(call, start.refusal);
         }
         else {
-            await this.carryOut({ ...call, arrived: arrivedOf(call, wished, body) }, start.run, body);
+            await this.runRecorded({ ...call, arrived: arrivedOf(call, options, body) }, start.run, body);
         }
     }
 
-    private async carryOut(call: ServiceCall, run: Run, body: Buffer): Promise<void> {
+    private async runRecorded(call: ServiceCall, run: Run, body: Buffer): Promise<void> {
         const { runs } = this.parts.request;
         const connections = this.parts.connections;
-        const sent = await this.send(call, new Set(), async copy => {
-            const connection = connections.forOneCall(copy);
+        const sent = await this.send(call, new Set(), async instance => {
+            const connection = connections.createDedicated(instance);
             call.store.add(() => connection.destroy());
-            return sendTo(call, copy, connection, body.length > 0 ? body : undefined, call.scope.signal);
+            return sendTo(call, instance, connection, body.length > 0 ? body : undefined, call.scope.signal);
         });
         if (sent.kind === "answer") {
-            await handOver(this.parts.request, run, call, sent.answer).then(
-                () => this.noteAnswer(call, sent),
-                (failure: unknown) => this.cut(call, sent.copy, failure),
+            await forwardRecordedAnswer(this.parts.request, run, call, sent.answer).then(
+                () => this.reportAnswer(call, sent),
+                (failure: unknown) => this.endBrokenAnswer(call, sent.instance, failure),
             );
             return;
         }
@@ -151,58 +157,59 @@
 
     private async send(
         call: ServiceCall,
-        avoided: Set<string>,
-        sendToCopy: (copy: Announcement) => Promise<Sent>,
-    ): Promise<Sent> {
+        tried: Set<string>,
+        sendToInstance: (instance: Announcement) => Promise<SendResult>,
+    ): Promise<SendResult> {
         const { control, marks } = this.parts.request;
         const { name } = call.route;
         const { crashes, logger } = this.parts.request;
-        const held = call.arrived && heldRefusal(crashes, call.arrived, logger);
-        if (held !== undefined) {
-            return { kind: "failed", refusal: held };
+        const quarantined = call.arrived && heldRefusal(crashes, call.arrived, logger);
+        if (quarantined !== undefined) {
+            return { kind: "failed", refusal: quarantined };
         }
-        const isAvoided = (copy: Announcement) => avoided.has(copy.id) || marks.isLeaving(copy.id, copy.incarnation);
-        const copy = this.parts.connections.pick(control.view(), name, isAvoided);
-        if (copy === undefined) {
-            return failed("noBackend", "notRun", `no copy of the service ${name} is ready`);
+        const isExcluded = (instance: Announcement) =>
+            tried.has(instance.id) || marks.isLeaving(instance.id, instance.incarnation);
+        const instance = this.parts.connections.pick(control.view(), name, isExcluded);
+        if (instance === undefined) {
+            return failedResult("noBackend", "notRun", `no instance of the service ${name} is ready`);
         }
-        avoided.add(copy.id);
+        tried.add(instance.id);
         if (!control.mayStart()) {
             return viewExpired;
         }
         if (call.scope.stopped !== undefined) {
-            return failed(call.scope.stopped, "notRun", "stopped before it was sent");
+            return failedResult(call.scope.stopped, "notRun", "stopped before the call was sent");
         }
-        call.store.add(this.parts.connections.enter(copy));
-        const sent = await sendToCopy(copy);
+        call.store.add(this.parts.connections.trackCall(instance));
+        const sent = await sendToInstance(instance);
         if (sent.kind === "failed" && sent.refusal.code === "backendFailed") {
-            this.noteLoss(call, copy);
+            this.reportLostInstance(call, instance);
         }
         return sent;
     }
 
-    private noteLoss({ arrived }: ServiceCall, copy: Announcement): void {
+    private reportLostInstance({ arrived }: ServiceCall, instance: Announcement): void {
         if (arrived !== undefined) {
-            void this.parts.request.crashes.lost(arrived, lifeOf(copy), "whole");
+            void this.parts.request.crashes.lost(arrived, lifeOf(instance), "whole");
         }
     }
 
-    private noteAnswer({ arrived }: ServiceCall, { answer }: Extract<Sent, { kind: "answer"; }>): void {
-        if (arrived !== undefined && answer.statusCode < firstFailure) {
+    private reportAnswer({ arrived }: ServiceCall, { answer }: Extract<SendResult, { kind: "answer"; }>): void {
+        if (arrived !== undefined && answer.statusCode < firstErrorStatus) {
             this.parts.request.crashes.answered(arrived);
         }
     }
 
-    private cut(call: ServiceCall, copy: Announcement, failure: unknown): void {
+    private endBrokenAnswer(call: ServiceCall, instance: Announcement, failure: unknown): void {
         if (call.scope.stopped === undefined) {
-            this.noteLoss(call, copy);
+            this.reportLostInstance(call, instance);
         }
-        this.parts.request.logger.warn("call of a service broke off", {
+        this.parts.request.logger.warn("call to a service ended prematurely", {
             request: call.requestId,
             failure: String(failure),
         });
         const code = call.scope.stopped ?? "backendFailed";
-        this.refuse(call, { code, outcome: outcomeOfBreak, message: "the service's answer broke off" });
+        this.refuse(call, { code, outcome: brokenAnswerOutcome, message: "the service's answer ended prematurely" });
     }
 
     private refuse(call: ServiceCall, refusal: Refusal): void {
@@ -215,8 +222,8 @@
     }
 }
 
-function arrivedOf(call: ServiceCall, wished: CallerWishes, body: Buffer | undefined): Arrived {
+function arrivedOf(call: ServiceCall, options: CallerOptions, body: Buffer | undefined): Arrived {
     const { method = "GET", url = "/" } = call.request;
-    const digest = digestOf({ caller: wished.organisation, method, target: url, body });
+    const digest = digestOf({ caller: options.organisation, method, target: url, body });
     return { digest, attempt: call.requestId };
 }
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceConnections.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceConnections.ts
@@ -2,13 +2,13 @@
 import type { Announcement, View } from "../../../protocol/index.js";
 import type { Randomness } from "../../../utils/index.js";
 
-const connectTimeout = 1_000;
-/** Shorter than the usual 5 s of servers, so that a service rarely closes a connection under a request. */
-const keepAliveTimeout = 2_000;
-const mostConnections = 64;
-/** undici's own limits would end long or idle streams; a call has its own. */
-const noLimits = { headersTimeout: 0, bodyTimeout: 0 };
-const closedBeforeSending = new Set([
+const connectTimeoutMilliseconds = 1_000;
+/** Shorter than the usual 5 s of servers, so that a service rarely closes a connection while a request is sent on it. */
+const keepAliveTimeoutMilliseconds = 2_000;
+const maxConnectionsPerInstance = 64;
+/** Undici's default timeouts would end long or idle streams; each call has its own timeout. */
+const noTimeouts = { headersTimeout: 0, bodyTimeout: 0 };
+const connectErrorCodes = new Set([
     "ECONNREFUSED",
     "EHOSTUNREACH",
     "ENETUNREACH",
@@ -16,23 +16,23 @@
     "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-/** Whether the failure proves that no byte of the request was sent. */
+/** Whether the error proves that no byte of the request was sent. */
 export function provesNothingSent(failure: unknown): boolean {
-    return closedBeforeSending.has((failure as { readonly code?: string; }).code ?? "");
+    return connectErrorCodes.has((failure as { readonly code?: string; }).code ?? "");
 }
 
-/** Connections to plain services, and how many calls are open at each. */
+/** Connections to plain services, and the number of open calls at each instance. */
 export class ServiceConnections {
-    /** For calls that may be repeated. */
+    /** For idempotent calls. */
     readonly shared: Dispatcher = new Agent({
-        ...noLimits,
-        connect: { timeout: connectTimeout },
-        connections: mostConnections,
-        keepAliveTimeout,
-        keepAliveMaxTimeout: keepAliveTimeout,
+        ...noTimeouts,
+        connect: { timeout: connectTimeoutMilliseconds },
+        connections: maxConnectionsPerInstance,
+        keepAliveTimeout: keepAliveTimeoutMilliseconds,
+        keepAliveMaxTimeout: keepAliveTimeoutMilliseconds,
         pipelining: 1,
     });
-    private readonly open = new Map<string, number>();
+    private readonly openCalls = new Map<string, number>();
 
     private constructor(private readonly randomness: Randomness) {}
 
@@ -40,47 +40,51 @@
         return new ServiceConnections(randomness);
     }
 
-    /** The less busy of two ready copies drawn at random. */
-    pick(view: View, service: string, isAvoided: (copy: Announcement) => boolean): Announcement | undefined {
-        const copies = Object.values(view.backends)
+    /** Picks the less busy of two ready instances drawn at random. */
+    pick(view: View, service: string, isExcluded: (instance: Announcement) => boolean): Announcement | undefined {
+        const instances = Object.values(view.backends)
             .filter(({ announcement, state }) => state === "ready" && announcement.role === "service")
             .map(({ announcement }) => announcement)
-            .filter(copy => copy.pool === service && !isAvoided(copy));
-        if (copies.length === 0) {
+            .filter(instance => instance.pool === service && !isExcluded(instance));
+        if (instances.length === 0) {
             return undefined;
         }
-        const one = copies[this.randomness.integer(0, copies.length - 1)] as Announcement;
-        const other = copies[this.randomness.integer(0, copies.length - 1)] as Announcement;
-        return this.openAt(one) <= this.openAt(other) ? one : other;
+        const one = instances[this.randomness.integer(0, instances.length - 1)] as Announcement;
+        const other = instances[this.randomness.integer(0, instances.length - 1)] as Announcement;
+        return this.openCallsAt(one) <= this.openCallsAt(other) ? one : other;
     }
 
     /** Counts a call as open until the returned function is called. */
-    enter(copy: Announcement): () => void {
-        this.open.set(copy.id, this.openAt(copy) + 1);
+    trackCall(instance: Announcement): () => void {
+        this.openCalls.set(instance.id, this.openCallsAt(instance) + 1);
         return () => {
-            const left = this.openAt(copy) - 1;
+            const left = this.openCallsAt(instance) - 1;
             if (left > 0) {
-                this.open.set(copy.id, left);
+                this.openCalls.set(instance.id, left);
             }
             else {
-                this.open.delete(copy.id);
+                this.openCalls.delete(instance.id);
             }
         };
     }
 
     /**
-     * For one call that may not be repeated: a connection of its own. On a kept-alive one the service may just have
-     * closed its end, and the reset that follows doesn't tell whether the service took the request.
+     * Creates a dedicated connection for one call that must not be retried. The service may have just closed its end of
+     * a kept-alive connection, and the reset that follows doesn't say whether it received the request.
      */
-    forOneCall(copy: Announcement): Dispatcher {
-        return new Client(copy.url, { ...noLimits, connect: { timeout: connectTimeout }, pipelining: 1 });
+    createDedicated(instance: Announcement): Dispatcher {
+        return new Client(instance.url, {
+            ...noTimeouts,
+            connect: { timeout: connectTimeoutMilliseconds },
+            pipelining: 1,
+        });
     }
 
     async close(): Promise<void> {
         await this.shared.destroy();
     }
 
-    private openAt(copy: Announcement): number {
-        return this.open.get(copy.id) ?? 0;
+    private openCallsAt(instance: Announcement): number {
+        return this.openCalls.get(instance.id) ?? 0;
     }
 }
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceHeaders.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceHeaders.ts
@@ -1,7 +1,7 @@
 import type { IncomingHttpHeaders, IncomingMessage } from "node:http";
 import { callerHeaders } from "../../../protocol/index.js";
 
-/** Headers that belong to one connection and not to the message. */
+/** Headers that apply to a single connection (hop-by-hop) and aren't forwarded. */
 const hopByHop = [
     "connection",
     "keep-alive",
@@ -14,7 +14,7 @@
     "upgrade",
 ];
 
-/** Headers of a message without those that belong to its connection. */
+/** The end-to-end headers of a message, without the hop-by-hop ones and those that `connection` names. */
 export function endToEnd(headers: IncomingHttpHeaders): Record<string, string | string[]> {
     const named = String(headers.connection ?? "").toLowerCase().split(",").map(name => name.trim());
     const dropped = new Set([...hopByHop, ...named]);
@@ -27,10 +27,10 @@
     return kept;
 }
 
-/** Headers of a request as they go on to a service. */
+/** Headers of a request as forwarded to a service. */
 export function forwardedHeaders(request: IncomingMessage, requestId: string): Record<string, string | string[]> {
     const headers = endToEnd(request.headers);
-    // The wait for "100 Continue" is over once the body is here.
+    // "100 Continue" has already been answered when the body arrives.
     delete headers.expect;
     const before = headers["x-forwarded-for"];
     const from = request.socket.remoteAddress ?? "unknown";
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceRoute.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceRoute.ts
@@ -1,9 +1,9 @@
 import type { Declaration, Service } from "../../../protocol/index.js";
 
-/** A plain service that a request goes to. */
+/** The plain service that a request is routed to. */
 export type ServiceRoute = { readonly name: string; readonly service: Service; };
 
-/** Finds the service of a host and path. One that names the host goes before one that doesn't, then the longer prefix. */
+/** Finds the service for a host and path. A service with a matching host takes precedence, then the longest prefix. */
 export function findService(
     declaration: Declaration,
     host: string | undefined,
@@ -13,20 +13,20 @@
     return Object.entries(declaration.services)
         .map(([serviceName, service]) => ({ name: serviceName, service }))
         .filter(({ service }) => service.host === undefined || service.host.toLowerCase() === name)
-        .filter(({ service }) => isBelow(path, service.pathPrefix))
-        .sort((one, other) => weight(other.service) - weight(one.service))[0];
+        .filter(({ service }) => matchesPrefix(path, service.pathPrefix))
+        .sort((one, other) => specificity(other.service) - specificity(one.service))[0];
 }
 
-/** Whether a path has segments that servers resolve differently, so that two could take it for two places. */
+/** Whether a path is relative or has dot segments, which two servers could resolve to different resources. */
 export function isAmbiguous(path: string): boolean {
     return !path.startsWith("/") || path.split("/").some(segment => /^(\.|%2e){1,2}$/i.test(segment));
 }
 
-function weight(service: Service): number {
+function specificity(service: Service): number {
     return service.pathPrefix.length + (service.host === undefined ? 0 : 1_000_000);
 }
 
-function isBelow(path: string, prefix: string): boolean {
+function matchesPrefix(path: string, prefix: string): boolean {
     return path.startsWith(prefix)
         && (path.length === prefix.length || prefix.endsWith("/") || path[prefix.length] === "/");
 }
