--- a/packages/basilpaddle/src/node/daemon/control/__tests__/controlDaemon.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/controlDaemon.spec.ts
@@ -8,15 +8,15 @@
 
 const logger = createSilentLogger();
 const clock = SystemClock.create();
-/** Long enough that nothing happens because a lease ran out. */
-const endlessLease = 600_000;
+/** Long enough that no lease expires during a test. */
+const longLeaseMilliseconds = 600_000;
 
 describe("a control daemon", () => {
     let daemon: ControlDaemon;
     let replica: SoloReplica;
     let link: Link;
 
-    beforeEach(() => start(endlessLease));
+    beforeEach(() => start(longLeaseMilliseconds));
 
     afterEach(stop);
 
@@ -69,23 +69,23 @@
         return answer as Extract<PeerAnswer, { kind: "viewAnswer"; }>;
     }
 
-    async function untilHeld(): Promise<void> {
+    async function untilCommitted(): Promise<void> {
         while (daemon.status().view().configuration.revision === 0) {
             await confirm("watcher", 0);
         }
     }
 
-    it("gives a follower the steps that it lacks, and nothing when it lacks none", async () => {
+    it("sends a follower the steps that it is missing, and nothing if it is up to date", async () => {
         await propose(commands.open("a"));
         await propose(commands.announce("w", 1));
         const behind = await confirm("a", 0);
         expect(behind.steps!.map(step => step.index)).to.deep.equal([1, 2]);
-        const level = await confirm("a", 2);
-        expect(level).to.include({ appendedView: 2, committedView: 2, voting: true });
-        expect(level).not.to.have.any.keys("steps", "snapshot");
+        const upToDate = await confirm("a", 2);
+        expect(upToDate).to.include({ appendedView: 2, committedView: 2, voting: true });
+        expect(upToDate).not.to.have.any.keys("steps", "snapshot");
     });
 
-    it("gives the whole view to a follower that lacks hundreds of steps", async () => {
+    it("sends the whole view to a follower that is missing hundreds of steps", async () => {
         for (let count = 0; count < 300; count++) {
             await daemon.propose(commands.announce("w", count));
         }
@@ -94,7 +94,7 @@
         expect(snapshot!.index).to.equal(300);
     });
 
-    it("refuses a declaration that contradicts itself, with all findings and without proposing it", async () => {
+    it("refuses an inconsistent declaration with all findings, without proposing it", async () => {
         const command = commands.change("one", 0) as Extract<Command, { kind: "changeConfiguration"; }>;
         command.change.declaration.routes.push({
             name: "r",
@@ -110,33 +110,33 @@
         expect(daemon.status().history()).to.deep.equal([]);
     });
 
-    it("refuses a change that is larger than a command may be, and goes on", async () => {
-        // Symptom: the operator's connection breaks without a reason. Cause: the log refuses the command by a throw.
+    it("refuses a change that exceeds the size limit of commands, and keeps working", async () => {
+        // Failure: the operator's connection was closed without a reason, since the log throws on a command of this size.
         const command = commands.change("one", 0) as Extract<Command, { kind: "changeConfiguration"; }>;
         command.change.files = [{ name: "big.json", text: "x".repeat(8 * 1024 * 1024) }];
         expect((await propose(command) as { message: string; }).message).to.match(/the limit is 8388608/);
         expect((await propose(commands.open("a"))).kind).to.equal("result");
     });
 
-    it("answers a request that doesn't fit the protocol, and goes on", async () => {
+    it("answers a request that doesn't match the protocol, and keeps working", async () => {
         expect((await ask({ kind: "propose" } as PeerRequest)).kind).to.equal("failure");
         expect((await propose(commands.open("a"))).kind).to.equal("result");
     });
 
     it("answers `undecided` for a change when leadership ends before it is in force", async () => {
-        // Symptom: an operator is told `accepted`, and a daemon works by the old configuration. Sequence: the change is
-        // held, a session hasn't applied it, another leader comes and goes. Cause: an answer given over its term's end.
+        // Failure: an operator was answered `accepted` while a daemon still used the old configuration. The change is
+        // committed, a session hasn't applied it, and leadership changes twice; the answer was given beyond the end of its term.
         await propose(commands.open("a"));
         const answer = propose(commands.change("one", 0));
-        await untilHeld();
+        await untilCommitted();
         expect(daemon.status().configuration()).to.deep.include({ revision: 1, inForceEverywhere: false });
         replica.changeLeadership();
         expect(await answer).to.include({ kind: "undecided" });
     });
 
-    it("answers `undecided` when it finds, after waiting, that it doesn't lead any more", async () => {
-        // Symptom as above. Sequence: the leader is frozen while it waits, wakes, and finds the lease run out. Cause:
-        // an answer by what it knew of its leadership before.
+    it("answers `undecided` if it no longer leads after waiting for a change to be in force", async () => {
+        // Failure as above. The leader process is suspended while it waits, and the lease has expired when it resumes; the
+        // answer was based on its knowledge of leadership from before.
         await stop();
         await start(100);
         replica.confirms = false;
--- a/packages/basilpaddle/src/node/daemon/control/__tests__/controlGroup.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/controlGroup.spec.ts
@@ -6,7 +6,7 @@
 import { Follower } from "./follower.js";
 
 const names = ["one", "two", "three"];
-const hour = 3_600_000;
+const hourMilliseconds = 3_600_000;
 
 describe("a group of control daemons", () => {
     let group: ControlGroup;
@@ -29,10 +29,10 @@
         return created;
     }
 
-    it("answers a resend with the first answer when the leader is killed during a change", async () => {
-        // Symptom: an operator resends after a lost answer and is told of a conflict with itself, or the change is
-        // applied twice. Sequence: the change is held by a quorum, the leader is killed before it answers, the same
-        // change goes to the next leader. Cause: the answer kept only in the memory of the leader.
+    it("answers a resent change with the first answer after the leader was killed during the change", async () => {
+        // Failure: an operator that resends a change after a lost answer gets a conflict with its own change, or the
+        // change is applied twice. A quorum holds the change, the leader is killed before it answers, and the same change
+        // is sent to the next leader; the answer was kept only in the memory of the killed one.
         const entry = await follower("entry-1");
         const former = await group.leader();
         const first = group.daemon(former).propose(commands.change("one", 0));
@@ -54,7 +54,7 @@
         }
     });
 
-    it("grants leases, and grants those of a dead daemon anew under a higher fencing number", async () => {
+    it("grants leases, and grants those of a dead daemon to another one with a higher fence", async () => {
         const [first, second] = [await follower("entry-1"), await follower("entry-2")];
         const held = await until("a holder", () => second.view().leases.orders ?? undefined);
         const [dead, alive] = held.holder.daemon === "entry-1" ? [first, second] : [second, first];
@@ -67,10 +67,10 @@
         expect(alive.view().sessions).to.have.all.keys(alive.session.daemon);
     });
 
-    it("keeps the session of an entry daemon that only the leader can't hear", async () => {
-        // Symptom: an entry daemon stops starting work, and what it runs is freed at the engines, though most control
-        // daemons hear it. Sequence: the connection between it and the leader goes silent for longer than the session
-        // timeout. Cause: the leader closed sessions by its own hearing alone.
+    it("keeps the session of an entry daemon that is disconnected from only the leader", async () => {
+        // Failure: an entry daemon stops starting work and its requests are cancelled at the engines, although most control
+        // daemons receive its heartbeats. Its connection to the leader fails silently for longer than the session timeout,
+        // and the leader closed sessions based only on the heartbeats that it received itself.
         const leader = await group.leader();
         const [cut, other] = [await follower("entry-1"), await follower("entry-2")];
         cut.avoid(leader);
@@ -86,34 +86,34 @@
         expect(cut.view().configuration.changeId).to.equal("one");
     });
 
-    it("brings a daemon that missed hundreds of changes up by the whole view and the steps after it", async () => {
+    it("brings a daemon that missed hundreds of changes up to date by the whole view and the steps after it", async () => {
         const entry = await follower("entry-1");
-        await until("a holder, after which the view rests", () => entry.view().leases.orders);
+        await until("a lease holder, after which the view doesn't change", () => entry.view().leases.orders);
         const late = new Follower(group, "entry-2");
         followers.push(late);
         await Promise.all(Array.from({ length: 500 }, (_, count) => entry.propose(commands.announce(`w${count}`, 1))));
         const [asked] = names as [string];
         const newest = group.daemon(asked).status();
-        await until("all of them there", () => Object.keys(newest.view().backends).length === 500 || undefined);
+        await until("all announcements applied", () => Object.keys(newest.view().backends).length === 500 || undefined);
         await late.ask(asked);
         expect(late.snapshots).to.equal(1);
         expect(late.view()).to.deep.equal(newest.view());
         await entry.propose(commands.announce("last", 1));
-        await until("the last one there", () => newest.view().backends.last);
+        await until("the last announcement applied", () => newest.view().backends.last);
         await late.ask(asked);
         expect(late.snapshots).to.equal(1);
         expect(late.view()).to.deep.equal(newest.view());
         expect(Object.keys(late.view().backends)).to.have.length(501);
     });
 
-    it("never gives an old view from a control daemon that was cut off for an hour", async () => {
-        // Symptom: a daemon goes back to a configuration of an hour ago. Sequence: the leader is cut off silently with
-        // one entry daemon's question on its way, the others accept changes, then it answers. Cause: an answer taken
-        // for the newest because its sender still believes that it leads.
+    it("never sends an old view from a control daemon that was isolated for an hour", async () => {
+        // Failure: a daemon reverts to a configuration from an hour ago. The leader is isolated without an error while the
+        // request of an entry daemon is in transit, the others accept changes, and then the old leader answers; its answer
+        // was treated as the newest because it still considers itself the leader.
         const entry = await follower("entry-1");
         const cut = await group.leader();
         group.cut(cut);
-        group.clocks.get(cut)!.shift += hour;
+        group.clocks.get(cut)!.shift += hourMilliseconds;
         for (let base = 0; base < 2; base++) {
             await entry.propose(commands.change(`change-${base}`, base));
         }
@@ -127,10 +127,10 @@
         expect(entry.view().configuration.changeId).to.equal("change-1");
     });
 
-    it("goes on from its disks after all of them end at once", async () => {
+    it("recovers from its disks after all daemons were killed at once", async () => {
         const entry = await follower("entry-1");
         await entry.propose(commands.change("one", 0));
-        // Its record outlives the test by the length of its life: a new leader counts that from its own start.
+        // The run record doesn't expire during the test: a new leader counts its lifetime from its own start.
         await entry.propose(commands.start("k", "t"));
         await Promise.all(names.map(name => group.kill(name)));
         await Promise.all(names.map(name => group.start(name)));
@@ -141,10 +141,10 @@
         });
     });
 
-    it("refuses a second process on a data folder before it touches anything there", async () => {
-        // Symptom: two leaders in one term, or a log without its last records. Sequence: a control daemon is started a
-        // second time, by hand beside its service. Cause: the second one opens the folder, which cuts off what it takes
-        // for the rest of a crash; only afterwards the port is found taken, or never where the settings name another.
+    it("refuses a second process on a data folder before changing anything in it", async () => {
+        // Failure: two leaders in one term, or a log without its last records. A control daemon is started manually while
+        // its service runs. The second process opens the folder, which truncates what looks like the remains of a crash;
+        // the port is found in use only afterwards, or never if the settings specify another one.
         const entry = await follower("entry-1");
         const [name] = names as [string];
         const folder = group.settings(name).dataFolder;
--- a/packages/basilpaddle/src/node/daemon/control/__tests__/follower.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/follower.ts
@@ -7,21 +7,21 @@
 
 type ViewAnswer = Extract<PeerAnswer, { kind: "viewAnswer"; }>;
 
-/** Milliseconds until a control daemon that doesn't answer is given up; longer than a change takes to be in force. */
-const proposeTimeout = 1_500;
+/** Timeout of a proposal; longer than a change takes to be in force. */
+const proposeTimeoutMilliseconds = 1_500;
 
-/** Milliseconds for the answer to a question, with a whole view in it on a busy machine. */
-const askTimeout = 2_000;
+/** Timeout of a request to confirm the view; allows for an answer with a whole view on a busy machine. */
+const askTimeoutMilliseconds = 2_000;
 
-/** A small entry daemon: asks every control daemon at intervals and follows the view. */
+/** A minimal entry daemon: asks every control daemon at intervals to confirm its view, and applies the changes. */
 export class Follower {
     readonly session: Incarnation;
-    /** How often it took over a whole view. */
+    /** Number of whole views applied. */
     snapshots = 0;
     private state = ViewState.create();
     private readonly links: ReadonlyMap<string, Link>;
     private stopped = false;
-    private avoided: string | undefined;
+    private avoidedDaemon: string | undefined;
 
     constructor(group: ControlGroup, daemon: string) {
         this.session = commands.session(daemon);
@@ -29,7 +29,7 @@
         this.links = new Map(group.settings(group.names[0]!).controls.map(each => [each.name, network.link(each)]));
     }
 
-    /** Opens the session, and asks on and on. */
+    /** Opens the session and starts polling. */
     async start(): Promise<void> {
         await this.propose(commands.open(this.session.daemon));
         this.follow();
@@ -37,7 +37,7 @@
 
     follow(): void {
         for (const name of this.links.keys()) {
-            void this.askOn(name);
+            void this.pollRepeatedly(name);
         }
     }
 
@@ -45,7 +45,7 @@
         return this.state.view();
     }
 
-    /** Asks one control daemon once and takes in what it sends. */
+    /** Asks one control daemon once and applies its answer. */
     async ask(name: string): Promise<ViewAnswer | undefined> {
         const request: PeerRequest = {
             kind: "confirmView",
@@ -55,22 +55,23 @@
             renewals: [],
             wantsSteps: true,
         };
-        const answer = (await this.links.get(name)!.request(request, askTimeout)).toMaybe().extract() as
+        const answer = (await this.links.get(name)!.request(request, askTimeoutMilliseconds)).toMaybe().extract() as
             | ViewAnswer
             | undefined;
         if (answer !== undefined) {
-            this.take(answer);
+            this.applyAnswer(answer);
         }
         return answer;
     }
 
-    /** Proposes the same command again and again until a leader answers. */
+    /** Proposes a command repeatedly until a leader answers. */
     async propose(command: Command): Promise<Extract<PeerAnswer, { kind: "result"; }>> {
         for (;;) {
             for (const link of this.links.values()) {
-                const answer = (await link.request({ kind: "propose", command }, proposeTimeout)).toMaybe().extract() as
-                    | PeerAnswer
-                    | undefined;
+                const answer = (await link.request({ kind: "propose", command }, proposeTimeoutMilliseconds)).toMaybe()
+                    .extract() as
+                        | PeerAnswer
+                        | undefined;
                 if (answer?.kind === "result") {
                     return answer;
                 }
@@ -79,9 +80,9 @@
         }
     }
 
-    /** Says nothing more to one control daemon, as behind a cut between the two. */
+    /** Stops polling one control daemon, as if a network partition separated the two. */
     avoid(name: string): void {
-        this.avoided = name;
+        this.avoidedDaemon = name;
     }
 
     stop(): void {
@@ -89,16 +90,16 @@
         this.links.forEach(link => link.close());
     }
 
-    private async askOn(name: string): Promise<void> {
+    private async pollRepeatedly(name: string): Promise<void> {
         while (!this.stopped) {
-            if (name !== this.avoided) {
+            if (name !== this.avoidedDaemon) {
                 await this.ask(name);
             }
             await new Promise(resolve => setTimeout(resolve, 30));
         }
     }
 
-    private take(answer: ViewAnswer): void {
+    private applyAnswer(answer: ViewAnswer): void {
         if (answer.snapshot !== undefined && answer.snapshot.index > this.view().index) {
             this.state = ViewState.fromSnapshot(answer.snapshot);
             this.snapshots += 1;
--- a/packages/basilpaddle/src/node/daemon/control/__tests__/soloReplica.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/soloReplica.ts
@@ -3,15 +3,15 @@
 import type { StateMachine } from "../../../state/index.js";
 import type { Clock } from "../../../utils/index.js";
 
-/** A group of one: every command is held and applied at once. Leadership is what the test says. */
+/** A group of one replica: every command is committed and applied at once. The test sets its leadership. */
 export class SoloReplica extends Replica {
     leading = true;
-    /** Whether a round to a quorum finds that it still leads. */
+    /** Whether a round trip to a quorum confirms leadership. */
     confirms = true;
     private index = 0;
-    private appended = 0;
-    private readonly applied = new Set<Parameters<Replica["onApplied"]>[0]>();
-    private readonly leadership = new Set<(leading: boolean) => void>();
+    private lastViewIndex = 0;
+    private readonly appliedListeners = new Set<Parameters<Replica["onApplied"]>[0]>();
+    private readonly leadershipListeners = new Set<(leading: boolean) => void>();
 
     constructor(private readonly stateMachine: StateMachine, private readonly clock: Clock) {
         super();
@@ -22,9 +22,9 @@
             return Promise.resolve({ kind: "notLeader", leader: undefined });
         }
         const index = ++this.index;
-        this.appended = isViewCommand(command) ? index : this.appended;
+        this.lastViewIndex = isViewCommand(command) ? index : this.lastViewIndex;
         const result = this.stateMachine.apply(index, command);
-        this.applied.forEach(listener => listener(index, command, result));
+        this.appliedListeners.forEach(listener => listener(index, command, result));
         return Promise.resolve({ kind: "result", index, result });
     }
 
@@ -43,7 +43,7 @@
             lastIndex: this.index,
             committedIndex: this.index,
             committedTerm: 1,
-            appendedView: this.appended,
+            appendedView: this.lastViewIndex,
         };
     }
 
@@ -52,24 +52,24 @@
     }
 
     override onApplied(listener: Parameters<Replica["onApplied"]>[0]): () => void {
-        this.applied.add(listener);
-        return () => this.applied.delete(listener);
+        this.appliedListeners.add(listener);
+        return () => this.appliedListeners.delete(listener);
     }
 
     override onLeadership(listener: (leading: boolean) => void): () => void {
-        this.leadership.add(listener);
-        return () => this.leadership.delete(listener);
+        this.leadershipListeners.add(listener);
+        return () => this.leadershipListeners.delete(listener);
     }
 
     override close(): Promise<void> {
         return Promise.resolve();
     }
 
-    /** Loses leadership and has it again at once, as after an election that it won. */
+    /** Loses leadership and regains it at once, as after winning an election. */
     changeLeadership(): void {
         for (const leading of [false, true]) {
             this.leading = leading;
-            this.leadership.forEach(listener => listener(leading));
+            this.leadershipListeners.forEach(listener => listener(leading));
         }
     }
 }
--- a/packages/basilpaddle/src/node/daemon/control/controlDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/control/controlDaemon.ts
@@ -5,18 +5,18 @@
 import { type Clock, DisposableStore, type Logger, type Randomness } from "../../utils/index.js";
 import { ControlStatus } from "./controlStatus.js";
 import type { ControlCore } from "./core.js";
-import { Duties } from "./duties.js";
 import { openGroupReplica } from "./groupReplica.js";
-import { HearingRelay } from "./hearingRelay.js";
 import { Lifecycle, type LifecycleState } from "./lifecycle.js";
+import { LivenessRelay } from "./livenessRelay.js";
 import { PeerService } from "./peerService.js";
 import { type ProposalAnswer, Proposals } from "./proposals.js";
-import { SessionEnds } from "./sessionEnds.js";
+import { SessionEndDetector } from "./sessionEndDetector.js";
+import { SupervisorLoop } from "./supervisorLoop.js";
 
-/** Makes the replica that feeds the state machine; `onFailure` is called once if it had to stop by itself. */
-export type ReplicaMaker = (stateMachine: StateMachine, onFailure: (error: unknown) => void) => Promise<Replica>;
+/** Creates the replica that applies commands to the state machine; `onFailure` is called once if the replica stops because of an error. */
+export type ReplicaFactory = (stateMachine: StateMachine, onFailure: (error: unknown) => void) => Promise<Replica>;
 
-/** What a control daemon needs. */
+/** Settings and dependencies of a control daemon. */
 export type ControlDaemonOptions = {
     readonly settings: ControlSettings;
     readonly clock: Clock;
@@ -24,15 +24,15 @@
     readonly logger: Logger;
     /** @default TCP */
     readonly network?: Network;
-    /** @default a replica of the group in the settings, with its state in their data folder */
-    readonly replica?: ReplicaMaker;
-    /** Called once if the replica had to stop by itself; the process should close the daemon and end. */
+    /** @default a replica of the group in the settings, with its state in the data folder of the settings */
+    readonly replica?: ReplicaFactory;
+    /** Called once if the replica stops because of an error; the process should close the daemon and exit. */
     readonly onFailure?: (error: unknown) => void;
-    /** Answers requests over links that are none of this daemon's own kinds; undefined for those that nobody knows. */
+    /** Answers requests over links of kinds that this daemon doesn't handle itself; resolves to undefined for unknown kinds. */
     readonly otherRequests?: (body: unknown) => Promise<unknown>;
 };
 
-/** One control daemon: a copy of the replicated log, answers to other daemons, and the leader's duties while it leads. */
+/** A control daemon: a replica of the log, the service for other daemons, and the leader's tasks while it leads. */
 export class ControlDaemon {
     private constructor(
         private readonly store: DisposableStore,
@@ -40,11 +40,11 @@
         private readonly server: TcpServer,
         private readonly proposals: Proposals,
         private readonly operatorStatus: ControlStatus,
-        /** Requests under which backend servers ended. */
+        /** Requests that are quarantined because backend servers crashed while running them. */
         readonly held: HeldRequests,
     ) {}
 
-    /** Opens the replica and listens for other daemons. Whatever was opened is closed again if a later part fails. */
+    /** Opens the replica and listens for other daemons. If a later step fails, everything opened before is closed again. */
     static async create(options: ControlDaemonOptions): Promise<ControlDaemon> {
         const store = DisposableStore.create();
         try {
@@ -61,12 +61,12 @@
         const lifecycle = Lifecycle.create();
         const ledger = Ledger.create();
         const onFailure = (error: unknown): void => {
-            logger.fatal("the replica stopped; this control daemon takes no further part", { error });
-            lifecycle.take("failed");
+            logger.fatal("the replica failed; this control daemon no longer takes part in its group", { error });
+            lifecycle.send("failed");
             options.onFailure?.(error);
         };
-        const makeReplica = options.replica ?? groupReplica(options, store);
-        const replica = await makeReplica(ledger, onFailure);
+        const createReplica = options.replica ?? groupReplica(options, store);
+        const replica = await createReplica(ledger, onFailure);
         const core: ControlCore = {
             name: settings.name,
             timing: settings.timing,
@@ -74,62 +74,62 @@
             logger,
             ledger,
             replica,
-            hearing: Hearing.create(),
+            livenessTable: Hearing.create(),
             inForce: InForce.create(settings.timing, clock.monotonic()),
-            held: HeldRequests.create({ rules: settings.holds, tell: () => undefined, clock, logger }),
+            quarantine: HeldRequests.create({ rules: settings.holds, tell: () => undefined, clock, logger }),
         };
         const proposals = Proposals.create(core);
         const status = ControlStatus.create(core);
-        // The replica is closed before the server: handing leadership over still needs answers to come in.
+        // The replica is closed before the server: transferring leadership still needs the answers of other daemons.
         const service = PeerService.create(core, proposals);
         const handler: LinkHandler = async body => await options.otherRequests?.(body) ?? service.handle(body);
         const server = await openServer(settings.peers, handler, logger, replica);
         store.add(() => server.close());
         store.add(() => replica.close());
-        follow(core, proposals, status, store);
-        const supervisor = Supervisor.create(settings.name, settings.timing, core.hearing);
-        const duties = Duties.create(core, supervisor);
-        store.add(() => duties.close());
-        duties.start();
-        const relay = HearingRelay.create(core, settings.controls, options.network ?? TcpNetwork.create(logger));
+        subscribe(core, proposals, status, store);
+        const supervisor = Supervisor.create(settings.name, settings.timing, core.livenessTable);
+        const supervisorLoop = SupervisorLoop.create(core, supervisor);
+        store.add(() => supervisorLoop.close());
+        supervisorLoop.start();
+        const relay = LivenessRelay.create(core, settings.controls, options.network ?? TcpNetwork.create(logger));
         store.add(() => relay.close());
         relay.start();
-        lifecycle.take("started");
-        return new ControlDaemon(store, lifecycle, server, proposals, status, core.held);
+        lifecycle.send("started");
+        return new ControlDaemon(store, lifecycle, server, proposals, status, core.quarantine);
     }
 
-    /** Where it stands between its start and its end. */
+    /** Current state of the lifecycle. */
     state(): LifecycleState {
         return this.lifecycle.state();
     }
 
-    /** The port that other daemons reach it on. */
+    /** Port of the listener for other daemons. */
     port(): number {
         return this.server.port();
     }
 
-    /** What operators get to see. */
+    /** Status as reported to operators. */
     status(): ControlStatus {
         return this.operatorStatus;
     }
 
-    /** Proposes a command, if this control daemon leads; a change of the configuration once it is in force. */
+    /** Proposes a command if this control daemon leads. A change of the configuration is answered once it is in force. */
     propose(command: Command): Promise<ProposalAnswer> {
         return this.proposals.propose(command);
     }
 
-    /** Hands leadership over, stops serving and releases everything. */
+    /** Transfers leadership, stops serving and releases all resources. */
     async close(): Promise<void> {
-        if (this.lifecycle.take("stop")) {
+        if (this.lifecycle.send("stop")) {
             await this.store.dispose();
-            this.lifecycle.take("stopped");
+            this.lifecycle.send("stopped");
         }
     }
 }
 
-function groupReplica(options: ControlDaemonOptions, store: DisposableStore): ReplicaMaker {
+function groupReplica(options: ControlDaemonOptions, store: DisposableStore): ReplicaFactory {
     return async (stateMachine, onFailure) => {
-        // Before the folder is looked at: opening it already repairs what a process that still writes left unfinished.
+        // Taken before the folder is opened: opening discards unfinished writes, which may belong to a process still running.
         const lock = await FolderLock.create(options.settings.dataFolder);
         store.add(() => lock.close());
         return openGroupReplica({
@@ -158,34 +158,34 @@
     }
 }
 
-/** Keeps what is beside the replicated state up to date with it. */
-function follow(core: ControlCore, proposals: Proposals, status: ControlStatus, store: DisposableStore): void {
-    const { replica, ledger, clock, inForce, hearing } = core;
-    let ends = SessionEnds.create(ledger.view());
+/** Updates the state outside of the replicated state when commands are applied or leadership changes. */
+function subscribe(core: ControlCore, proposals: Proposals, status: ControlStatus, store: DisposableStore): void {
+    const { replica, ledger, clock, inForce, livenessTable } = core;
+    let sessionEnds = SessionEndDetector.create(ledger.view());
     let restores = ledger.restores();
-    const noteRestore = (): void => {
+    const detectRestore = (): void => {
         if (ledger.restores() !== restores) {
             restores = ledger.restores();
-            ends = SessionEnds.create(ledger.view());
+            sessionEnds = SessionEndDetector.create(ledger.view());
             inForce.noteClosing(clock.monotonic());
-            status.noteChange();
+            status.recordChange();
         }
     };
     store.add(replica.onApplied((_index, command, result) => {
-        noteRestore();
-        if (ends.ended(command, result, ledger.view())) {
+        detectRestore();
+        if (sessionEnds.endedUnannounced(command, result, ledger.view())) {
             inForce.noteClosing(clock.monotonic());
         }
         if (command.kind === "announceBackend") {
             const { id, incarnation } = command.announcement;
-            hearing.heardBackend(id, incarnation, clock.monotonic());
+            livenessTable.heardBackend(id, incarnation, clock.monotonic());
         }
         if (command.kind === "changeConfiguration") {
-            status.noteChange();
+            status.recordChange();
         }
     }));
     store.add(replica.onLeadership(() => {
-        noteRestore();
-        proposals.lookAgain();
+        detectRestore();
+        proposals.recheckWaiting();
     }));
 }
--- a/packages/basilpaddle/src/node/daemon/control/controlStatus.ts
+++ b/packages/basilpaddle/src/node/daemon/control/controlStatus.ts
@@ -3,74 +3,74 @@
 import type { AuditEntry, AuditQuery, HistoryEntry } from "../../state/index.js";
 import type { ControlCore } from "./core.js";
 
-/** What this control daemon knows of an entry daemon with an open session. */
-export type SessionStanding = {
+/** Status of an open session of an entry daemon, as known to this control daemon. */
+export type OpenSessionStatus = {
     readonly session: Incarnation;
     readonly failureDomain: string;
-    /** Newest view index and revision that it said it has applied; undefined where it wasn't heard here. */
+    /** Latest view index and revision that the entry daemon reported as applied; undefined without a heartbeat received here. */
     readonly applied: number | undefined;
     readonly revision: number | undefined;
-    /** Milliseconds since it was last heard here. */
+    /** Milliseconds since its last heartbeat received here. */
     readonly silence: number | undefined;
 };
 
-/** Where the accepted configuration is in force. */
-export type ConfigurationStanding = {
+/** On which daemons the accepted configuration is in force. */
+export type ConfigurationStatus = {
     readonly revision: number;
-    /** Whether it is in force on every daemon that may start work, as far as this control daemon can tell. */
+    /** Whether it is in force on every daemon that may start work, as far as this control daemon knows. */
     readonly inForceEverywhere: boolean;
     /** Daemons with an open session that haven't confirmed it. */
     readonly waitingFor: readonly string[];
 };
 
-/** What operators get to see of a control daemon. */
+/** Status of a control daemon as reported to operators. */
 export class ControlStatus {
     private lastChange: HeldChange;
 
     private constructor(private readonly core: ControlCore) {
-        this.lastChange = this.heldNow();
+        this.lastChange = this.currentChange();
     }
 
     static create(core: ControlCore): ControlStatus {
         return new ControlStatus(core);
     }
 
-    /** What the replica knows of itself and its group. */
+    /** Status of the replica and its group. */
     standing(): ReplicaStanding {
         return this.core.replica.standing();
     }
 
-    /** Whether it led throughout a round trip to a quorum that began after the call. */
+    /** Whether the replica led during a whole round trip to a quorum that began after the call; `timeout` is in milliseconds. */
     confirmLeadership(timeout: number): Promise<boolean> {
         return this.core.replica.confirmLeadership(timeout);
     }
 
-    /** The view as applied here. */
+    /** The view of the commands applied here. */
     view(): View {
         return this.core.ledger.view();
     }
 
-    /** Every open session. */
-    sessions(): readonly SessionStanding[] {
+    /** Status of every open session. */
+    sessions(): readonly OpenSessionStatus[] {
         const now = this.core.clock.monotonic();
         return Object.values(this.view().sessions).map(({ session, failureDomain }) => {
-            const word = this.core.hearing.session(session);
+            const heartbeat = this.core.livenessTable.session(session);
             return {
                 session,
                 failureDomain,
-                applied: word?.applied,
-                revision: word?.revision,
-                silence: word === undefined ? undefined : now - word.heardAt,
+                applied: heartbeat?.applied,
+                revision: heartbeat?.revision,
+                silence: heartbeat === undefined ? undefined : now - heartbeat.heardAt,
             };
         });
     }
 
-    /** Where the accepted configuration is in force. */
-    configuration(): ConfigurationStanding {
-        const { replica, clock, inForce, hearing } = this.core;
+    /** On which daemons the accepted configuration is in force. */
+    configuration(): ConfigurationStatus {
+        const { replica, clock, inForce, livenessTable } = this.core;
         const now = clock.monotonic();
         const leadingSince = replica.standing().leadingSince ?? now;
-        const status = inForce.status(this.lastChange, leadingSince, this.view(), hearing, now);
+        const status = inForce.status(this.lastChange, leadingSince, this.view(), livenessTable, now);
         return {
             revision: this.view().configuration.revision,
             inForceEverywhere: status.kind === "inForce",
@@ -78,27 +78,27 @@
         };
     }
 
-    /** Entries of the audit trail, the newest first. */
+    /** Entries of the audit trail, newest first. */
     audit(query: AuditQuery): readonly AuditEntry[] {
         return this.core.ledger.auditPage(query);
     }
 
-    /** The accepted configurations, the oldest first. */
+    /** Accepted configurations, oldest first. */
     history(): readonly HistoryEntry[] {
         return this.core.ledger.history();
     }
 
-    /** Run records held, and bytes of their kept answers. */
+    /** Number of stored run records, and the size of their recorded answers in bytes. */
     runUsage(): { readonly records: number; readonly answerBytes: number; } {
         return this.core.ledger.runUsage();
     }
 
-    /** Notes that a change of the configuration was applied, or that the state was replaced by a snapshot. */
-    noteChange(): void {
-        this.lastChange = this.heldNow();
+    /** Records that a change of the configuration was applied, or that a snapshot replaced the state. */
+    recordChange(): void {
+        this.lastChange = this.currentChange();
     }
 
-    private heldNow(): HeldChange {
+    private currentChange(): HeldChange {
         return { index: this.core.ledger.view().index, heldAt: this.core.clock.monotonic() };
     }
 }
--- a/packages/basilpaddle/src/node/daemon/control/core.ts
+++ b/packages/basilpaddle/src/node/daemon/control/core.ts
@@ -3,7 +3,7 @@
 import type { Ledger } from "../../state/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
 
-/** What the parts of a control daemon share. */
+/** Dependencies shared by the parts of a control daemon. */
 export type ControlCore = {
     readonly name: string;
     readonly timing: Timing;
@@ -11,8 +11,8 @@
     readonly logger: Logger;
     readonly ledger: Ledger;
     readonly replica: Replica;
-    readonly hearing: Hearing;
+    readonly livenessTable: Hearing;
     readonly inForce: InForce;
-    /** What all daemons know of requests under which backend servers ended. */
-    readonly held: HeldRequests;
+    /** Requests that are quarantined because backend servers crashed while running them, as known to all daemons. */
+    readonly quarantine: HeldRequests;
 };
--- a/packages/basilpaddle/src/node/daemon/control/declarationCheck.ts
+++ b/packages/basilpaddle/src/node/daemon/control/declarationCheck.ts
@@ -4,26 +4,26 @@
 import { Origin } from "../../state/configuration/origin.js";
 import { encodeFrame } from "../../transport/index.js";
 
-/** Findings name a merged declaration, whose files the checks don't know here. */
-const mergedDeclaration = "declaration";
+/** Stands for a file name in findings: the declaration arrives merged, so its files aren't known here. */
+const mergedDeclarationName = "declaration";
 
-/** Bytes of a command that a change doesn't fill: its kind and its time. */
-const commandOverhead = 1_024;
+/** Space in a command for its kind and its time, in addition to the change. */
+const commandOverheadBytes = 1_024;
 
-/** All that is wrong in a change whose parts fit the schema. */
+/** All findings in a change that matches the schema. */
 export function checkChange(change: Change): readonly Finding[] {
     const findings = declarationFindings(change.declaration, Origin.create(), "check")
-        .map(finding => ({ ...finding, file: mergedDeclaration }));
-    const bytes = encodeFrame(change).length + commandOverhead;
+        .map(finding => ({ ...finding, file: mergedDeclarationName }));
+    const bytes = encodeFrame(change).length + commandOverheadBytes;
     return bytes <= commandLimit ? findings : [...findings, {
-        file: mergedDeclaration,
+        file: mergedDeclarationName,
         place: "",
-        cause: `the change takes ${bytes} bytes with the text of its files; the limit is ${commandLimit}`,
+        cause: `the change has ${bytes} bytes including the text of its files; the limit is ${commandLimit}`,
         cure: "divide what rarely changes into fewer, shorter entries",
     }];
 }
 
-/** All findings as one text for a person. */
+/** Formats all findings as one human-readable text. */
 export function findingsText(findings: readonly Finding[]): string {
     return findings.map(formatFinding).join("\n");
 }
--- a/packages/basilpaddle/src/node/daemon/control/groupReplica.ts
+++ b/packages/basilpaddle/src/node/daemon/control/groupReplica.ts
@@ -4,7 +4,7 @@
 import type { Network } from "../../transport/index.js";
 import type { Clock, DisposableStore, Logger, Randomness } from "../../utils/index.js";
 
-/** What the replica of a control daemon needs. */
+/** Settings and dependencies of the replica of a control daemon. */
 export type GroupReplicaOptions = {
     readonly settings: ControlSettings;
     readonly clock: Clock;
@@ -14,11 +14,11 @@
     readonly disk: Disk;
     readonly stateMachine: StateMachine;
     readonly onFailure: (error: unknown) => void;
-    /** Takes over the links to the other control daemons. */
+    /** Takes ownership of the links to the other control daemons. */
     readonly store: DisposableStore;
 };
 
-/** Opens the replica of this control daemon in the group that its settings name. */
+/** Opens the replica of this control daemon in the group given by its settings. */
 export function openGroupReplica(options: GroupReplicaOptions): Promise<Replica> {
     const { settings, network, store, ...rest } = options;
     const peers = new Map(
@@ -37,8 +37,8 @@
 }
 
 /**
- * Prepares the empty data folder of one control daemon that a new group starts with. Every one of the first control
- * daemons is prepared with the same cluster name, once; a daemon that lost its data is not prepared but only started.
+ * Initialises the empty data folder of a control daemon of a new group. Each of the first control daemons is initialised
+ * once, with the same cluster name; a daemon that lost its data must only be started, not initialised again.
  */
 export async function initialiseControl(settings: ControlSettings, cluster: string): Promise<Identity> {
     const lock = await FolderLock.create(settings.dataFolder);
--- a/packages/basilpaddle/src/node/daemon/control/lifecycle.ts
+++ b/packages/basilpaddle/src/node/daemon/control/lifecycle.ts
@@ -9,17 +9,17 @@
     states: {
         starting: { on: { started: "serving", failed: "failed", stop: "stopping" } },
         serving: { on: { failed: "failed", stop: "stopping" } },
-        // It must not vote or answer any more, but what it holds still has to be released.
+        // The daemon must not vote or answer any more, but its resources still have to be released.
         failed: { on: { stop: "stopping" } },
         stopping: { on: { stopped: "stopped" } },
         stopped: { type: "final" },
     },
 });
 
-/** Where a control daemon stands between its start and its end. */
+/** States in the lifecycle of a control daemon. */
 export type LifecycleState = "starting" | "serving" | "failed" | "stopping" | "stopped";
 
-/** The lifecycle of a control daemon. An event that doesn't fit the state changes nothing. */
+/** The lifecycle of a control daemon. An event without a transition from the current state is ignored. */
 export class Lifecycle {
     private readonly actor = createActor(machine).start();
 
@@ -27,13 +27,13 @@
         return new Lifecycle();
     }
 
-    /** The state now. */
+    /** The current state. */
     state(): LifecycleState {
         return this.actor.getSnapshot().value;
     }
 
-    /** Takes in an event; returns whether the state changed by it. */
-    take(type: LifecycleEvent["type"]): boolean {
+    /** Sends an event; returns whether it changed the state. */
+    send(type: LifecycleEvent["type"]): boolean {
         const before = this.state();
         this.actor.send({ type });
         return this.state() !== before;
--- /dev/null
+++ b/packages/basilpaddle/src/node/daemon/control/livenessRelay.ts
@@ -0,0 +1,76 @@
+import type { ControlSettings, PeerRequest } from "../../protocol/index.js";
+import type { Link, Network } from "../../transport/index.js";
+import type { ControlCore } from "./core.js";
+
+type LivenessMessage = Extract<PeerRequest, { kind: "heard"; }>;
+
+/**
+ * Reports to the leader the sessions and backend servers that sent heartbeats to this control daemon. Without it, an
+ * entry daemon that is disconnected from only the leader would have its view confirmed by the other control daemons while
+ * the leader closes its session as silent: it would stop starting work although a majority of the control daemons receives
+ * its heartbeats, and the requests that it still runs would be cancelled at the engines.
+ */
+export class LivenessRelay {
+    private readonly links: ReadonlyMap<string, Link>;
+    private reportedUpTo: number;
+    private cancelTimer: (() => void) | undefined;
+    private closed = false;
+
+    private constructor(private readonly core: ControlCore, controls: ControlSettings["controls"], network: Network) {
+        this.links = new Map(
+            controls.filter(({ name }) => name !== core.name).map(control => [control.name, network.link(control)]),
+        );
+        this.reportedUpTo = core.clock.monotonic();
+    }
+
+    static create(core: ControlCore, controls: ControlSettings["controls"], network: Network): LivenessRelay {
+        return new LivenessRelay(core, controls, network);
+    }
+
+    /** Sends a report to the leader now and at each view interval. */
+    start(): void {
+        if (this.closed) {
+            return;
+        }
+        this.sendReport();
+        this.cancelTimer = this.core.clock.after(this.core.timing.viewInterval, () => this.start());
+    }
+
+    /** Stops reporting and closes the links. */
+    close(): void {
+        this.closed = true;
+        this.cancelTimer?.();
+        for (const link of this.links.values()) {
+            link.close();
+        }
+    }
+
+    /** A lost message needs no retry: those that are still alive send another heartbeat before the next report. */
+    private sendReport(): void {
+        const { leader, leading } = this.core.replica.standing();
+        const report = this.core.livenessTable.heardAfter(this.reportedUpTo);
+        this.reportedUpTo = this.core.clock.monotonic();
+        const link = leading || leader === undefined ? undefined : this.links.get(leader);
+        if (link !== undefined && report.sessions.length + report.renewals.length > 0) {
+            link.send({ kind: "heard", ...report } satisfies LivenessMessage);
+        }
+    }
+}
+
+/**
+ * Merges the heartbeats that another control daemon received. What an entry daemon has applied stays true however late the
+ * report arrives. The heartbeat itself is dated with the time of arrival, which can keep a session open for the delay of
+ * the report, but no longer.
+ */
+export function mergeLivenessMessage(
+    { livenessTable, clock }: Pick<ControlCore, "livenessTable" | "clock">,
+    message: LivenessMessage,
+): void {
+    const now = clock.monotonic();
+    for (const { session, applied, revision } of message.sessions) {
+        livenessTable.heardSession(session, { applied, revision }, now);
+    }
+    for (const { id, incarnation } of message.renewals) {
+        livenessTable.heardBackend(id, incarnation, now);
+    }
+}
--- a/packages/basilpaddle/src/node/daemon/control/peerService.ts
+++ b/packages/basilpaddle/src/node/daemon/control/peerService.ts
@@ -1,7 +1,7 @@
 import { findingsOf, type PeerAnswer, type PeerRequest, peerRequestSchema } from "../../protocol/index.js";
 import type { ControlCore } from "./core.js";
 import { findingsText } from "./declarationCheck.js";
-import { noteHeard } from "./hearingRelay.js";
+import { mergeLivenessMessage } from "./livenessRelay.js";
 import type { ProposalAnswer, Proposals } from "./proposals.js";
 import { answerConfirmView } from "./viewAnswers.js";
 
@@ -13,7 +13,7 @@
         return new PeerService(core, proposals);
     }
 
-    /** Answers one request. A request that doesn't fit the protocol gets a failure that says why. */
+    /** Answers one request. A request that doesn't match the schema is answered with a failure that gives the reasons. */
     async handle(body: unknown): Promise<PeerAnswer> {
         const request = peerRequestSchema.safeParse(body);
         if (!request.success) {
@@ -29,12 +29,12 @@
                 return { kind: "received" };
             case "confirmView": {
                 const answer = answerConfirmView(this.core, request);
-                this.proposals.lookAgain();
+                this.proposals.recheckWaiting();
                 return answer;
             }
             case "heard":
-                noteHeard(this.core, request);
-                this.proposals.lookAgain();
+                mergeLivenessMessage(this.core, request);
+                this.proposals.recheckWaiting();
                 return { kind: "received" };
             case "propose":
                 return toPeer(await this.proposals.propose(request.command));
--- a/packages/basilpaddle/src/node/daemon/control/proposals.ts
+++ b/packages/basilpaddle/src/node/daemon/control/proposals.ts
@@ -3,14 +3,14 @@
 import type { ControlCore } from "./core.js";
 import { checkChange } from "./declarationCheck.js";
 
-/** What became of a proposal at this control daemon. */
+/** Result of a proposal at this control daemon. */
 export type ProposalAnswer =
     | Proposal
-    /** Nothing was proposed, because of what is wrong in the declaration. */
+    /** Nothing was proposed because the declaration is invalid. */
     | { readonly kind: "findings"; readonly findings: readonly Finding[]; };
 
-/** Election timeouts that a proposal may take, and that a round of confirming leadership may take. */
-const patienceInElections = 4;
+/** Timeout of a proposal, and of confirming leadership, in election timeouts. */
+const timeoutInElections = 4;
 
 /** Proposes commands; a change of the configuration is answered only when it is in force everywhere. */
 export class Proposals {
@@ -22,34 +22,35 @@
         return new Proposals(core);
     }
 
-    /** Proposes a command, if this control daemon leads. */
+    /** Proposes a command if this control daemon leads. */
     async propose(command: Command): Promise<ProposalAnswer> {
         const findings = command.kind === "changeConfiguration" ? checkChange(command.change) : [];
         if (findings.length > 0) {
             return { kind: "findings", findings };
         }
-        const proposal = await this.core.replica.propose(command, this.patience());
+        const proposal = await this.core.replica.propose(command, this.timeoutMilliseconds());
         if (proposal.kind !== "result" || proposal.result.kind !== "accepted") {
             return proposal;
         }
         return this.acceptedOnceInForce(proposal);
     }
 
-    /** Looks again at the changes that wait to be in force; called when somebody was heard or leadership changed. */
-    lookAgain(): void {
-        for (const look of [...this.waiting]) {
-            look();
+    /** Checks again whether the waiting changes are in force; called after a heartbeat or a change of leadership. */
+    recheckWaiting(): void {
+        for (const check of [...this.waiting]) {
+            check();
         }
     }
 
     /**
-     * A leader that was replaced meanwhile must not answer: it can't know which sessions its successor opened, and
-     * their daemons may not have the change. So leadership is confirmed by a round that begins after the waiting.
+     * A leader that was replaced while waiting must not answer `accepted`: it doesn't know which sessions its successor
+     * opened, and their daemons may not have applied the change. Therefore leadership is confirmed by a round trip to a
+     * quorum that begins after the wait.
      */
     private async acceptedOnceInForce(accepted: Extract<Proposal, { kind: "result"; }>): Promise<Proposal> {
-        const held = { index: accepted.index, heldAt: this.core.clock.monotonic() };
-        const inForce = await this.untilInForce(held);
-        if (inForce && await this.core.replica.confirmLeadership(this.patience())) {
+        const change = { index: accepted.index, heldAt: this.core.clock.monotonic() };
+        const inForce = await this.untilInForce(change);
+        if (inForce && await this.core.replica.confirmLeadership(this.timeoutMilliseconds())) {
             return accepted;
         }
         return { kind: "undecided", reason: "leadership ended before the change was known to be in force" };
@@ -60,34 +61,34 @@
             let cancelTimer: (() => void) | undefined;
             const settle = (inForce: boolean): void => {
                 cancelTimer?.();
-                this.waiting.delete(look);
+                this.waiting.delete(check);
                 resolve(inForce);
             };
-            const look = (): void => {
+            const check = (): void => {
                 const status = this.status(change);
                 if (status?.kind !== "waiting") {
                     settle(status !== undefined);
                     return;
                 }
                 cancelTimer?.();
-                const rest = Math.ceil(status.until - this.core.clock.monotonic());
-                cancelTimer = this.core.clock.after(Math.max(1, rest), look);
+                const remaining = Math.ceil(status.until - this.core.clock.monotonic());
+                cancelTimer = this.core.clock.after(Math.max(1, remaining), check);
             };
-            this.waiting.add(look);
-            look();
+            this.waiting.add(check);
+            check();
         });
     }
 
-    /** Undefined where this control daemon doesn't lead. */
+    /** Status of the change; undefined if this control daemon doesn't lead. */
     private status(change: HeldChange): InForceStatus | undefined {
-        const { replica, inForce, ledger, hearing, clock } = this.core;
+        const { replica, inForce, ledger, livenessTable, clock } = this.core;
         const { leadingSince } = replica.standing();
         return leadingSince === undefined
             ? undefined
-            : inForce.status(change, leadingSince, ledger.view(), hearing, clock.monotonic());
+            : inForce.status(change, leadingSince, ledger.view(), livenessTable, clock.monotonic());
     }
 
-    private patience(): number {
-        return patienceInElections * this.core.timing.electionTimeout;
+    private timeoutMilliseconds(): number {
+        return timeoutInElections * this.core.timing.electionTimeout;
     }
 }
--- a/packages/basilpaddle/src/node/daemon/control/sessionEnds.ts
+++ b/packages/basilpaddle/src/node/daemon/control/sessionEndDetector.ts
@@ -1,15 +1,15 @@
 import type { Command, CommandResult, View } from "../../protocol/index.js";
 
-/** Tells which applied commands ended a session without the word of its daemon. */
-export class SessionEnds {
+/** Detects which applied commands ended a session that its daemon hadn't closed itself. */
+export class SessionEndDetector {
     private constructor(private sessions: View["sessions"]) {}
 
-    static create(view: View): SessionEnds {
-        return new SessionEnds(view.sessions);
+    static create(view: View): SessionEndDetector {
+        return new SessionEndDetector(view.sessions);
     }
 
-    /** Takes in an applied command with the view after it. */
-    ended(command: Command, result: CommandResult, view: View): boolean {
+    /** Whether an applied command ended a session in this way; `view` is the view after the command. */
+    endedUnannounced(command: Command, result: CommandResult, view: View): boolean {
         const before = this.sessions;
         this.sessions = view.sessions;
         if (result.kind !== "done") {
--- a/packages/basilpaddle/src/node/daemon/control/duties.ts
+++ b/packages/basilpaddle/src/node/daemon/control/supervisorLoop.ts
@@ -2,31 +2,31 @@
 import type { Command } from "../../protocol/index.js";
 import type { ControlCore } from "./core.js";
 
-/** Least milliseconds between two steps. */
-const leastInterval = 20;
-/** Steps in the shortest timeout. */
+/** Lower limit of the interval between two steps. */
+const minIntervalMilliseconds = 20;
+/** Steps within the shorter of the session and backend timeouts. */
 const stepsPerTimeout = 20;
-/** Election timeouts that the commands of one step may take. */
-const patienceInElections = 2;
+/** Timeout of each command of a step, in election timeouts. */
+const timeoutInElections = 2;
 
-/** Carries out the leader's duties, step after step, while this control daemon leads. */
-export class Duties {
+/** Runs the steps of the supervisor and proposes the commands that they result in. */
+export class SupervisorLoop {
     private cancelTimer: (() => void) | undefined;
     private closed = false;
 
     private constructor(private readonly core: ControlCore, private readonly supervisor: Supervisor) {}
 
-    static create(core: ControlCore, supervisor: Supervisor): Duties {
-        return new Duties(core, supervisor);
+    static create(core: ControlCore, supervisor: Supervisor): SupervisorLoop {
+        return new SupervisorLoop(core, supervisor);
     }
 
-    /** Takes the first step, and the next ones at intervals. */
+    /** Runs the first step at once and the next ones at intervals. */
     start(): void {
         if (this.closed) {
             return;
         }
         const { sessionTimeout, backendTimeout } = this.core.timing;
-        const interval = Math.max(leastInterval, Math.min(sessionTimeout, backendTimeout) / stepsPerTimeout);
+        const interval = Math.max(minIntervalMilliseconds, Math.min(sessionTimeout, backendTimeout) / stepsPerTimeout);
         void this.step().finally(() => {
             if (!this.closed) {
                 this.cancelTimer = this.core.clock.after(interval, () => this.start());
@@ -34,13 +34,13 @@
         });
     }
 
-    /** Takes no further step. */
+    /** Stops running steps. */
     close(): void {
         this.closed = true;
         this.cancelTimer?.();
     }
 
-    /** The next step begins after the commands of this one settled, so that none is proposed again meanwhile. */
+    /** Settles after the commands of the step have settled, so that the next step doesn't propose them again. */
     private async step(): Promise<void> {
         const { replica, ledger, clock } = this.core;
         const { leadingSince } = replica.standing();
@@ -57,8 +57,12 @@
 
     private async propose(command: Command): Promise<void> {
         const { replica, logger, timing } = this.core;
-        const proposal = await replica.propose(command, patienceInElections * timing.electionTimeout);
-        logger.info("leader's duty", { command: command.kind, subject: subjectOf(command), proposal: proposal.kind });
+        const proposal = await replica.propose(command, timeoutInElections * timing.electionTimeout);
+        logger.info("the leader proposed a command", {
+            command: command.kind,
+            subject: subjectOf(command),
+            proposal: proposal.kind,
+        });
     }
 }
 
--- a/packages/basilpaddle/src/node/daemon/control/viewAnswers.ts
+++ b/packages/basilpaddle/src/node/daemon/control/viewAnswers.ts
@@ -4,42 +4,42 @@
 
 type ConfirmView = Extract<PeerRequest, { kind: "confirmView"; }>;
 type ViewAnswer = Extract<PeerAnswer, { kind: "viewAnswer"; }>;
-type News = Pick<ViewAnswer, "steps" | "snapshot">;
+type ViewUpdate = Pick<ViewAnswer, "steps" | "snapshot">;
 
-/** Steps that one answer carries at most; a daemon further behind gets the whole view. */
-const stepsCount = 256;
-/** Bytes of steps that one answer carries at most. */
-const stepsBytes = 1024 * 1024;
+/** Maximum number of steps in an answer; a daemon that is further behind is sent the whole view. */
+const maxSteps = 256;
+/** Maximum size of the steps in an answer. */
+const maxStepsBytes = 1024 * 1024;
 
-/** Answers an entry daemon's question whether its view is the newest, from what this control daemon holds itself. */
-export function answerConfirmView(core: ControlCore, question: ConfirmView): ViewAnswer {
+/** Answers an entry daemon's request to confirm that its view is the newest, from this control daemon's own state. */
+export function answerConfirmView(core: ControlCore, request: ConfirmView): ViewAnswer {
     const now = core.clock.monotonic();
-    const { applied, revision } = question;
-    core.hearing.heardSession(question.session, { applied, revision }, now);
-    for (const { id, incarnation } of question.renewals) {
-        core.hearing.heardBackend(id, incarnation, now);
+    const { applied, revision } = request;
+    core.livenessTable.heardSession(request.session, { applied, revision }, now);
+    for (const { id, incarnation } of request.renewals) {
+        core.livenessTable.heardBackend(id, incarnation, now);
     }
-    const standing = core.replica.standing();
+    const status = core.replica.standing();
     return {
         kind: "viewAnswer",
-        voter: standing.identity,
-        voting: standing.voting,
-        voters: [...standing.voters],
-        term: standing.term,
-        leader: standing.leader,
-        appendedView: standing.appendedView,
+        voter: status.identity,
+        voting: status.voting,
+        voters: [...status.voters],
+        term: status.term,
+        leader: status.leader,
+        appendedView: status.appendedView,
         committedView: core.ledger.view().index,
-        ...(question.wantsSteps ? newsAfter(core, applied) : {}),
-        ...(question.crashes === undefined ? {} : { crashes: answerCrashes(core.held, question.crashes) }),
+        ...(request.wantsSteps ? viewUpdateAfter(core, applied) : {}),
+        ...(request.crashes === undefined ? {} : { crashes: answerCrashes(core.quarantine, request.crashes) }),
     };
 }
 
-/** Nothing for a daemon that is as far or further: an old view of a control daemon that was cut off stays here. */
-function newsAfter(core: ControlCore, applied: number): News {
+/** Empty for a daemon that is up to date or ahead, so that a control daemon that was isolated never sends out its old view. */
+function viewUpdateAfter(core: ControlCore, applied: number): ViewUpdate {
     const view = core.ledger.view();
     if (view.index <= applied) {
         return {};
     }
-    const steps = core.ledger.missingSteps({ after: applied, count: stepsCount, bytes: stepsBytes });
+    const steps = core.ledger.missingSteps({ after: applied, count: maxSteps, bytes: maxStepsBytes });
     return steps === undefined ? { snapshot: view } : { steps: [...steps] };
 }
