--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewClient.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewClient.spec.ts
@@ -10,7 +10,7 @@
     return deployment;
 }
 
-/** Goes on until the condition holds, at most the given milliseconds. */
+/** Runs the simulation until the condition holds, for at most `atMost` milliseconds. */
 async function until(deployment: Deployment, condition: () => boolean, atMost: number): Promise<void> {
     const end = deployment.world.now + atMost;
     while (!condition() && deployment.world.now < end) {
@@ -20,7 +20,7 @@
 }
 
 describe("a control client", () => {
-    it("starts nothing before its view was confirmed and its session is open", async () => {
+    it("may not start work before its view is confirmed and its session is open", async () => {
         const deployment = new Deployment({ seed: 2, controls: 3, members: 3, daemons: 1 });
         const { client } = deployment.daemons[0]!;
         expect(client.mayStart()).to.equal(false);
@@ -30,10 +30,11 @@
     });
 
     /*
-     * Symptom: a daemon that was stopped (SIGSTOP) starts work on an old view when it goes on. Sequence: it stops, a
-     * change is accepted, it goes on and finds a request before any timer ran. Cause: a lease that a timer ends.
+     * Guards against a daemon that starts work on a stale view after it was suspended (SIGSTOP). A change is accepted
+     * meanwhile, and after resuming the daemon handles a request before any timer has run: a lease that a timer ends
+     * would still be valid then.
      */
-    it("finds its lease expired when it wakes from a freeze", async () => {
+    it("treats its lease as expired when it resumes from a freeze", async () => {
         const deployment = await running();
         const [daemon] = deployment.daemons;
         daemon!.process.freeze(5_000);
@@ -46,10 +47,10 @@
     });
 
     /*
-     * Symptom: a daemon that comes back starts work on a view from before, or never catches up. Sequence: cut off
-     * without a word for an hour, more changes than an answer's steps carry. Cause: steps missing in the middle.
+     * Guards against a daemon that starts work on a stale view after a partition, or never catches up. It is partitioned
+     * for an hour, with more changes than the steps of one answer can carry, so that steps in between are missing.
      */
-    it("catches up by a snapshot after an hour without a word", async () => {
+    it("catches up with a snapshot after an hour-long partition", async () => {
         const deployment = await running();
         const [daemon] = deployment.daemons;
         const before = daemon!.client.view().index;
@@ -64,7 +65,7 @@
         expect(daemon!.client.view().index).to.be.at.least(before + 40);
     });
 
-    it("goes on for as long as a majority of the voters is proved dead", async () => {
+    it("may start work for as long as a majority of the voters is known to be down", async () => {
         const deployment = await running();
         const [daemon] = deployment.daemons;
         const { started } = daemon!;
@@ -74,7 +75,7 @@
         expect(daemon!.started - started).to.be.greaterThan(1_900);
     });
 
-    it("stops within the view lease when a majority is silent", async () => {
+    it("stops starting work within the view lease when a majority is silent", async () => {
         const deployment = await running();
         const [daemon] = deployment.daemons;
         [0, 1].forEach(at => deployment.voter(at).process.freeze(60_000));
@@ -86,10 +87,10 @@
     });
 
     /*
-     * Symptom: a daemon that was cut from the leader alone never works again. Sequence: its session is closed as
-     * silent, and it learns so from the other voters. Cause: a session that is opened only at the start.
+     * Guards against a daemon that never works again after it lost its connection to the leader only. Its session times
+     * out, which it learns from the other voters; it has to reopen the session and not just open it at startup.
      */
-    it("opens its session again after it was closed as silent", async () => {
+    it("reopens its session after it timed out", async () => {
         const deployment = await running();
         const [daemon] = deployment.daemons;
         const leader = deployment.group.voters.find(voter => voter.leads())!;
@@ -99,73 +100,74 @@
     });
 
     /*
-     * Symptom: two processes take turns in closing each other's session. Sequence: a second process starts under the
-     * same name. Cause: the first one opens its session again as if it had been closed for silence.
+     * Guards against two processes that keep replacing each other's session. A second process starts under the same
+     * name; the first one must not reopen its session as if it had timed out.
      */
-    it("stops for good when another process took its name", async () => {
+    it("stops permanently when another process has opened a session under its name", async () => {
         const deployment = await running();
         const [daemon] = deployment.daemons;
         const first = daemon!.client;
         const session = { daemon: "entry-0", incarnation: "other" };
-        const told: unknown[] = [];
-        first.onReplaced(by => told.push(by));
+        const replacements: unknown[] = [];
+        first.onReplaced(by => replacements.push(by));
         const peers = { host: "127.0.0.2", port: 1 };
         await Promise.all([
             first.propose({ kind: "openSession", session, failureDomain: "pocitos", peers, at: 0 }, 5_000),
             deployment.run(3_000),
         ]);
-        expect(told).to.deep.equal([session]);
+        expect(replacements).to.deep.equal([session]);
         expect(first.startGap()).to.deep.equal({ kind: "replaced", by: session });
         expect(first.view().sessions["entry-0"]!.session).to.deep.equal(session);
     });
 
-    it("brings a command to the leader that takes over, and knows nothing where none does", async () => {
+    it("sends a command to the new leader, and reports it as undecided without a leader", async () => {
         const deployment = await running();
         const { client } = deployment.daemons[0]!;
         const lease = (name: string) =>
             client.propose({ kind: "grantLease", lease: name, holder: client.session(), at: 0 }, 8_000);
         deployment.group.voters.find(voter => voter.leads())!.crash(60_000);
-        const [moved] = await Promise.all([lease("orders"), deployment.run(8_000)]);
-        expect(moved.isRight()).to.equal(true);
+        const [afterLeaderChange] = await Promise.all([lease("orders"), deployment.run(8_000)]);
+        expect(afterLeaderChange.isRight()).to.equal(true);
         everyVoter.forEach(at => deployment.voter(at).crash(60_000));
-        const [lost] = await Promise.all([lease("scheduler/x"), deployment.run(9_000)]);
-        expect(lost.extract()).to.include({ kind: "undecided" });
+        const [withoutLeader] = await Promise.all([lease("scheduler/x"), deployment.run(9_000)]);
+        expect(withoutLeader.extract()).to.include({ kind: "undecided" });
     });
 
     /*
-     * Symptom: a daemon starts work without a change that was accepted within milliseconds. Sequence: cut from the
-     * leader alone, its session is closed; before it hears so the leader and another voter die, and by their refusals it
-     * goes on for longer than a view lease; they come back, the third one leads, the daemon is cut off from all. Cause: a
-     * new leader that remembers the closing as long past, and asks only the open sessions.
+     * Guards against a daemon that starts work without a change that a new leader accepts within milliseconds. The
+     * daemon loses its connection to the leader only and its session is closed. Before it learns so, the leader and
+     * another voter die, and their refusals extend its lease beyond a view lease. They restart, the third voter leads, and
+     * the daemon is partitioned from all: a new leader that considers the close long past and waits only for the open
+     * sessions would accept the change too early.
      */
-    it("keeps no lease that a new leader takes for run out, though its session was closed before", async () => {
+    it("has no valid lease once a new leader considers it expired, although its session was closed before", async () => {
         let cases = 0;
         for (let seed = 1; seed <= 40; seed++) {
-            cases += await closedThenLost(seed) ? 1 : 0;
+            cases += await isExtendedAfterSessionClose(seed) ? 1 : 0;
         }
         expect(cases).to.be.greaterThan(20);
     });
 });
 
-/** Throws on a stale start. False where the daemon heard of the closing too soon for the case to come about. */
-async function closedThenLost(seed: number): Promise<boolean> {
+/** Throws if the daemon starts work on a stale view. False if it learned of the close too early for the scenario to occur. */
+async function isExtendedAfterSessionClose(seed: number): Promise<boolean> {
     const deployment = await running(seed, 2);
     const [daemon] = deployment.daemons;
     const { voters } = deployment.group;
     const leader = voters.find(voter => voter.leads())!;
-    const spared = voters[(voters.indexOf(leader) + 1) % voters.length]!;
-    const rest = voters.filter(voter => voter !== spared);
+    const survivor = voters[(voters.indexOf(leader) + 1) % voters.length]!;
+    const others = voters.filter(voter => voter !== survivor);
     deployment.separate(daemon!.process, leader.process, 6_000);
-    await until(deployment, () => spared.openSessions().every(({ daemon }) => daemon !== "entry-0"), 6_000);
-    deployment.separate(daemon!.process, spared.process, 60_000);
+    await until(deployment, () => survivor.openSessions().every(({ daemon }) => daemon !== "entry-0"), 6_000);
+    deployment.separate(daemon!.process, survivor.process, 60_000);
     deployment.separate(daemon!.process, leader.process, 0);
-    rest.forEach(voter => voter.crash(5_000));
+    others.forEach(voter => voter.crash(5_000));
     await deployment.run(4_990);
-    const came = daemon!.client.mayStart();
+    const wasExtended = daemon!.client.mayStart();
     voters.forEach(voter => deployment.separate(daemon!.process, voter.process, 60_000));
     for (let change = 0; change < 100; change++) {
         deployment.change();
         await deployment.run(50);
     }
-    return came;
+    return wasExtended;
 }
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewLease.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewLease.spec.ts
@@ -8,157 +8,157 @@
     return { voter, voting: true, voters, appendedView, ...more };
 }
 
-/** A lease confirmed as of 1000, on view 5. */
+/** A lease that is confirmed as of 1000, with view index 5 applied. */
 function confirmed(): ViewLease {
     const lease = ViewLease.create(timing);
-    lease.applied(5);
-    lease.asked(1, 1_000);
-    lease.answered(1, answer("a", 5));
-    lease.answered(1, answer("b", 4));
+    lease.recordApplied(5);
+    lease.startRound(1, 1_000);
+    lease.recordAnswer(1, answer("a", 5));
+    lease.recordAnswer(1, answer("b", 4));
     return lease;
 }
 
 describe("the view lease", () => {
-    it("runs from when the question was sent, and ends on the millisecond", () => {
+    it("is valid from the time the request was sent and expires exactly at its end", () => {
         const lease = confirmed();
-        expect(lease.standing(3_999)).to.deep.equal({ confirmedUntil: 4_000, gap: undefined });
-        expect(lease.runs(4_000)).to.equal(false);
-        expect(lease.standing(4_000).gap).to.include({ kind: "noMajority" });
+        expect(lease.status(3_999)).to.deep.equal({ confirmedUntil: 4_000, blocker: undefined });
+        expect(lease.isValid(4_000)).to.equal(false);
+        expect(lease.status(4_000).blocker).to.include({ kind: "noMajority" });
     });
 
-    it("never ran before a majority answered", () => {
+    it("is not valid before a majority has answered", () => {
         const lease = ViewLease.create(timing);
-        lease.asked(1, 1_000);
-        lease.answered(1, answer("a", 0));
-        lease.answered(1, answer("a", 0));
-        expect(lease.standing(1_001)).to.deep.equal({ confirmedUntil: undefined, gap: { kind: "neverConfirmed" } });
+        lease.startRound(1, 1_000);
+        lease.recordAnswer(1, answer("a", 0));
+        lease.recordAnswer(1, answer("a", 0));
+        expect(lease.status(1_001)).to.deep.equal({ confirmedUntil: undefined, blocker: { kind: "neverConfirmed" } });
     });
 
     /*
-     * Symptom: work on a view from before an accepted change. Sequence: a voter answers, is frozen with its answer on
-     * the way, and the answer arrives rounds later. Cause: an answer that counts as of its arrival, or for a newer round.
+     * Guards against work on a view that lacks an accepted change. A voter's answer is delayed by a freeze and arrives
+     * rounds later; if it counted as of its arrival or for a newer round, the lease would be too long.
      */
-    it("counts a late answer for its own round only", () => {
+    it("counts a delayed answer only for its own round", () => {
         const lease = confirmed();
-        lease.asked(2, 2_000);
-        lease.asked(3, 3_000);
-        lease.answered(3, answer("a", 5));
-        lease.answered(2, answer("b", 5));
-        expect(lease.standing(3_100).confirmedUntil).to.equal(4_000);
-        lease.answered(2, answer("c", 5));
-        expect(lease.standing(3_100).confirmedUntil).to.equal(5_000);
-        lease.answered(1, answer("c", 5));
-        expect(lease.standing(3_100).confirmedUntil).to.equal(5_000);
+        lease.startRound(2, 2_000);
+        lease.startRound(3, 3_000);
+        lease.recordAnswer(3, answer("a", 5));
+        lease.recordAnswer(2, answer("b", 5));
+        expect(lease.status(3_100).confirmedUntil).to.equal(4_000);
+        lease.recordAnswer(2, answer("c", 5));
+        expect(lease.status(3_100).confirmedUntil).to.equal(5_000);
+        lease.recordAnswer(1, answer("c", 5));
+        expect(lease.status(3_100).confirmedUntil).to.equal(5_000);
     });
 
-    it("waits until a newer view command that a majority holds was applied", () => {
+    it("is not renewed until a newer view command in the logs of a majority has been applied", () => {
         const lease = confirmed();
-        lease.asked(2, 2_000);
-        lease.answered(2, answer("a", 7));
-        lease.answered(2, answer("b", 7));
-        expect(lease.standing(4_000).gap).to.deep.equal({ kind: "behind", applied: 5, appended: 7 });
-        lease.applied(7);
-        expect(lease.standing(4_000).confirmedUntil).to.equal(5_000);
+        lease.startRound(2, 2_000);
+        lease.recordAnswer(2, answer("a", 7));
+        lease.recordAnswer(2, answer("b", 7));
+        expect(lease.status(4_000).blocker).to.deep.equal({ kind: "behind", applied: 5, appended: 7 });
+        lease.recordApplied(7);
+        expect(lease.status(4_000).confirmedUntil).to.equal(5_000);
     });
 
     /*
-     * Symptom: a lease although no quorum of the real voters was asked. Sequence: a voter with a lost disk, or one that
-     * was removed, answers beside one real voter. Cause: counting whoever answers.
+     * Guards against a lease without a quorum of the actual voters. A voter that lost its disk, or one that was removed,
+     * answers in addition to one actual voter; counting every answer would make this a majority.
      */
-    it("counts nobody who isn't a voter of the membership that is named", () => {
+    it("counts only voters of the reported membership", () => {
         const lease = ViewLease.create(timing);
-        lease.asked(1, 1_000);
-        lease.answered(1, answer("a", 0));
-        lease.answered(1, answer("removed", 0));
-        lease.answered(1, answer("b", 0, { voting: false }));
-        lease.answered(1, answer("c", 0, { voters: ["a", "c", "d"] }));
-        expect(lease.runs(1_001)).to.equal(false);
+        lease.startRound(1, 1_000);
+        lease.recordAnswer(1, answer("a", 0));
+        lease.recordAnswer(1, answer("removed", 0));
+        lease.recordAnswer(1, answer("b", 0, { voting: false }));
+        lease.recordAnswer(1, answer("c", 0, { voters: ["a", "c", "d"] }));
+        expect(lease.isValid(1_001)).to.equal(false);
     });
 
     /*
-     * Symptom: work on a view that lacks a change accepted by the old leader. Sequence: the leader freezes, the others
-     * elect a new one and accept a change; the old one wakes and answers first. Cause: trusting a leader's word.
+     * Guards against work on a view that lacks an accepted change. The leader freezes, the other voters elect a new one,
+     * which accepts a change, and the old leader resumes and answers first; its answer alone must not confirm the view.
      */
-    it("gives an old leader no more than its one voice", () => {
+    it("counts the answer of a deposed leader as a single vote", () => {
         const lease = confirmed();
-        lease.asked(2, 2_000);
-        lease.answered(2, answer("a", 5));
-        lease.answered(2, answer("b", 6));
-        lease.answered(2, answer("c", 6));
-        expect(lease.standing(2_100).confirmedUntil).to.equal(4_000);
+        lease.startRound(2, 2_000);
+        lease.recordAnswer(2, answer("a", 5));
+        lease.recordAnswer(2, answer("b", 6));
+        lease.recordAnswer(2, answer("c", 6));
+        expect(lease.status(2_100).confirmedUntil).to.equal(4_000);
     });
 
     describe("when the quorum is lost", () => {
-        it("goes on from the question that a majority refused", () => {
+        it("is extended from the time of the request that a majority refused", () => {
             const lease = confirmed();
-            lease.asked(2, 2_000);
-            lease.refused(2, "b", 2_001);
-            expect(lease.standing(2_001).confirmedUntil).to.equal(4_000);
-            lease.refused(2, "c", 2_002);
-            expect(lease.standing(2_002).confirmedUntil).to.equal(5_000);
+            lease.startRound(2, 2_000);
+            lease.recordRefusal(2, "b", 2_001);
+            expect(lease.status(2_001).confirmedUntil).to.equal(4_000);
+            lease.recordRefusal(2, "c", 2_002);
+            expect(lease.status(2_002).confirmedUntil).to.equal(5_000);
         });
 
         const cases: readonly [string, (lease: ViewLease) => void][] = [
-            ["the lease broke before the refusals came", lease => {
-                lease.asked(2, 3_990);
-                lease.refused(2, "b", 3_999);
-                lease.refused(2, "c", 4_000);
+            ["the lease expired before the refusals arrived", lease => {
+                lease.startRound(2, 3_990);
+                lease.recordRefusal(2, "b", 3_999);
+                lease.recordRefusal(2, "c", 4_000);
             }],
-            ["refusals came late, as to a process that was frozen meanwhile", lease => {
-                lease.asked(2, 2_000);
-                lease.refused(2, "b", 2_001);
-                lease.refused(2, "c", 2_151);
+            ["refusals arrive late, as in a process that was frozen meanwhile", lease => {
+                lease.startRound(2, 2_000);
+                lease.recordRefusal(2, "b", 2_001);
+                lease.recordRefusal(2, "c", 2_151);
             }],
-            ["refusals belong to two rounds", lease => {
-                lease.asked(2, 2_000);
-                lease.refused(2, "b", 2_001);
-                lease.asked(3, 2_100);
-                lease.refused(3, "c", 2_101);
+            ["the refusals belong to two rounds", lease => {
+                lease.startRound(2, 2_000);
+                lease.recordRefusal(2, "b", 2_001);
+                lease.startRound(3, 2_100);
+                lease.recordRefusal(3, "c", 2_101);
             }],
-            ["the one that goes on holds a newer change", lease => {
-                lease.asked(2, 2_000);
-                lease.answered(2, answer("a", 6));
-                lease.refused(2, "b", 2_001);
-                lease.refused(2, "c", 2_001);
+            ["the remaining voter has a newer change in its log", lease => {
+                lease.startRound(2, 2_000);
+                lease.recordAnswer(2, answer("a", 6));
+                lease.recordRefusal(2, "b", 2_001);
+                lease.recordRefusal(2, "c", 2_001);
             }],
-            ["the one that goes on names other voters", lease => {
-                lease.asked(2, 2_000);
-                lease.answered(2, answer("a", 5, { voters: ["a", "b", "d"] }));
-                lease.refused(2, "b", 2_001);
-                lease.refused(2, "c", 2_001);
+            ["the remaining voter reports a different membership", lease => {
+                lease.startRound(2, 2_000);
+                lease.recordAnswer(2, answer("a", 5, { voters: ["a", "b", "d"] }));
+                lease.recordRefusal(2, "b", 2_001);
+                lease.recordRefusal(2, "c", 2_001);
             }],
-            ["one of the refusing isn't a voter", lease => {
-                lease.asked(2, 2_000);
-                lease.refused(2, "b", 2_001);
-                lease.refused(2, "d", 2_001);
+            ["one of the refusing daemons is not a voter", lease => {
+                lease.startRound(2, 2_000);
+                lease.recordRefusal(2, "b", 2_001);
+                lease.recordRefusal(2, "d", 2_001);
             }],
         ];
-        for (const [cause, happen] of cases) {
-            it(`doesn't go on if ${cause}`, () => {
+        for (const [condition, applyEvents] of cases) {
+            it(`is not extended if ${condition}`, () => {
                 const lease = confirmed();
-                happen(lease);
-                expect(lease.standing(3_000).confirmedUntil).to.equal(4_000);
+                applyEvents(lease);
+                expect(lease.status(3_000).confirmedUntil).to.equal(4_000);
             });
         }
 
         /*
-         * Symptom: work on a view that lacks an accepted change, though half of the voters surely were dead. Sequence:
-         * a fifth voter joins a group of four unnoticed, two of the four die, the other three go on. Cause: with an even
-         * number, as many as block a majority don't block one of a group that is larger by one.
+         * Guards against work on a view that lacks an accepted change although half of the voters were down. A fifth
+         * voter joins a group of four unnoticed, two of the four die, and the other three can still commit: half of an
+         * even number of voters blocks a majority of them, but not of a group that is larger by one.
          */
-        it("takes half of an even number of voters for too few", () => {
+        it("is not extended by refusals of exactly half of an even number of voters", () => {
             const four = [...voters, "d"];
             const lease = ViewLease.create(timing);
-            lease.asked(1, 1_000);
+            lease.startRound(1, 1_000);
             for (const voter of ["a", "b", "c"]) {
-                lease.answered(1, answer(voter, 0, { voters: four }));
+                lease.recordAnswer(1, answer(voter, 0, { voters: four }));
             }
-            lease.asked(2, 2_000);
-            lease.refused(2, "a", 2_001);
-            lease.refused(2, "b", 2_001);
-            expect(lease.standing(2_001).confirmedUntil).to.equal(4_000);
-            lease.refused(2, "c", 2_001);
-            expect(lease.standing(2_001).confirmedUntil).to.equal(5_000);
+            lease.startRound(2, 2_000);
+            lease.recordRefusal(2, "a", 2_001);
+            lease.recordRefusal(2, "b", 2_001);
+            expect(lease.status(2_001).confirmedUntil).to.equal(4_000);
+            lease.recordRefusal(2, "c", 2_001);
+            expect(lease.status(2_001).confirmedUntil).to.equal(5_000);
         });
     });
 });
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewOverTcp.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewOverTcp.spec.ts
@@ -8,7 +8,7 @@
 
 const names = ["one", "two", "three"];
 const timing = timingSchema.parse({ ...groupTiming, viewLease: 1_000, electionTimeout: 300 });
-/** Ports by which the wiring knows the clients. */
+/** Ports that identify the clients in the simulated wiring. */
 const firstClientPort = 100;
 
 describe("control clients and control daemons over TCP", () => {
@@ -30,7 +30,7 @@
                 logger: createSilentLogger(),
             })
         );
-        await until("leave to start", () => clients.every(client => client.mayStart()) || undefined);
+        await until("all clients may start work", () => clients.every(client => client.mayStart()) || undefined);
     });
 
     afterEach(async () => {
@@ -38,7 +38,7 @@
         await group.close();
     });
 
-    it("have a change in force everywhere once it is accepted, also after the leader was killed", async () => {
+    it("apply a change everywhere by the time it is accepted, also after the leader was killed", async () => {
         for (let base = 0; base < 2; base++) {
             const result = await clients[0]!.propose(commands.change(`change-${base}`, base), 20_000);
             expect(result.extract()).to.deep.equal({ kind: "accepted", revision: base + 1 });
@@ -47,41 +47,47 @@
                 await group.kill(await group.leader());
             }
         }
-        await until("leave to start", () => clients.every(client => client.mayStart()) || undefined);
+        await until("all clients may start work", () => clients.every(client => client.mayStart()) || undefined);
     });
 
-    it("have the leases of a client that died move to the other, and those of one that leaves at once", async () => {
-        const held = await until("a holder", () => clients[0]!.view().leases[ordersLease]);
-        const holder = clients.findIndex(client => client.session().daemon === held.holder.daemon);
+    it("transfer the leases of an unreachable client, and release those of a closing client at once", async () => {
+        const granted = await until("a lease holder", () => clients[0]!.view().leases[ordersLease]);
+        const holder = clients.findIndex(client => client.session().daemon === granted.holder.daemon);
         const other = clients[1 - holder]!;
         group.wiring.cutOff.add(firstClientPort + holder);
-        const next = await until("another holder", () => {
+        const next = await until("the other client as lease holder", () => {
             const lease = other.view().leases[ordersLease];
             return lease?.holder.daemon === other.session().daemon ? lease : undefined;
         });
-        expect(next.fence).to.be.greaterThan(held.fence);
+        expect(next.fence).to.be.greaterThan(granted.fence);
         expect(clients[holder]!.mayStart()).to.equal(false);
         group.wiring.cutOff.delete(firstClientPort + holder);
-        await until("its session again", () => clients[holder]!.mayStart() || undefined);
+        await until("the session to be reopened", () => clients[holder]!.mayStart() || undefined);
         await other.close();
-        await until("the lease back", () => {
+        await until("the lease to return", () => {
             const lease = clients[holder]!.view().leases[ordersLease];
-            return lease?.holder.daemon === held.holder.daemon ? lease : undefined;
+            return lease?.holder.daemon === granted.holder.daemon ? lease : undefined;
         });
     });
 
-    it("go on while most control daemons refuse connections, and end when these are silent", async () => {
+    it("may start work while most control daemons refuse connections, and stop when these are silent", async () => {
         const [client] = clients;
-        // A leader that still grants a lease while it loses its quorum leaves a command that nobody can commit: the
-        // voter that goes on then rightly counts as ahead of the view.
-        await until("a holder everywhere", () => clients.every(each => each.view().leases[ordersLease]) || undefined);
+        // If the leader granted the lease while it loses its quorum, its command could not be committed, and the remaining
+        // voter would rightly count as ahead of the view.
+        await until(
+            "a lease holder in every view",
+            () => clients.every(each => each.view().leases[ordersLease]) || undefined,
+        );
         for (const name of names.slice(0, 2)) {
             await group.stop(name);
         }
-        const lost = client!.confirmedUntil()!;
-        await until("two leases more", () => client!.confirmedUntil()! > lost + 2 * timing.viewLease || undefined);
+        const expiryAtLoss = client!.confirmedUntil()!;
+        await until(
+            "the lease to be extended by twice its duration",
+            () => client!.confirmedUntil()! > expiryAtLoss + 2 * timing.viewLease || undefined,
+        );
         names.slice(0, 2).forEach(name => group.cut(name));
-        await until("the end of the lease", () => !client!.mayStart() || undefined);
+        await until("the lease to expire", () => !client!.mayStart() || undefined);
         expect(client!.startGap()).to.include({ kind: "noMajority" });
     });
 });
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewRandom.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewRandom.spec.ts
@@ -10,20 +10,20 @@
     expect(tally.noted("acceptedChanges"), "accepted changes").to.be.greaterThan(numRuns);
 }
 
-describe("the view lease in random runs", () => {
+describe("the view lease in randomized simulations", () => {
     /*
-     * Symptom looked for: an entry daemon starts work on a view that lacks a change which an operator was told is
-     * accepted. Sequence: any mix of crashes, freezes, cuts, losses, elections and membership changes.
+     * Guards against an entry daemon that starts work on a view without a change that was answered `accepted`, under
+     * any mix of crashes, freezes, partitions, message losses, elections and membership changes.
      */
-    it("never lets a daemon start work without an accepted change", async () => {
+    it("lets no daemon start work on a view that lacks an accepted change", async () => {
         await assertRuns(anyFaultRuns, 60);
     });
 
     /*
-     * The same symptom. Sequence: a majority refuses while the lease runs, comes back at once, and the daemon is cut
-     * off; here a rule that is missing shows soonest.
+     * The same failure, where a majority refuses connections while the lease is valid, restarts at once, and the daemon
+     * is partitioned. This scenario is the quickest to expose a missing rule.
      */
-    it("never lets one do so when a lost quorum comes back behind its back", async () => {
+    it("lets no daemon do so when a lost quorum recovers while the daemon is partitioned", async () => {
         await assertRuns(lostQuorumRuns, 300);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/view/proposer.ts
+++ b/packages/basilpaddle/src/node/coordination/view/proposer.ts
@@ -1,4 +1,4 @@
-/** Brings commands to the leader of the control daemons, wherever it moves. */
+/** Sends commands to the leader of the control daemons and follows leader changes. */
 import { type Either, Left, Right } from "purify-ts";
 import {
     type Command,
@@ -11,28 +11,28 @@
 import type { Clock, Randomness } from "../../utils/index.js";
 import type { Undecided } from "../controlClient.js";
 
-/** A command that a quorum holds. */
-export type Held = { readonly index: number; readonly result: CommandResult; };
+/** A command that is stored by a quorum. */
+export type CommittedCommand = { readonly index: number; readonly result: CommandResult; };
 
-/** Where a control daemon is reached. */
+/** Name and network address of a control daemon. */
 export type ControlAddress = { readonly name: string; readonly host: string; readonly port: number; };
 
-type Try =
-    | { readonly kind: "held"; readonly held: Held; }
+type ProposalAttempt =
+    | { readonly kind: "held"; readonly held: CommittedCommand; }
     | { readonly kind: "moved"; readonly leader: string | undefined; }
     | { readonly kind: "failed"; readonly reason: string; };
 
-/** A leader that is silent this many election timeouts has been replaced by then, or soon will be. */
-const patienceInElections = 2;
-/** Pause in heartbeat intervals before the next control daemon is tried where none is known to lead. */
-const pauseInHeartbeats = 0.5;
+/** Timeout of one attempt in election timeouts. A leader that is silent for longer has been replaced or soon will be. */
+const attemptTimeoutElections = 2;
+/** Mean pause, in heartbeat intervals, before the next control daemon is tried while no leader is known. */
+const retryPauseHeartbeats = 0.5;
 
-/** Proposes commands; the same command again and again until an answer comes or its time is up. */
+/** Proposes commands, retrying the same command until a leader answers or the timeout expires. */
 export class Proposer {
     private readonly links = new Map<string, Link>();
-    private readonly retired = new Set<Link>();
+    private readonly retiredLinks = new Set<Link>();
     private leader: string | undefined;
-    private turn = 0;
+    private nextControlIndex = 0;
     private closed = false;
 
     private constructor(
@@ -53,7 +53,7 @@
         return new Proposer(options.controls, options.timing, options.network, options.clock, options.randomness);
     }
 
-    /** Takes note of who leads, as a control daemon told it. */
+    /** Stores the leader that a control daemon reported. Unknown names are ignored. */
     noteLeader(leader: string | undefined): void {
         if (leader !== undefined && this.controls.some(control => control.name === leader)) {
             this.leader = leader;
@@ -61,71 +61,77 @@
     }
 
     /**
-     * Proposes the command for at most the given milliseconds. Without an answer from a leader it is undecided, also
-     * when each try failed before anything was sent: a try before may still be under way.
+     * Proposes the command, retrying for at most `timeout` milliseconds. Without an answer from a leader the result is
+     * undecided, even if the last attempt failed before anything was sent: an earlier attempt may still take effect.
      */
-    async propose(command: Command, timeout: number): Promise<Either<Undecided, Held>> {
+    async propose(command: Command, timeout: number): Promise<Either<Undecided, CommittedCommand>> {
         const deadline = this.clock.monotonic() + timeout;
-        let reason = "no control daemon was tried";
+        let reason = "no attempt was made";
         for (let left = timeout; left > 0 && !this.closed; left = deadline - this.clock.monotonic()) {
-            const control = this.next();
-            const tried = await this.attempt(control, command, Math.min(left, this.patience(command)));
-            if (tried.kind === "held") {
+            const control = this.nextControl();
+            const attempt = await this.attempt(control, command, Math.min(left, this.attemptTimeout(command)));
+            if (attempt.kind === "held") {
                 this.leader = control.name;
-                return Right(tried.held);
+                return Right(attempt.held);
             }
-            reason = tried.kind === "failed" ? `${control.name}: ${tried.reason}` : `${control.name} doesn't lead`;
-            await this.turnFrom(control, tried, deadline);
+            reason = attempt.kind === "failed"
+                ? `${control.name}: ${attempt.reason}`
+                : `${control.name} is not the leader`;
+            await this.prepareNextAttempt(control, attempt, deadline);
         }
-        return Left({ kind: "undecided", reason: `no leader answered in ${timeout} ms; last: ${reason}` });
+        return Left({ kind: "undecided", reason: `no leader answered within ${timeout} ms; last attempt: ${reason}` });
     }
 
-    /** Ends every proposal as undecided. */
+    /** Closes all links and ends every pending proposal as undecided. */
     close(): void {
         this.closed = true;
-        for (const link of [...this.links.values(), ...this.retired]) {
+        for (const link of [...this.links.values(), ...this.retiredLinks]) {
             link.close();
         }
     }
 
-    private next(): ControlAddress {
+    private nextControl(): ControlAddress {
         const known = this.controls.find(control => control.name === this.leader);
-        return known ?? this.controls[this.turn++ % this.controls.length]!;
+        return known ?? this.controls[this.nextControlIndex++ % this.controls.length]!;
     }
 
-    private async turnFrom(control: ControlAddress, tried: Try, deadline: number): Promise<void> {
-        const told = tried.kind === "moved" ? tried.leader : undefined;
+    private async prepareNextAttempt(
+        control: ControlAddress,
+        attempt: ProposalAttempt,
+        deadline: number,
+    ): Promise<void> {
+        const leaderHint = attempt.kind === "moved" ? attempt.leader : undefined;
         if (this.leader === control.name) {
             this.leader = undefined;
         }
-        if (told !== undefined && told !== control.name) {
-            this.noteLeader(told);
+        if (leaderHint !== undefined && leaderHint !== control.name) {
+            this.noteLeader(leaderHint);
             return;
         }
-        // During an election nobody leads; without a pause this would turn into a storm of proposals.
-        const pause = this.timing.heartbeatInterval * pauseInHeartbeats * (0.5 + this.randomness.fraction());
+        // There is no leader during an election. Without a pause, all daemons would flood the control daemons with proposals.
+        const pause = this.timing.heartbeatInterval * retryPauseHeartbeats * (0.5 + this.randomness.fraction());
         await this.sleep(Math.min(pause, Math.max(0, deadline - this.clock.monotonic())));
     }
 
-    private async attempt(control: ControlAddress, command: Command, timeout: number): Promise<Try> {
+    private async attempt(control: ControlAddress, command: Command, timeout: number): Promise<ProposalAttempt> {
         const request: PeerRequest = { kind: "propose", command };
         const link = this.link(control);
         const answer = await link.request(request, timeout);
-        return answer.caseOf<Try>({
+        return answer.caseOf<ProposalAttempt>({
             Left: failure => {
                 if (failure.kind === "timeout") {
                     this.retire(control, link);
                 }
                 return { kind: "failed", reason: failure.message };
             },
-            Right: readTry,
+            Right: parseAnswer,
         });
     }
 
-    private patience(command: Command): number {
-        const decided = this.timing.electionTimeout * patienceInElections;
-        // An answer to a change of the configuration waits until it is in force, which may take a whole view lease.
-        return command.kind === "changeConfiguration" ? decided + 2 * this.timing.viewLease : decided;
+    private attemptTimeout(command: Command): number {
+        const electionsTimeout = this.timing.electionTimeout * attemptTimeoutElections;
+        // A configuration change is answered only once it is in force, which may take a whole view lease.
+        return command.kind === "changeConfiguration" ? electionsTimeout + 2 * this.timing.viewLease : electionsTimeout;
     }
 
     private link(control: ControlAddress): Link {
@@ -139,18 +145,18 @@
     }
 
     /**
-     * A connection through which nothing comes back may stay silent for minutes after the network is whole again,
-     * because TCP waits longer with each repetition. The next try opens a new one; the old one is left for a while to
-     * those that still wait on it.
+     * Replaces the link after a timeout. A stalled connection may stay silent for minutes after the network has
+     * recovered, because TCP backs off with each retransmission. The next attempt opens a new connection; the old one
+     * stays open for a while for requests that still wait on it.
      */
     private retire(control: ControlAddress, link: Link): void {
         if (this.links.get(control.name) !== link) {
             return;
         }
         this.links.delete(control.name);
-        this.retired.add(link);
-        this.clock.after(this.timing.electionTimeout * patienceInElections, () => {
-            this.retired.delete(link);
+        this.retiredLinks.add(link);
+        this.clock.after(this.timing.electionTimeout * attemptTimeoutElections, () => {
+            this.retiredLinks.delete(link);
             link.close();
         });
     }
@@ -160,10 +166,10 @@
     }
 }
 
-function readTry(body: unknown): Try {
+function parseAnswer(body: unknown): ProposalAttempt {
     const answer = peerAnswerSchema.safeParse(body);
     if (!answer.success) {
-        return { kind: "failed", reason: `an answer that isn't one: ${answer.error.message}` };
+        return { kind: "failed", reason: `invalid answer: ${answer.error.message}` };
     }
     switch (answer.data.kind) {
         case "result":
@@ -175,6 +181,6 @@
         case "failure":
             return { kind: "failed", reason: answer.data.message };
         default:
-            return { kind: "failed", reason: `an answer of kind ${answer.data.kind}` };
+            return { kind: "failed", reason: `unexpected answer kind ${answer.data.kind}` };
     }
 }
--- a/packages/basilpaddle/src/node/coordination/view/sessionKeeper.ts
+++ b/packages/basilpaddle/src/node/coordination/view/sessionKeeper.ts
@@ -1,16 +1,16 @@
-/** Keeps the session of this start of the daemon open at the control daemons. */
+/** Keeps the session of this incarnation of the daemon open at the control daemons. */
 import type { Incarnation, Timing, View } from "../../protocol/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
 import type { Proposer } from "./proposer.js";
 
-/** Where the daemon stands, as its session tells others. */
-export type SessionPlace = {
+/** Location of the daemon as published in its session: its failure domain and the address for its peers. */
+export type DaemonLocation = {
     readonly failureDomain: string;
     readonly peers: { readonly host: string; readonly port: number; };
 };
 
-/** What a session keeper works with. */
-export type SessionKeeperOptions = SessionPlace & {
+/** Dependencies of a session keeper. */
+export type SessionKeeperOptions = DaemonLocation & {
     readonly session: Incarnation;
     readonly timing: Timing;
     readonly clock: Clock;
@@ -18,17 +18,17 @@
     readonly proposer: Proposer;
 };
 
-/** Milliseconds that one search for a leader may take before it begins anew. */
-const openTimeout = 5_000;
+/** Timeout of one proposal to open the session; it is proposed again after that. */
+const openTimeoutMilliseconds = 5_000;
 
-/** Opens the session, opens it again after it was closed as silent, and notices when another process took the name. */
+/** Opens the session, reopens it after it timed out, and detects another process that runs under the same daemon name. */
 export class SessionKeeper {
     private readonly listeners = new Set<(by: Incarnation) => void>();
     private view: View | undefined;
-    /** Log index at which the session was last opened; a newer view without it means that it was closed since. */
+    /** Log index at which the session was last opened. A newer view without the session means that it has been closed since. */
     private openedAt: number | undefined;
     private opening = false;
-    private taker: Incarnation | undefined;
+    private replacement: Incarnation | undefined;
     private closed = false;
 
     private constructor(private readonly options: SessionKeeperOptions) {}
@@ -37,61 +37,62 @@
         return new SessionKeeper(options);
     }
 
-    /** Whether the newest view names this start of the daemon. */
+    /** Whether the newest view contains the session of this incarnation. */
     isOpen(): boolean {
-        return this.taker === undefined && this.isOwn(this.named());
+        return this.replacement === undefined && this.isOwn(this.sessionInView());
     }
 
-    /** The process that took this daemon's name. */
+    /** The other incarnation that has opened a session under this daemon's name; undefined if there is none. */
     replacedBy(): Incarnation | undefined {
-        return this.taker;
+        return this.replacement;
     }
 
-    /** Calls the listener once another process took the name. */
+    /** Calls the listener once another process has opened a session under this name. Returns the unsubscribe function. */
     onReplaced(listener: (by: Incarnation) => void): () => void {
         this.listeners.add(listener);
         return () => this.listeners.delete(listener);
     }
 
     /**
-     * Takes note of the view after one step. Looked at only after a whole batch, a process that took the name and was
-     * closed again within the batch would go unnoticed, and the two would take turns in replacing each other.
+     * Checks the view for a replacement after each step. If only the result of a whole batch were checked, a process
+     * whose session was opened and closed within the batch would go undetected, and the two processes would keep
+     * replacing each other.
      */
-    notice(view: View): void {
-        const wasOwn = this.isOwn(this.named());
+    observe(view: View): void {
+        const wasOwn = this.isOwn(this.sessionInView());
         this.view = view;
-        const named = this.named();
-        if (this.taker === undefined && wasOwn && named !== undefined && !this.isOwn(named)) {
-            this.replaced(named);
+        const current = this.sessionInView();
+        if (this.replacement === undefined && wasOwn && current !== undefined && !this.isOwn(current)) {
+            this.handleReplacement(current);
         }
     }
 
-    /** Looks for the session in a new view, and opens it where it is missing. */
-    keep(view: View): void {
-        this.notice(view);
-        if (this.closed || this.taker !== undefined) {
+    /** Checks a new view for the session and opens it if it is missing. */
+    ensureOpen(view: View): void {
+        this.observe(view);
+        if (this.closed || this.replacement !== undefined) {
             return;
         }
-        const named = this.named();
-        if (this.isOwn(named)) {
+        const current = this.sessionInView();
+        if (this.isOwn(current)) {
             this.openedAt ??= view.index;
             return;
         }
-        const seen = this.openedAt !== undefined && view.index >= this.openedAt;
-        if (named !== undefined && seen) {
-            this.replaced(named);
+        const viewIncludesOpening = this.openedAt !== undefined && view.index >= this.openedAt;
+        if (current !== undefined && viewIncludesOpening) {
+            this.handleReplacement(current);
             return;
         }
-        if (this.openedAt === undefined || seen) {
+        if (this.openedAt === undefined || viewIncludesOpening) {
             void this.open();
         }
     }
 
-    /** Closes the session, which frees its leases at once. Gives up after two elections' time: then silence closes it. */
+    /** Closes the session, which releases its leases at once. Gives up after four election timeouts; then it times out. */
     async close(): Promise<void> {
         this.closed = true;
         this.listeners.clear();
-        if (this.taker !== undefined || this.openedAt === undefined) {
+        if (this.replacement !== undefined || this.openedAt === undefined) {
             return;
         }
         const { session, clock, proposer, timing, logger } = this.options;
@@ -100,7 +101,7 @@
             timing.electionTimeout * 4,
         );
         closed.ifLeft(undecided => {
-            logger.warn("the session may stay open until it times out", undecided);
+            logger.warn("could not close the session; it stays open until it times out", undecided);
         });
     }
 
@@ -112,26 +113,26 @@
         const { session, failureDomain, peers, clock, proposer, logger } = this.options;
         const opened = await proposer.propose(
             { kind: "openSession", session, failureDomain, peers, at: clock.wall() },
-            openTimeout,
+            openTimeoutMilliseconds,
         );
         this.opening = false;
         opened.ifLeft(undecided => {
-            logger.warn("the session isn't open yet", undecided);
+            logger.warn("could not open the session", undecided);
         }).ifRight(held => {
             this.openedAt = held.index;
-            logger.info("the session is open", { session, index: held.index });
+            logger.info("session opened", { session, index: held.index });
         });
-        // The view may have moved meanwhile, past the opening or without it.
+        // The view may have advanced meanwhile, with or without the opened session.
         if (this.view !== undefined) {
-            this.keep(this.view);
+            this.ensureOpen(this.view);
         }
     }
 
-    private replaced(by: Incarnation): void {
-        this.taker = by;
+    private handleReplacement(by: Incarnation): void {
+        this.replacement = by;
         this.options.logger.error(
-            "another process runs under this daemon's name; this one starts no more work and has to end. "
-                + "Give each daemon a name of its own, or stop the old process before a new one starts.",
+            "another process uses this daemon's name; this process accepts no new work and must be stopped. "
+                + "Give each daemon a unique name, or stop the old process before starting a new one.",
             { session: this.options.session, by },
         );
         for (const listener of [...this.listeners]) {
@@ -139,11 +140,11 @@
         }
     }
 
-    private named(): Incarnation | undefined {
+    private sessionInView(): Incarnation | undefined {
         return this.view?.sessions[this.options.session.daemon]?.session;
     }
 
-    private isOwn(named: Incarnation | undefined): boolean {
-        return named !== undefined && named.incarnation === this.options.session.incarnation;
+    private isOwn(session: Incarnation | undefined): boolean {
+        return session !== undefined && session.incarnation === this.options.session.incarnation;
     }
 }
--- a/packages/basilpaddle/src/node/coordination/view/viewClient.ts
+++ b/packages/basilpaddle/src/node/coordination/view/viewClient.ts
@@ -1,4 +1,4 @@
-/** Follows the control daemons' view by way of their links, and keeps this daemon's session open there. */
+/** Replicates the control daemons' view over links and keeps this daemon's session open there. */
 import type { Either } from "purify-ts";
 import type { Command, CommandResult, Incarnation, Timing, View } from "../../protocol/index.js";
 import { commandOf, ViewState } from "../../state/index.js";
@@ -6,42 +6,42 @@
 import type { Clock, Logger, Randomness } from "../../utils/index.js";
 import { ControlClient, type Undecided } from "../controlClient.js";
 import { CrashExchange, type HeldRequests } from "../quarantine/index.js";
-import { Confirmer, type ViewAnswer } from "./confirmer.js";
 import { type ControlAddress, Proposer } from "./proposer.js";
-import { SessionKeeper, type SessionPlace } from "./sessionKeeper.js";
-import { type LeaseGap, ViewLease } from "./viewLease.js";
+import { type DaemonLocation, SessionKeeper } from "./sessionKeeper.js";
+import { type LeaseBlocker, ViewLease } from "./viewLease.js";
+import { type ViewAnswer, ViewPoller } from "./viewPoller.js";
 
-/** What a client of the control daemons works with. */
+/** Dependencies of a client of the control daemons. */
 export type PeerControlClientOptions = {
-    /** This start of the daemon. */
+    /** This incarnation of the daemon. */
     readonly session: Incarnation;
     readonly failureDomain: string;
-    /** Where other daemons reach this one. */
-    readonly peers: SessionPlace["peers"];
+    /** Address at which other daemons connect to this one. */
+    readonly peers: DaemonLocation["peers"];
     readonly controls: readonly ControlAddress[];
     readonly timing: Timing;
     readonly network: Network;
     readonly clock: Clock;
     readonly randomness: Randomness;
     readonly logger: Logger;
-    /** This daemon's copy of what is known of requests under which backend servers ended. @default none */
+    /** This daemon's records of requests that backend servers crashed on. @default none */
     readonly held?: HeldRequests | undefined;
 };
 
-/** Why no new work may start now. */
-export type StartGap =
-    | LeaseGap
+/** Reason why no new work may start now. */
+export type StartBlocker =
+    | LeaseBlocker
     | { readonly kind: "noSession"; }
-    /** Another process runs under this daemon's name. */
+    /** Another process has opened a session under this daemon's name. */
     | { readonly kind: "replaced"; readonly by: Incarnation; }
     | { readonly kind: "closed"; };
 
-/** A control client that reaches the control daemons over links. */
+/** A control client that connects to the control daemons over links. */
 export class PeerControlClient extends ControlClient {
     private state = ViewState.create();
     private readonly lease: ViewLease;
     private readonly proposer: Proposer;
-    private readonly confirmer: Confirmer;
+    private readonly poller: ViewPoller;
     private readonly sessions: SessionKeeper;
     private readonly crashes: CrashExchange | undefined;
     private readonly listeners = new Set<(view: View) => void>();
@@ -55,21 +55,21 @@
         this.proposer = Proposer.create(options);
         this.sessions = SessionKeeper.create({ ...options, logger: this.logger, proposer: this.proposer });
         this.crashes = options.held && CrashExchange.create(options.held);
-        this.confirmer = Confirmer.create({
+        this.poller = ViewPoller.create({
             ...options,
             crashes: this.crashes,
             logger: this.logger,
             lease: this.lease,
             progress: () => ({ applied: this.view().index, revision: this.view().configuration.revision }),
-            onAnswer: answer => this.follow(answer),
+            onAnswer: answer => this.applyAnswer(answer),
         });
     }
 
-    /** Begins at once to ask for the view and to open the session. */
+    /** Starts polling the view and opening the session at once. */
     static create(options: PeerControlClientOptions): PeerControlClient {
         const client = new PeerControlClient(options);
-        client.confirmer.start();
-        client.sessions.keep(client.view());
+        client.poller.start();
+        client.sessions.ensureOpen(client.view());
         return client;
     }
 
@@ -82,11 +82,11 @@
     }
 
     override mayStart(): boolean {
-        return !this.closed && this.sessions.isOpen() && this.lease.runs(this.options.clock.monotonic());
+        return !this.closed && this.sessions.isOpen() && this.lease.isValid(this.options.clock.monotonic());
     }
 
-    /** Why no new work may start now; undefined if it may. */
-    startGap(): StartGap | undefined {
+    /** The reason why no new work may start now; undefined if it may. */
+    startGap(): StartBlocker | undefined {
         if (this.closed) {
             return { kind: "closed" };
         }
@@ -94,13 +94,13 @@
         if (by !== undefined) {
             return { kind: "replaced", by };
         }
-        const { gap } = this.lease.standing(this.options.clock.monotonic());
-        return gap ?? (this.sessions.isOpen() ? undefined : { kind: "noSession" });
+        const { blocker } = this.lease.status(this.options.clock.monotonic());
+        return blocker ?? (this.sessions.isOpen() ? undefined : { kind: "noSession" });
     }
 
-    /** Monotonic milliseconds until which the view is confirmed; undefined before the first time. */
+    /** Monotonic milliseconds at which the view lease expires; undefined before the first confirmation. */
     confirmedUntil(): number | undefined {
-        return this.lease.standing(this.options.clock.monotonic()).confirmedUntil;
+        return this.lease.status(this.options.clock.monotonic()).confirmedUntil;
     }
 
     override onView(listener: (view: View) => void): () => void {
@@ -108,24 +108,27 @@
         return () => this.listeners.delete(listener);
     }
 
-    /** Calls the listener once another process runs under this daemon's name. This daemon never starts work again and should end. */
+    /**
+     * Calls the listener once another process has opened a session under this daemon's name. This process then never
+     * starts work again and should exit. Returns the unsubscribe function.
+     */
     onReplaced(listener: (by: Incarnation) => void): () => void {
         return this.sessions.onReplaced(listener);
     }
 
     override async propose(command: Command, timeout: number): Promise<Either<Undecided, CommandResult>> {
         const proposed = await this.proposer.propose(command, timeout);
-        return proposed.map(held => held.result);
+        return proposed.map(committed => committed.result);
     }
 
     override noteRenewal(id: string, incarnation: number): void {
-        this.confirmer.noteRenewal(id, incarnation);
+        this.poller.noteRenewal(id, incarnation);
     }
 
-    /** Tells the control daemons soon of requests under which backend servers ended. */
+    /** Sends the records of requests that backend servers crashed on to the control daemons with an early poll. */
     tellCrashes(digests: readonly string[]): void {
         digests.forEach(digest => this.crashes?.note(digest));
-        this.confirmer.hasten();
+        this.poller.pollSoon();
     }
 
     override async close(): Promise<void> {
@@ -133,36 +136,36 @@
             return;
         }
         this.closed = true;
-        this.confirmer.close();
+        this.poller.close();
         await this.sessions.close();
         this.proposer.close();
         this.listeners.clear();
     }
 
-    /** Takes over what an answer brings. Steps follow on what this daemon had applied when it asked, or on the snapshot. */
-    private follow(answer: ViewAnswer): void {
+    /** Applies an answer. Its steps continue from the index that was sent in the request, or from its snapshot. */
+    private applyAnswer(answer: ViewAnswer): void {
         this.proposer.noteLeader(answer.leader);
         const before = this.view();
         if (answer.snapshot !== undefined && answer.snapshot.index > before.index) {
             this.state = ViewState.fromSnapshot(answer.snapshot);
         }
         for (const step of answer.steps ?? []) {
-            // An answer that was overtaken by another one brings steps again that are applied already.
+            // An answer that arrives after a newer one contains steps that are already applied.
             if (step.index > this.view().index) {
                 this.state.apply(step.index, commandOf(step, this.view()));
-                this.sessions.notice(this.view());
+                this.sessions.observe(this.view());
             }
         }
         if (this.view() !== before) {
-            this.moved();
+            this.viewChanged();
         }
     }
 
-    private moved(): void {
+    private viewChanged(): void {
         const view = this.view();
-        this.lease.applied(view.index);
-        this.sessions.keep(view);
-        this.confirmer.hasten();
+        this.lease.recordApplied(view.index);
+        this.sessions.ensureOpen(view);
+        this.poller.pollSoon();
         for (const listener of [...this.listeners]) {
             listener(view);
         }
--- a/packages/basilpaddle/src/node/coordination/view/viewLease.ts
+++ b/packages/basilpaddle/src/node/coordination/view/viewLease.ts
@@ -1,49 +1,51 @@
 /**
- * Decides until when an entry daemon may start work on the view that it has applied.
+ * Decides until when an entry daemon may start work based on the view that it has applied.
  *
- * What has to hold: while the lease runs, no change that was answered `accepted` is missing from the view. With
- * `confirmed as of x` this follows from: no missing change is accepted before x + viewLease.
+ * Invariant: while the lease is valid, the view contains every change that was answered `accepted`. For a lease that is
+ * confirmed as of time x this follows from: no change missing from the view is accepted before x + viewLease.
  *
- * By a majority. Every counted voter said after the question was sent, at x, that its log holds nothing newer than the
- * view. A missing change needs a majority as well, so one counted voter appended it after its answer: it was committed
- * after x, and the leader waits viewLease × (1 + clockDrift) from there. Memberships change by one voter at a time and
- * an answer names the newest one in the log, committed or not, so majorities of the named and the next one share a voter.
+ * Confirmation by a majority. Every counted voter answered a request sent at x and reported that its log contains no
+ * view command newer than the view. A missing change needs a majority as well, so one counted voter appended it after
+ * its answer: it was committed after x, and the leader waits viewLease × (1 + clockDrift) from the commit before it
+ * accepts. Memberships change by one voter at a time and an answer names the newest one in the log, committed or not,
+ * so a majority of the named membership and a majority of the next one share a voter.
  *
- * By refusals. The lease was confirmed as of w and a majority of the voters refused connections between the question, at
- * x, and now < w + viewLease: each of their processes was dead at a moment after x. Until now nothing missing was
- * accepted, because of w. From now on each commit, vote and confirmation of leadership needs one of the refused voters,
- * of which each keeps silent for 2 × electionTimeout after its start. That is longer than `refusalWindow` and
- * electionTimeout together, so a leader from before x has stepped down before the first one speaks again, and a leader
- * elected after x waits a whole view lease before it accepts. This also needs membership changes to be at least a view
- * lease apart: then at most one is in use that the named voters don't tell, and as a majority, not just a blocking
- * minority, of the named voters refused, each of its quorums holds a refused voter too.
+ * Extension by refusals. The lease was confirmed as of w, and a majority of the voters refused connections between the
+ * request, sent at x, and now < w + viewLease: each of their processes was down at some time after x. Until now no
+ * missing change was accepted, because of the confirmation as of w. From now on each commit, vote and confirmation of
+ * leadership needs one of the refusing voters, and each of them stays silent for 2 × electionTimeout after it starts.
+ * That is longer than `refusalWindow` plus electionTimeout, so a leader elected before x has stepped down before the
+ * first of them takes part again, and a leader elected after x waits a whole view lease before it accepts a change. This
+ * also requires membership changes to be at least a view lease apart: then at most one membership is in use that the
+ * named voters don't report, and since a majority of the named voters refused, not just a blocking minority, each quorum
+ * of that membership contains a refusing voter too.
  */
 
-/** What one control daemon said of itself in answer to a question. */
+/** State of one control daemon as reported in its answer to a poll. */
 export type VoterAnswer = {
     readonly voter: string;
     readonly voting: boolean;
-    /** The voters of its newest membership, committed or not. */
+    /** Voters of the newest membership in its log, committed or not. */
     readonly voters: readonly string[];
     /** Index of the newest view command in its log, committed or not. */
     readonly appendedView: number;
 };
 
-/** Why no new work may start. */
-export type LeaseGap =
-    /** No view was ever confirmed. */
+/** Reason why the lease allows no new work. */
+export type LeaseBlocker =
+    /** No view has been confirmed yet. */
     | { readonly kind: "neverConfirmed"; }
-    /** A voter holds a newer view command than this daemon has applied. */
+    /** The log of a voter contains a newer view command than this daemon has applied. */
     | { readonly kind: "behind"; readonly applied: number; readonly appended: number; }
-    /** Too few voters answered or refused lately. */
+    /** Too few voters answered or refused within the lease duration. */
     | { readonly kind: "noMajority"; readonly answered: number; readonly refused: number; };
 
-/** How the lease stands at one moment. */
-export type LeaseStanding = {
-    /** Monotonic milliseconds at which the lease ends; undefined if it never began. */
+/** State of the lease at one point in time. */
+export type LeaseStatus = {
+    /** Monotonic milliseconds at which the lease expires; undefined if it was never confirmed. */
     readonly confirmedUntil: number | undefined;
-    /** Undefined while the lease runs. */
-    readonly gap: LeaseGap | undefined;
+    /** Undefined while the lease is valid. */
+    readonly blocker: LeaseBlocker | undefined;
 };
 
 type Round = {
@@ -52,12 +54,15 @@
     readonly refused: Set<string>;
 };
 
-/** Longest time in milliseconds from a question to a refusal that counts. */
-const longestRefusalWindow = 200;
-/** The window must leave most of the silence after a start, 2 × electionTimeout, for the old leader to step down in. */
-const refusalWindowPart = 0.25;
+/** Upper bound of the time from a request to a refusal that still counts for its round. */
+const maximumRefusalWindowMilliseconds = 200;
+/**
+ * Upper bound of the refusal window in election timeouts. A restarted voter is silent for 2 × electionTimeout, and most of
+ * that must remain for the old leader to step down.
+ */
+const refusalWindowFraction = 0.25;
 
-/** The view lease as a pure step: it knows no clock and no network. All times are monotonic milliseconds of this host. */
+/** State machine of the view lease, without clock and network access. All times are monotonic milliseconds of this host. */
 export class ViewLease {
     private readonly rounds = new Map<number, Round>();
     private confirmedAt: number | undefined;
@@ -70,42 +75,42 @@
     ) {}
 
     static create(timing: { readonly viewLease: number; readonly electionTimeout: number; }): ViewLease {
-        const window = Math.min(longestRefusalWindow, timing.electionTimeout * refusalWindowPart);
+        const window = Math.min(maximumRefusalWindowMilliseconds, timing.electionTimeout * refusalWindowFraction);
         return new ViewLease(timing.viewLease, window);
     }
 
-    /** A round of questions goes out. Its number is new; its answers count as of this moment, however late they come. */
-    asked(round: number, sentAt: number): void {
+    /** Starts a round of requests with a new number. Its answers confirm the view as of `sentAt`, however late they arrive. */
+    startRound(roundNumber: number, sentAt: number): void {
         for (const [number, earlier] of this.rounds) {
             if (earlier.sentAt + this.viewLease <= sentAt) {
                 this.rounds.delete(number);
             }
         }
-        this.rounds.set(round, { sentAt, answers: new Map(), refused: new Set() });
+        this.rounds.set(roundNumber, { sentAt, answers: new Map(), refused: new Set() });
     }
 
-    /** A control daemon answered a question of the round. */
-    answered(round: number, answer: VoterAnswer): void {
-        const asked = this.rounds.get(round);
-        if (asked === undefined) {
+    /** Records the answer of a control daemon to a request of the round. */
+    recordAnswer(roundNumber: number, answer: VoterAnswer): void {
+        const round = this.rounds.get(roundNumber);
+        if (round === undefined) {
             return;
         }
-        asked.answers.set(answer.voter, answer);
-        this.confirmByMajority(asked);
+        round.answers.set(answer.voter, answer);
+        this.confirmByMajority(round);
     }
 
-    /** The host of the voter refused a connection that was attempted for a question of the round. */
-    refused(round: number, voter: string, at: number): void {
-        const asked = this.rounds.get(round);
-        if (asked === undefined || at > asked.sentAt + this.refusalWindow) {
+    /** Records that the voter's host refused a connection for a request of the round; ignored after the refusal window. */
+    recordRefusal(roundNumber: number, voter: string, at: number): void {
+        const round = this.rounds.get(roundNumber);
+        if (round === undefined || at > round.sentAt + this.refusalWindow) {
             return;
         }
-        asked.refused.add(voter);
-        this.extendByRefusals(asked, at);
+        round.refused.add(voter);
+        this.extendByRefusals(round, at);
     }
 
-    /** The daemon's view moved to the index; answers that named up to this index count from now on. */
-    applied(index: number): void {
+    /** Records that the view has been applied up to the index. Answers that reported an index up to this one now count. */
+    recordApplied(index: number): void {
         if (index <= this.appliedIndex) {
             return;
         }
@@ -115,45 +120,45 @@
         }
     }
 
-    /** Whether the lease runs at the given moment. */
-    runs(now: number): boolean {
+    /** Whether the lease is valid at the given time. */
+    isValid(now: number): boolean {
         return this.confirmedAt !== undefined && now < this.confirmedAt + this.viewLease;
     }
 
-    /** How the lease stands at the given moment, and why it doesn't run if it doesn't. */
-    standing(now: number): LeaseStanding {
+    /** State of the lease at the given time, with the reason if it is not valid. */
+    status(now: number): LeaseStatus {
         return {
             confirmedUntil: this.confirmedAt === undefined ? undefined : this.confirmedAt + this.viewLease,
-            gap: this.runs(now) ? undefined : this.gap(),
+            blocker: this.isValid(now) ? undefined : this.findBlocker(),
         };
     }
 
     private confirmByMajority(round: Round): void {
         for (const answer of round.answers.values()) {
-            if (this.majorityNames(answer.voters, round)) {
+            if (this.majorityConfirms(answer.voters, round)) {
                 this.confirm(round.sentAt, answer.voters);
                 return;
             }
         }
     }
 
-    private majorityNames(voters: readonly string[], round: Round): boolean {
+    private majorityConfirms(voters: readonly string[], round: Round): boolean {
         let counted = 0;
         for (const answer of round.answers.values()) {
-            if (voters.includes(answer.voter) && this.counts(answer, voters)) {
+            if (voters.includes(answer.voter) && this.isCounted(answer, voters)) {
                 counted++;
             }
         }
         return isMajority(counted, voters);
     }
 
-    private counts(answer: VoterAnswer, voters: readonly string[]): boolean {
+    private isCounted(answer: VoterAnswer, voters: readonly string[]): boolean {
         return answer.voting && answer.appendedView <= this.appliedIndex && sameVoters(answer.voters, voters);
     }
 
     private extendByRefusals(round: Round, at: number): void {
-        // A lease that broke must not come back this way: the change may have been accepted in the gap.
-        if (!this.runs(at)) {
+        // An expired lease must not be revived by refusals: a change may have been accepted since it expired.
+        if (!this.isValid(at)) {
             return;
         }
         const voters = this.confirmedVoters;
@@ -162,8 +167,8 @@
             return;
         }
         for (const answer of round.answers.values()) {
-            const matters = answer.voting || voters.includes(answer.voter);
-            if (matters && !this.counts(answer, voters)) {
+            const isRelevant = answer.voting || voters.includes(answer.voter);
+            if (isRelevant && !this.isCounted(answer, voters)) {
                 return;
             }
         }
@@ -183,7 +188,7 @@
         }
     }
 
-    private gap(): LeaseGap {
+    private findBlocker(): LeaseBlocker {
         const rounds = [...this.rounds.values()];
         const appended = Math.max(0, ...rounds.flatMap(round => [...round.answers.values()].map(a => a.appendedView)));
         if (appended > this.appliedIndex) {
