--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/fakes.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/fakes.ts
@@ -14,12 +14,12 @@
 
 type OrderRecord = Extract<Command, { kind: "recordOrder"; }>["order"];
 
-/** Control daemons that take everything, unless they are told to answer nothing. */
+/** Control daemons that accept every command, or leave it undecided while `undecided` is set. */
 export class FakeControl extends ControlClient {
     readonly proposed: Command[] = [];
-    starts = true;
+    mayStartWork = true;
     undecided = false;
-    /** Runs before each proposal is answered. */
+    /** Called before each proposal is answered. */
     onPropose: (command: Command) => void = () => {};
     private readonly listeners = new Set<(view: View) => void>();
 
@@ -27,7 +27,7 @@
         super();
     }
 
-    /** Outcomes in the audit trail, in their order. */
+    /** Outcomes in the audit trail, in order. */
     outcomes(): string[] {
         return this.proposed.flatMap(command => command.kind === "recordOrder" ? [command.order.outcome] : []);
     }
@@ -36,7 +36,7 @@
         return this.proposed.flatMap(command => command.kind === "recordOrder" ? [command.order] : []);
     }
 
-    follow(view: View): void {
+    publishView(view: View): void {
         this.current = view;
         this.listeners.forEach(listener => listener(view));
     }
@@ -50,7 +50,7 @@
     }
 
     override mayStart(): boolean {
-        return this.starts;
+        return this.mayStartWork;
     }
 
     override onView(listener: (view: View) => void): () => void {
@@ -72,12 +72,12 @@
     override async close(): Promise<void> {}
 }
 
-/** An engine that is read and ordered, and does nothing else. */
+/** An engine that supports state readings and orders only. */
 export class FakeOrderEngine extends Engine {
-    readonly given: { readonly orderId: string; readonly fence: number; readonly order: Order; }[] = [];
-    reads = 0;
+    readonly receivedOrders: { readonly orderId: string; readonly fence: number; readonly order: Order; }[] = [];
+    stateReads = 0;
     answer: Either<EngineFailure, OrderAnswer> = Right({ outcome: "started", highestFence: 0, message: "" });
-    /** Runs before each reading is answered. */
+    /** Called before each reading is answered. */
     onState: () => Promise<void> | void = () => {};
 
     constructor(readonly announcement: Announcement, public current: EngineState) {
@@ -85,34 +85,34 @@
     }
 
     override async state(): Promise<Either<EngineFailure, EngineState>> {
-        this.reads += 1;
+        this.stateReads += 1;
         await this.onState();
         return Right(this.current);
     }
 
     override async order(orderId: string, fence: number, order: Order): Promise<Either<EngineFailure, OrderAnswer>> {
-        this.given.push({ orderId, fence, order });
+        this.receivedOrders.push({ orderId, fence, order });
         return this.answer;
     }
 
     override prefill(): never {
-        throw new Error("not an order");
+        throw new Error("not supported by this fake");
     }
 
     override import(): never {
-        throw new Error("not an order");
+        throw new Error("not supported by this fake");
     }
 
     override decode(): never {
-        throw new Error("not an order");
+        throw new Error("not supported by this fake");
     }
 
     override cancel(): never {
-        throw new Error("not an order");
+        throw new Error("not supported by this fake");
     }
 
     override load(): never {
-        throw new Error("not an order");
+        throw new Error("not supported by this fake");
     }
 
     override async close(): Promise<void> {}
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/reconciler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/reconciler.spec.ts
@@ -6,29 +6,29 @@
 import { World } from "../../../../../../../simulation/orders/world.js";
 import { SeededRandomness } from "../../../utils/index.js";
 
-describe("orders by what is declared and what engines say", () => {
-    it("cut nothing, keep the floor and the weight store's rate, and come to what is declared", () => {
+describe("orders derived from the declaration and the engines' states", () => {
+    it("abort no requests, keep the floor and the load limit, and converge to the declaration", () => {
         fc.assert(declarationRuns(), { seed: 7, numRuns: 150 });
     });
 
-    it("of the next holder contradict none of the last one, whether engines check fencing numbers or not", () => {
+    it("don't contradict those of the previous holder, whether engines check fencing numbers or not", () => {
         fc.assert(handOverRuns(), { seed: 11, numRuns: 150 });
     });
 
-    it("of the last holder that are late take effect before the next one does anything", () => {
-        // Symptom: a role change cuts requests that the new holder let in. Sequence: the last holder's order is on its
-        // way when it loses the lease; the new one takes the engine in again, and the order arrives. Cause: a new
-        // holder that doesn't wait until orders on their way have ended.
+    it("of the previous holder that are delayed take effect before the next holder acts", () => {
+        // Guards against a role change that aborts requests which the new holder admitted. The previous holder's order is
+        // in transit when it loses the lease; the new one returns the engine to placement, and then the order arrives. The
+        // new holder has to wait until orders in transit have expired.
         const seeds = Array.from({ length: 20 }, (_, seed) => seed);
-        const withWait = seeds.filter(seed => cutAfterHandOver(seed, limits.settle + limits.orderTimeout));
-        const withoutWait = seeds.filter(seed => cutAfterHandOver(seed, 0));
+        const withWait = seeds.filter(seed => abortsAfterHandover(seed, limits.settle + limits.orderTimeout));
+        const withoutWait = seeds.filter(seed => abortsAfterHandover(seed, 0));
         expect(withWait).to.deep.equal([]);
-        expect(withoutWait, "seeds that would show a missing wait").not.to.deep.equal([]);
+        expect(withoutWait, "seeds that detect a missing wait").not.to.deep.equal([]);
     });
 });
 
-/** Whether an order of the last holder that is almost an order timeout late cuts a request. */
-function cutAfterHandOver(seed: number, wait: number): boolean {
+/** Whether an order of the previous holder that is delayed by almost an order timeout aborts a request. */
+function abortsAfterHandover(seed: number, wait: number): boolean {
     const rules = { ...limits, checksFence: false, faults: 0 };
     const world = new World(pool(), 6, SeededRandomness.create(seed), rules);
     const { prefill, decode } = world.copies();
@@ -39,13 +39,13 @@
         floor: { prefill: 0, decode: 0 },
     });
     world.pass(roundTime);
-    const last = new Holder(world, 10);
-    last.lateBy = limits.orderTimeout - 100;
-    const changesRole = () => [...last.state.open.values()].some(({ order }) => order.action === "changeRole");
+    const previous = new Holder(world, 10);
+    previous.lateBy = limits.orderTimeout - 100;
+    const changesRole = () => [...previous.state.open.values()].some(({ order }) => order.action === "changeRole");
     for (let round = 0; round < 30 && !changesRole(); round++) {
-        playRounds(world, last, 1);
+        playRounds(world, previous, 1);
     }
-    // The change isn't wanted any more, so that the next holder takes the engine in again at once.
+    // The change is no longer required, so that the next holder returns the engine to placement at once.
     world.declared = pool({ models, copies: { prefill, decode } });
     world.pass(wait);
     const next = new Holder(world, 20);
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/servedVersion.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/servedVersion.spec.ts
@@ -5,8 +5,8 @@
 const old = { name: "m", version: "1", adapters: [] };
 const declared = { name: "m", version: "2", adapters: [] };
 
-/** A pool with four decode engines of which some have the declared version, and one prefill engine. */
-function served(warmDecodes: number, prefillWarm: boolean, oldLeft = true): string | undefined {
+/** The version to serve of a pool with four decode engines, some of which have the declared version, and one prefill engine. */
+function versionFor(warmDecodes: number, prefillWarm: boolean, oldLeft = true): string | undefined {
     const carried = (warm: boolean) => [...(oldLeft ? [old] : []), ...(warm ? [declared] : [])];
     const decodes = [0, 1, 2, 3].map(n => announce(`decode-${n}`, { models: carried(n < warmDecodes) }));
     const prefill = announce("prefill-0", { role: "prefill", models: carried(prefillWarm) });
@@ -14,20 +14,20 @@
 }
 
 describe("the version to serve", () => {
-    it("stays the old one until most engines of both roles have the declared one warm", () => {
-        // Symptom: a rollout makes a pool refuse most requests. Sequence: the first copy gets warm, all traffic goes
-        // there. Cause: a version that is served as soon as anybody has it.
-        expect(served(1, true)).to.equal("1");
-        expect(served(4, false)).to.equal("1");
-        expect(served(3, true)).to.equal("2");
+    it("remains the old one until most engines of both roles have the declared one warm", () => {
+        // Guards against a rollout that makes a pool refuse most requests: if a version were served as soon as one engine
+        // has it warm, all traffic would go to that first copy.
+        expect(versionFor(1, true)).to.equal("1");
+        expect(versionFor(4, false)).to.equal("1");
+        expect(versionFor(3, true)).to.equal("2");
     });
 
-    it("is the declared one where nobody has another, however few have it", () => {
-        expect(served(1, true, false)).to.equal("2");
+    it("is the declared one if no engine has another version, however few have it", () => {
+        expect(versionFor(1, true, false)).to.equal("2");
     });
 
-    it("is none where no pair of engines has one", () => {
-        expect(served(4, false, false)).to.equal(undefined);
+    it("is undefined if no pair of engines has any version", () => {
+        expect(versionFor(4, false, false)).to.equal(undefined);
     });
 });
 
@@ -36,17 +36,17 @@
     const engines = [announce("prefill-0", { role: "prefill", ...both }), announce("decode-0", both)];
     const view = viewOf(pool(), engines);
 
-    it("is the named one while a pair of engines has it, whatever most of them have", () => {
-        // Symptom: requests are cut by the unloading of the version that they run. Sequence: traffic moved, the old
-        // version is being unloaded, some engines restart with it, and it is served again. Cause: a served version
-        // that follows from what most engines carry.
+    it("is the named one while a pair of engines has it, whatever most engines have", () => {
+        // Guards against requests that are aborted because the version that they run is unloaded. After traffic has moved
+        // and while the old version is being unloaded, some engines restart with it: if the served version were the one
+        // that most engines carry, the old one would be served again.
         const restarted = [1, 2, 3].map(n => announce(`decode-${n}`, { models: [old] }));
         const later = viewOf(pool(), [...engines, ...restarted]);
         expect(servedVersion({ ...later, served: { [poolName]: { m: "2" } } }, poolName, "m")).to.equal("2");
         expect(servedVersion({ ...view, served: { [poolName]: { m: "1" } } }, poolName, "m")).to.equal("1");
     });
 
-    it("is one that engines have where none is named, or nobody has the named one any more", () => {
+    it("is one that engines carry if none is named or no engine carries the named one", () => {
         expect(servedVersion(view, poolName, "m")).to.equal("2");
         expect(servedVersion({ ...view, served: { [poolName]: { m: "0" } } }, poolName, "m")).to.equal("2");
     });
--- a/packages/basilpaddle/src/node/coordination/orders/openOrders.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderOutcome.ts
@@ -2,22 +2,22 @@
 import type { ObservedEngine, OpenOrder, OrderOutcome } from "./orderState.js";
 
 /**
- * What a reading proves of an open order; undefined where it proves nothing yet.
+ * The outcome of an open order that a reading proves; undefined if it proves nothing yet.
  *
- * The state is looked at, and not the lost answer: sending again instead would, at an engine that doesn't know order
- * identifiers, load twice or cut what runs a second time.
+ * After a lost answer the outcome is derived from the engine's state. Resending the order instead would, at an engine that
+ * doesn't deduplicate by order identifier, load a model twice or abort running requests a second time.
  */
-export function outcomeByReading(open: OpenOrder, engine: ObservedEngine | undefined): OrderOutcome | undefined {
+export function outcomeFromReading(open: OpenOrder, engine: ObservedEngine | undefined): OrderOutcome | undefined {
     if (engine === undefined || engine.announcement.incarnation !== open.incarnation) {
         return "unknown";
     }
     if (open.phase === "sent" || engine.reading === undefined || engine.reading.askedAt < open.readableAt) {
         return undefined;
     }
-    return effectOf(open.order, engine.reading.state);
+    return orderEffect(open.order, engine.reading.state);
 }
 
-function effectOf(order: Order, state: EngineState): OrderOutcome | undefined {
+function orderEffect(order: Order, state: EngineState): OrderOutcome | undefined {
     if (order.action === "changeRole") {
         return state.role === order.role ? "done" : "failed";
     }
--- a/packages/basilpaddle/src/node/coordination/orders/orderState.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderState.ts
@@ -1,51 +1,52 @@
 import type { Announcement, EngineState, Order, View } from "../../protocol/index.js";
 
-/** What an engine said of itself, and when it was asked. */
+/** State reported by an engine, and the monotonic milliseconds at which it was requested. */
 export type Reading = { readonly state: EngineState; readonly askedAt: number; };
 
-/** How an order ended, as the audit trail tells it. */
+/** Outcome of an order as recorded in the audit trail. */
 export type OrderOutcome = "done" | "refused" | "failed" | "unknown";
 
-/** An order whose end isn't known yet. An engine has at most one. */
+/** An order whose outcome is not known yet. An engine has at most one. */
 export type OpenOrder = {
     readonly orderId: string;
     readonly engine: string;
     readonly incarnation: number;
     readonly order: Order;
     readonly cause: string;
-    /** `started`: the engine works on it. `uncertain`: its answer was lost, and the state isn't read yet. */
+    /** `started`: the engine is executing it. `uncertain`: its answer was lost and the state has not been read since. */
     readonly phase: "sent" | "started" | "uncertain";
-    /** A reading that was asked for before this time tells nothing of the order. */
+    /** Monotonic milliseconds; a reading that was requested earlier proves nothing about the order. */
     readonly readableAt: number;
 };
 
-/** Waits until nothing that began before a change of the view can still come to an engine. */
-export type Quiet = {
-    /** When the change was first seen in the view. */
+/** Progress of waiting until no attempt that started before a change of the view can still reach an engine. */
+export type QuiescenceWait = {
+    /** Monotonic milliseconds at which the change was first seen in the view. */
     readonly since: number;
-    /** Attempts that have to end first; undefined until every daemon must have seen the change. */
-    readonly waitingFor: readonly Awaited[] | undefined;
+    /** Attempts that must end first; undefined until every daemon must have applied the change. */
+    readonly waitingFor: readonly AwaitedAttempt[] | undefined;
 };
 
-/** An attempt that has to end, where it was last seen, and how many readings in a row it was missing from. */
-export type Awaited = { readonly attempt: string; readonly engine: string; readonly missed: number; };
+/** An attempt that must end, the engine where it was last seen, and the number of consecutive readings it was missing from. */
+export type AwaitedAttempt = { readonly attempt: string; readonly engine: string; readonly missedReadings: number; };
 
-/** An order that came to nothing, and when to try again. */
-export type Retry = { readonly count: number; readonly notBefore: number; };
+/** Number of failures of an order, and the monotonic milliseconds before which it is not retried. */
+export type OrderRetry = { readonly count: number; readonly notBefore: number; };
 
-/** What the reconciler remembers between two steps. It is lost with the lease, and read anew from the engines. */
+/** State of the reconciler between two steps. It is discarded with the lease; the next holder reads the engines instead. */
 export type ReconcilerState = {
-    /** By engine. */
+    /** By engine identifier. */
     readonly open: ReadonlyMap<string, OpenOrder>;
-    /** By engine and what is to become quiet. */
-    readonly quiet: ReadonlyMap<string, Quiet>;
-    /** By engine and order. */
-    readonly retries: ReadonlyMap<string, Retry>;
-    readonly given: number;
+    /** By engine identifier and the order, or the role change, that waits. */
+    readonly quiescence: ReadonlyMap<string, QuiescenceWait>;
+    /** By engine identifier and order. */
+    readonly retries: ReadonlyMap<string, OrderRetry>;
+    /** Number of orders issued so far in this term. */
+    readonly issuedOrders: number;
 };
 
-/** What the reconciler wants done. */
-export type Action =
+/** An action that the reconciler requests. */
+export type ReconcilerAction =
     | { readonly kind: "order"; readonly open: OpenOrder; }
     | {
         readonly kind: "drain";
@@ -57,32 +58,32 @@
     | { readonly kind: "move"; readonly pool: string; readonly model: string; readonly version: string; }
     | { readonly kind: "outcome"; readonly open: OpenOrder; readonly outcome: OrderOutcome; };
 
-/** Times in milliseconds, and the load that the weight store carries. */
+/** Timing of orders in milliseconds, and the limit on concurrent loads from the weight store. */
 export type OrderLimits = {
-    /** Most loads that run at once, over all pools. @default 2 */
+    /** Maximum number of concurrent loads over all pools. @default 2 */
     readonly concurrentLoads: number;
-    /** How long an order can take effect after it was sent; its answer is waited for half as long. @default 4000 */
+    /** Time after sending within which an order can take effect; its answer is awaited for half of it. @default 4000 */
     readonly orderTimeout: number;
-    /** How long a daemon may go on by an older view: the view lease and the drift of its clock. */
+    /** Time for which a daemon may go on using an older view: the view lease plus its clock drift. */
     readonly settle: number;
-    /** First pause after an order that came to nothing; doubles up to sixty-four times. @default 1000 */
+    /** Delay before the first retry of a refused or failed order; doubles per failure, up to 64 times. @default 1000 */
     readonly retryPause: number;
 };
 
-/** An engine as the view and its own word have it. */
+/** An engine as described by the view and by its own reading. */
 export type ObservedEngine = {
     readonly announcement: Announcement;
     readonly state: View["backends"][string]["state"];
-    /** Undefined where this round's reading failed, or came from another incarnation. */
+    /** Undefined if the reading of this round failed or came from another incarnation. */
     readonly reading: Reading | undefined;
 };
 
-/** The state before the first step. */
+/** The initial state, before the first step. */
 export function emptyReconcilerState(): ReconcilerState {
-    return { open: new Map(), quiet: new Map(), retries: new Map(), given: 0 };
+    return { open: new Map(), quiescence: new Map(), retries: new Map(), issuedOrders: 0 };
 }
 
-/** Words for an order, as in the audit trail. */
+/** Description of an order as in the audit trail. */
 export function describeOrder(order: Order): string {
     switch (order.action) {
         case "load":
--- a/packages/basilpaddle/src/node/coordination/orders/orderTerm.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderTerm.ts
@@ -5,34 +5,34 @@
 import type { Engine, EngineFailure } from "../engine/index.js";
 import type { EngineDirectory } from "../request/index.js";
 import {
-    type Action,
     describeOrder,
     emptyReconcilerState,
     type OpenOrder,
     type OrderLimits,
     type OrderOutcome,
     type Reading,
+    type ReconcilerAction,
     type ReconcilerState,
 } from "./orderState.js";
 import { Reconciler, type Sent, type SentResult } from "./reconciler.js";
 
-/** What a term of the orders lease works with. */
+/** Dependencies of a term of the orders lease. */
 export type OrderTermParts = {
     readonly control: ControlClient;
     readonly engines: EngineDirectory;
     readonly clock: Clock;
     readonly logger: Logger;
     readonly limits: OrderLimits;
-    /** Whether this daemon may give orders under this term's fencing number, by the monotonic clock, now. */
-    readonly holds: () => boolean;
+    /** Whether this daemon may send orders under this term's fencing number now, by the monotonic clock. */
+    readonly mayOrder: () => boolean;
 };
 
-/** Milliseconds for a proposal to the control daemons. */
-const proposalTimeout = 1_000;
-/** How often the end of an order is proposed for the audit trail before only the log has it. */
-const auditTries = 5;
+/** Timeout of a proposal to the control daemons. */
+const proposalTimeoutMilliseconds = 1_000;
+/** Attempts to record the outcome of an order in the audit trail before it is only logged. */
+const auditAttempts = 5;
 
-/** One daemon's time as the holder of the orders lease, after the wait that begins it. */
+/** The period in which a daemon holds the orders lease under one fencing number, after the initial wait. */
 export class OrderTerm {
     private state: ReconcilerState = emptyReconcilerState();
     private readonly reconciler: Reconciler;
@@ -45,23 +45,23 @@
         return new OrderTerm(fence, parts);
     }
 
-    /** Orders without a known end. */
+    /** Orders whose outcome is not known yet. */
     openOrders(): readonly OpenOrder[] {
         return [...this.state.open.values()];
     }
 
-    /** Reads every engine, then does what is due. */
+    /** Reads the state of every ready or draining engine, then executes the actions of one reconciler step. */
     async round(): Promise<void> {
-        const readings = await this.readAll();
-        if (!this.parts.holds()) {
+        const readings = await this.readEngines();
+        if (!this.parts.mayOrder()) {
             return;
         }
         const step = this.reconciler.step(this.state, this.parts.control.view(), readings, this.now());
         this.state = step.state;
-        await Promise.all(step.actions.map(action => this.act(action)));
+        await Promise.all(step.actions.map(action => this.execute(action)));
     }
 
-    private async readAll(): Promise<ReadonlyMap<string, Reading>> {
+    private async readEngines(): Promise<ReadonlyMap<string, Reading>> {
         const readings = new Map<string, Reading>();
         const engines = Object.values(this.parts.control.view().backends)
             .filter(({ state, announcement }) =>
@@ -69,24 +69,24 @@
             );
         await Promise.all(engines.map(async ({ announcement }) => {
             const askedAt = this.now();
-            const state = await this.use(announcement, engine => engine.state(this.answerTimeout()));
+            const state = await this.withEngine(announcement, engine => engine.state(this.answerTimeout()));
             state.ifRight(read => readings.set(announcement.id, { state: read, askedAt }));
         }));
         return readings;
     }
 
-    private async act(action: Action): Promise<void> {
+    private async execute(action: ReconcilerAction): Promise<void> {
         switch (action.kind) {
             case "order": {
-                const sent = await this.order(action.open);
+                const sent = await this.sendOrder(action.open);
                 this.state = this.reconciler.settle(this.state, action.open, sent, this.now());
                 break;
             }
             case "drain":
-                await this.drain(action);
+                await this.proposeDrain(action);
                 break;
             case "move":
-                await this.move(action);
+                await this.proposeMove(action);
                 break;
             case "outcome":
                 await this.audit(action.open, action.outcome);
@@ -94,24 +94,24 @@
         }
     }
 
-    private async order(open: OpenOrder): Promise<Sent> {
+    private async sendOrder(open: OpenOrder): Promise<Sent> {
         const backend = this.parts.control.view().backends[open.engine];
         if (backend?.announcement.incarnation !== open.incarnation || !await this.audit(open, "sent")) {
             return { result: "notSent", sentAt: this.now() };
         }
-        // Between the decision and this line the process may have been frozen for long, and another daemon may give
-        // orders by now. One would notice two orders at one engine that contradict each other. The engine's client looks
-        // at the clock again before the first byte, so that waiting for a connection can't stretch this.
-        if (!this.parts.holds()) {
+        // The process may have been frozen for long since the decision, and another daemon may be sending orders by now:
+        // one engine would get two contradicting orders. The engine's client checks the clock again before it sends the
+        // first byte, so that waiting for a connection can't extend the time between this check and the sending.
+        if (!this.parts.mayOrder()) {
             await this.audit(open, "failed");
             return { result: "notSent", sentAt: this.now() };
         }
         const sentAt = this.now();
-        const answer = await this.use(
+        const answer = await this.withEngine(
             backend.announcement,
             engine => engine.order(open.orderId, this.fence, open.order, this.answerTimeout()),
         );
-        const result = resultOf(answer);
+        const result = sendResultOf(answer);
         this.parts.logger.info("order", { ...open, result });
         if (result !== "started" && result !== "unknown") {
             await this.audit(open, result === "notSent" ? "failed" : result);
@@ -119,29 +119,29 @@
         return { result, sentAt };
     }
 
-    private async drain(action: Extract<Action, { kind: "drain"; }>): Promise<void> {
-        if (!this.parts.holds()) {
+    private async proposeDrain(action: Extract<ReconcilerAction, { kind: "drain"; }>): Promise<void> {
+        if (!this.parts.mayOrder()) {
             return;
         }
         const { engine: id, incarnation, draining, cause } = action;
-        this.parts.logger.info(draining ? "draining" : "in placement again", { id, incarnation, cause });
+        this.parts.logger.info(draining ? "draining" : "returning to placement", { id, incarnation, cause });
         const at = this.parts.clock.wall();
         const command = { kind: "drainBackend", id, incarnation, draining, fence: this.fence, at } as const;
-        // Where this is undecided, the next round sees by the view whether it has come about.
-        await this.parts.control.propose(command, proposalTimeout);
+        // If the proposal stays undecided, the next round sees in the view whether it was applied.
+        await this.parts.control.propose(command, proposalTimeoutMilliseconds);
     }
 
-    private async move({ pool, model, version }: Extract<Action, { kind: "move"; }>): Promise<void> {
-        if (!this.parts.holds()) {
+    private async proposeMove({ pool, model, version }: Extract<ReconcilerAction, { kind: "move"; }>): Promise<void> {
+        if (!this.parts.mayOrder()) {
             return;
         }
-        this.parts.logger.info("new attempts run another version", { pool, model, version });
+        this.parts.logger.info("moving traffic to another version", { pool, model, version });
         const at = this.parts.clock.wall();
         const command = { kind: "moveTraffic", pool, model, version, fence: this.fence, at } as const;
-        await this.parts.control.propose(command, proposalTimeout);
+        await this.parts.control.propose(command, proposalTimeoutMilliseconds);
     }
 
-    /** Whether the audit trail has it. An order isn't sent before the trail says that it will be. */
+    /** Records the order in the audit trail and returns whether that succeeded. An order is sent only once it is recorded. */
     private async audit(open: OpenOrder, outcome: OrderOutcome | "sent"): Promise<boolean> {
         const order = {
             fence: this.fence,
@@ -151,19 +151,22 @@
             outcome,
             by: this.parts.control.session().daemon,
         };
-        const tries = outcome === "sent" ? 1 : auditTries;
-        for (let tried = 0; tried < tries; tried++) {
+        const attempts = outcome === "sent" ? 1 : auditAttempts;
+        for (let attempt = 0; attempt < attempts; attempt++) {
             const at = this.parts.clock.wall();
-            const proposed = await this.parts.control.propose({ kind: "recordOrder", order, at }, proposalTimeout);
+            const proposed = await this.parts.control.propose(
+                { kind: "recordOrder", order, at },
+                proposalTimeoutMilliseconds,
+            );
             if (proposed.isRight()) {
                 return true;
             }
         }
-        this.parts.logger.warn("the audit trail doesn't have an order", order);
+        this.parts.logger.warn("could not record an order in the audit trail", order);
         return false;
     }
 
-    private async use<T>({ url }: Announcement, call: (engine: Engine) => Promise<T>): Promise<T> {
+    private async withEngine<T>({ url }: Announcement, call: (engine: Engine) => Promise<T>): Promise<T> {
         const engine = this.parts.engines.borrow(url);
         try {
             return await call(engine);
@@ -173,7 +176,7 @@
         }
     }
 
-    /** The other half of the order timeout is for what was sent and is still on its way when the answer is given up. */
+    /** Half of the order timeout. The other half covers an order that is still in transit when waiting for its answer ends. */
     private answerTimeout(): number {
         return this.parts.limits.orderTimeout / 2;
     }
@@ -183,7 +186,7 @@
     }
 }
 
-function resultOf(answer: Either<EngineFailure, OrderAnswer>): SentResult {
+function sendResultOf(answer: Either<EngineFailure, OrderAnswer>): SentResult {
     return answer.caseOf<SentResult>({
         Left: ({ kind, code }) => {
             if (kind === "notRun") {
--- a/packages/basilpaddle/src/node/coordination/orders/poolPlan.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/poolPlan.ts
@@ -1,24 +1,24 @@
 import type { EngineState, Order, Pool } from "../../protocol/index.js";
 import type { ObservedEngine } from "./orderState.js";
-import { servedAmong, versionToServe } from "./servedVersion.js";
+import { servedVersionAmong, versionToServe } from "./servedVersion.js";
 
 /** The role of an engine. */
 export type Role = EngineState["role"];
 
-/** An order that a pool lacks, and why. */
-export type Wanted = { readonly engine: ObservedEngine; readonly order: Order; readonly cause: string; };
+/** An order that a pool requires, and its reason. */
+export type RequiredOrder = { readonly engine: ObservedEngine; readonly order: Order; readonly cause: string; };
 
-/** An engine to be taken out of placement, or in again, and why. */
-export type WantedDrain = { readonly engine: ObservedEngine; readonly draining: boolean; readonly cause: string; };
+/** An engine to be removed from placement or returned to it, and the reason. */
+export type RequiredDrain = { readonly engine: ObservedEngine; readonly draining: boolean; readonly cause: string; };
 
-/** A version to be named for new attempts. */
-export type WantedMove = { readonly pool: string; readonly model: string; readonly version: string; };
+/** A version to be named as the one that new attempts run. */
+export type RequiredMove = { readonly pool: string; readonly model: string; readonly version: string; };
 
-/** A pool as it is declared and as it is. */
-export type PoolSituation = {
+/** A pool's declaration and its actual state. */
+export type PoolState = {
     readonly name: string;
     readonly declared: Pool;
-    /** Ready and draining engines, in the order of their identifiers. */
+    /** Ready and draining engines, ordered by identifier. */
     readonly engines: readonly ObservedEngine[];
     /** The version that the view names for new attempts, by model. */
     readonly named: Readonly<Record<string, string>>;
@@ -26,19 +26,19 @@
     readonly served: ReadonlyMap<string, string | undefined>;
 };
 
-const otherRole = { prefill: "decode", decode: "prefill" } as const;
+const oppositeRole = { prefill: "decode", decode: "prefill" } as const;
 
-/** The version of each declared model that new attempts run, with these engines. */
+/** The version of each declared model that new attempts run, given these engines. */
 export function servedVersions(
     engines: readonly ObservedEngine[],
     declared: Pool,
-    named: PoolSituation["named"],
-): PoolSituation["served"] {
+    named: PoolState["named"],
+): PoolState["served"] {
     const ready = engines.filter(({ state }) => state === "ready").map(({ announcement }) => announcement);
-    return new Map(declared.models.map(({ name }) => [name, servedAmong(ready, declared, name, named[name])]));
+    return new Map(declared.models.map(({ name }) => [name, servedVersionAmong(ready, declared, name, named[name])]));
 }
 
-/** Whether the engine has the version warm, with all adapters. */
+/** Whether the engine has the version warm with all given adapters. */
 export function isWarm(engine: ObservedEngine, name: string, version: string, adapters: readonly string[]): boolean {
     return (engine.reading?.state.models ?? []).some(model =>
         model.name === name && model.version === version && model.phase === "warm"
@@ -46,9 +46,9 @@
     );
 }
 
-/** Loads that the pool lacks, the role with the fewest warm copies first. */
-export function wantedLoads({ declared, engines, name }: PoolSituation): Wanted[] {
-    const wanted = declared.models.flatMap(model => {
+/** Loads that the pool requires, those for the role with the fewest warm copies first. */
+export function requiredLoads({ declared, engines, name }: PoolState): RequiredOrder[] {
+    const loads = declared.models.flatMap(model => {
         const warm = (role: Role) =>
             engines.filter(engine =>
                 engine.announcement.role === role && isWarm(engine, model.name, model.version, model.adapters)
@@ -65,11 +65,11 @@
                 copies: copies[roleOf(engine)],
             }));
     });
-    return wanted.sort((one, other) => one.copies - other.copies);
+    return loads.sort((one, other) => one.copies - other.copies);
 }
 
-/** Versions that should be named for new attempts in place of those that the view names. */
-export function wantedMoves({ name: pool, declared, engines, named }: PoolSituation): WantedMove[] {
+/** Versions to be named for new attempts instead of those that the view names. */
+export function requiredMoves({ name: pool, declared, engines, named }: PoolState): RequiredMove[] {
     const ready = engines.filter(({ state }) => state === "ready").map(({ announcement }) => announcement);
     const models = [...new Set(declared.models.map(({ name }) => name))];
     return models.flatMap(model => {
@@ -78,12 +78,12 @@
     });
 }
 
-/** Versions on engines that the pool doesn't declare and that no new attempt runs. */
-export function wantedUnloads(situation: PoolSituation): Wanted[] {
-    const { declared, engines, name } = situation;
+/** Unloads of versions that the pool doesn't declare and that no new attempt runs. */
+export function requiredUnloads(pool: PoolState): RequiredOrder[] {
+    const { declared, engines, name } = pool;
     return engines.flatMap(engine =>
         (engine.reading?.state.models ?? [])
-            .filter(model => model.phase === "warm" && isRetired(situation, model.name, model.version))
+            .filter(model => model.phase === "warm" && isRetired(pool, model.name, model.version))
             .filter(model => hasSuccessor(engine, declared, model.name))
             .map(({ name: model, version }) => ({
                 engine,
@@ -94,10 +94,10 @@
 }
 
 /**
- * Whether the version is neither declared nor served. As long as what is served isn't named, it follows from what
- * engines carry, and an unload could take away the version that is served a moment later.
+ * Whether the version is neither declared nor served. While the served version isn't the named one, it is derived from the
+ * versions that engines carry, and an unload could remove the version that is served next.
  */
-function isRetired({ declared, named, served }: PoolSituation, model: string, version: string): boolean {
+function isRetired({ declared, named, served }: PoolState, model: string, version: string): boolean {
     const versions = declared.models.filter(({ name }) => name === model).map(kept => kept.version);
     if (versions.length === 0) {
         return true;
@@ -107,79 +107,81 @@
 }
 
 /**
- * What is to become of roles: at most one engine of a pool changes at a time, so that the floor can be checked against
- * what is, and not against what may be on its way.
+ * The required drains and role change. At most one engine of a pool changes its role at a time, so that the floor is
+ * checked against the actual state and not against changes that may be in progress.
  */
-export function wantedRole(situation: PoolSituation): { drains: WantedDrain[]; change: Wanted | undefined; } {
-    const { engines, name } = situation;
+export function requiredRoleChange(
+    pool: PoolState,
+): { drains: RequiredDrain[]; change: RequiredOrder | undefined; } {
+    const { engines, name } = pool;
     const draining = engines.filter(({ state }) => state === "draining");
     const [changing, ...others] = draining;
     const drains = others.map(engine => ({ engine, draining: false, cause: "another engine changes its role" }));
     if (changing === undefined) {
-        const candidate = roleCandidate(situation);
-        const cause = `${name} needs another ${candidate === undefined ? "" : otherRole[roleOf(candidate)]} copy`;
+        const candidate = roleCandidate(pool);
+        const cause = `${name} needs another ${candidate === undefined ? "" : oppositeRole[roleOf(candidate)]} copy`;
         return {
             drains: candidate === undefined ? [] : [{ engine: candidate, draining: true, cause }],
             change: undefined,
         };
     }
     if (changing.reading === undefined || changing.reading.state.role !== roleOf(changing)) {
-        // Its announcement doesn't tell its role yet: in placement again, it would get work of its former role.
+        // Its announcement doesn't have its new role yet: returned to placement, it would get work of its former role.
         return { drains, change: undefined };
     }
     const role = roleOf(changing);
-    if (!needsChange(situation, role) || !canSpare(situation, changing)) {
+    if (!needsChange(pool, role) || !canSpare(pool, changing)) {
         const cause = "no change of its role is wanted any more";
         return { drains: [...drains, { engine: changing, draining: false, cause }], change: undefined };
     }
-    const order = { action: "changeRole", role: otherRole[role] } as const;
-    return { drains, change: { engine: changing, order, cause: `${name} needs another ${otherRole[role]} copy` } };
+    const order = { action: "changeRole", role: oppositeRole[role] } as const;
+    return { drains, change: { engine: changing, order, cause: `${name} needs another ${oppositeRole[role]} copy` } };
 }
 
-/** Ready engines of the role that can serve every declared model now. */
-export function servingCopies(situation: PoolSituation, role: Role): number {
-    return situation.engines.filter(engine => engine.state === "ready" && canServe(situation, engine, role)).length;
+/** Number of ready engines of the role that can serve every declared model now. */
+export function servingCopies(pool: PoolState, role: Role): number {
+    return pool.engines.filter(engine => engine.state === "ready" && canServe(pool, engine, role)).length;
 }
 
-function canServe({ declared, served }: PoolSituation, engine: ObservedEngine, role: Role): boolean {
+function canServe({ declared, served }: PoolState, engine: ObservedEngine, role: Role): boolean {
     return engine.reading?.state.role === role && roleOf(engine) === role
         && declared.models.every(({ name }) => isWarm(engine, name, served.get(name) ?? "", []));
 }
 
 /**
- * Whether the pool keeps its floor without the engine, or is under it with the engine too. Both roles are looked at, as
- * the version that is served may follow from this one engine.
+ * Whether the pool keeps its floor without the engine, or is below the floor even with it. Both roles are checked, since
+ * the served version may depend on this one engine.
  */
-function canSpare(situation: PoolSituation, engine: ObservedEngine): boolean {
-    const others = situation.engines.filter(other => other !== engine);
-    const without = withEngines(situation, others);
-    const withIt = withEngines(situation, [...others, { ...engine, state: "ready" }]);
+function canSpare(pool: PoolState, engine: ObservedEngine): boolean {
+    const others = pool.engines.filter(other => other !== engine);
+    const without = withEngines(pool, others);
+    const withIt = withEngines(pool, [...others, { ...engine, state: "ready" }]);
     return (["prefill", "decode"] as const).every(role =>
-        servingCopies(without, role) >= Math.min(servingCopies(withIt, role), situation.declared.floor[role])
+        servingCopies(without, role) >= Math.min(servingCopies(withIt, role), pool.declared.floor[role])
     );
 }
 
-function withEngines(situation: PoolSituation, engines: readonly ObservedEngine[]): PoolSituation {
-    return { ...situation, engines, served: servedVersions(engines, situation.declared, situation.named) };
+function withEngines(pool: PoolState, engines: readonly ObservedEngine[]): PoolState {
+    return { ...pool, engines, served: servedVersions(engines, pool.declared, pool.named) };
 }
 
-function roleCandidate(situation: PoolSituation): ObservedEngine | undefined {
-    const role = (["prefill", "decode"] as const).find(candidate => needsChange(situation, candidate));
-    const able = situation.engines.filter(engine =>
+function roleCandidate(pool: PoolState): ObservedEngine | undefined {
+    const role = (["prefill", "decode"] as const).find(candidate => needsChange(pool, candidate));
+    const candidates = pool.engines.filter(engine =>
         engine.state === "ready" && engine.announcement.role === role && engine.announcement.abilities.changesRole
-        && engine.reading?.state.role === role && canSpare(situation, engine)
+        && engine.reading?.state.role === role && canSpare(pool, engine)
     );
-    return able.sort((one, other) => one.reading!.state.active.length - other.reading!.state.active.length)[0];
+    return candidates.sort((one, other) => one.reading!.state.active.length - other.reading!.state.active.length)[0];
 }
 
-/** Whether the role has a copy too many and the other one too few. Engines count here as long as the view has them. */
-function needsChange({ engines, declared }: PoolSituation, role: Role): boolean {
+/** Whether the role has too many copies and the other one too few. Engines count as long as the view contains them. */
+function needsChange({ engines, declared }: PoolState, role: Role): boolean {
     const count = (counted: Role) => engines.filter(engine => roleOf(engine) === counted).length;
-    const other = otherRole[role];
+    const other = oppositeRole[role];
     return count(role) > declared.copies[role] && count(other) < declared.copies[other];
 }
 
-/** An engine keeps its last version of a declared model until a declared one is warm there. */
+/** Whether the engine has a declared version of the model warm, or none is declared. Until then it keeps its last version. */
 function hasSuccessor(engine: ObservedEngine, declared: Pool, name: string): boolean {
     const successors = declared.models.filter(model => model.name === name);
     return successors.length === 0 || successors.some(({ version }) => isWarm(engine, name, version, []));
--- /dev/null
+++ b/packages/basilpaddle/src/node/coordination/orders/quiescence.ts
@@ -0,0 +1,92 @@
+import type { AwaitedAttempt, ObservedEngine, QuiescenceWait } from "./orderState.js";
+
+/**
+ * Number of consecutive rounds of readings that an attempt must be missing from before it counts as ended. Engines are
+ * read concurrently but not at the same instant: between prefill and import, one round can miss an attempt at both engines.
+ */
+const missedReadingsToEnd = 2;
+
+/** The engine of each active attempt of a pool in one round of readings. Computed once for all waits of the pool. */
+export class PoolActivity {
+    readonly engineByAttempt = new Map<string, string>();
+    readonly unreadEngines = new Set<string>();
+
+    private constructor(readonly engines: readonly ObservedEngine[]) {
+        for (const { announcement, reading } of engines) {
+            if (reading === undefined) {
+                this.unreadEngines.add(announcement.id);
+            }
+            for (const attempt of reading?.state.active ?? []) {
+                this.engineByAttempt.set(attempt, announcement.id);
+            }
+        }
+    }
+
+    static create(engines: readonly ObservedEngine[]): PoolActivity {
+        return new PoolActivity(engines);
+    }
+}
+
+/** Whether no attempt that started before the change of the view can still reach the engine. */
+export function isQuiescent(wait: QuiescenceWait | undefined): boolean {
+    return wait?.waitingFor?.length === 0;
+}
+
+/**
+ * Advances the wait for attempts that may still use an engine after a change of the view made daemons stop selecting it.
+ *
+ * Once the change is older than a view lease (`settle` milliseconds), no daemon starts an attempt based on an older view.
+ * Attempts that started before then are at the engine, or at a prefill engine of the pool before their transfer to the
+ * engine; they are recorded once and waited for.
+ */
+export function advanceQuiescence(
+    wait: QuiescenceWait | undefined,
+    engine: ObservedEngine,
+    activity: PoolActivity,
+    now: number,
+    settle: number,
+): QuiescenceWait {
+    if (wait === undefined) {
+        return { since: now, waitingFor: undefined };
+    }
+    if (wait.waitingFor !== undefined) {
+        return { ...wait, waitingFor: remainingAttempts(wait.waitingFor, activity) };
+    }
+    const sources = activity.engines.filter(other =>
+        other.announcement.id === engine.announcement.id || other.announcement.role === "prefill"
+    );
+    const settledAt = wait.since + settle;
+    const areAllReadSince = sources.every(({ reading, state }) =>
+        state === "gone" || reading !== undefined && reading.askedAt >= settledAt
+    );
+    return areAllReadSince ? { ...wait, waitingFor: sources.flatMap(awaitedAttemptsAt) } : wait;
+}
+
+function awaitedAttemptsAt(engine: ObservedEngine): AwaitedAttempt[] {
+    const { id } = engine.announcement;
+    return (engine.reading?.state.active ?? []).map(attempt => ({ attempt, engine: id, missedReadings: 0 }));
+}
+
+function remainingAttempts(
+    waitingFor: readonly AwaitedAttempt[],
+    { engineByAttempt, unreadEngines }: PoolActivity,
+): AwaitedAttempt[] {
+    const remaining: AwaitedAttempt[] = [];
+    for (const awaited of waitingFor) {
+        const currentEngine = engineByAttempt.get(awaited.attempt);
+        // Most attempts haven't moved. They allocate no new object, as there is one for each attempt and unload.
+        if (
+            currentEngine === awaited.engine && awaited.missedReadings === 0
+            || currentEngine === undefined && unreadEngines.has(awaited.engine)
+        ) {
+            remaining.push(awaited);
+        }
+        else if (currentEngine !== undefined) {
+            remaining.push({ ...awaited, engine: currentEngine, missedReadings: 0 });
+        }
+        else if (awaited.missedReadings + 1 < missedReadingsToEnd) {
+            remaining.push({ ...awaited, missedReadings: awaited.missedReadings + 1 });
+        }
+    }
+    return remaining;
+}
--- a/packages/basilpaddle/src/node/coordination/orders/reconciler.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/reconciler.ts
@@ -1,67 +1,68 @@
 import type { EngineState, Order, View } from "../../protocol/index.js";
-import { outcomeByReading } from "./openOrders.js";
+import { outcomeFromReading } from "./orderOutcome.js";
 import {
-    type Action,
     describeOrder,
     type ObservedEngine,
     type OpenOrder,
     type OrderLimits,
     type OrderOutcome,
-    type Quiet,
+    type OrderRetry,
+    type QuiescenceWait,
     type Reading,
+    type ReconcilerAction,
     type ReconcilerState,
-    type Retry,
 } from "./orderState.js";
 import {
-    type PoolSituation,
+    type PoolState,
+    requiredLoads,
+    requiredMoves,
+    type RequiredOrder,
+    requiredRoleChange,
+    requiredUnloads,
     servedVersions,
-    type Wanted,
-    wantedLoads,
-    wantedMoves,
-    wantedRole,
-    wantedUnloads,
 } from "./poolPlan.js";
-import { followQuiet, isQuiet, PoolActivity } from "./quiet.js";
+import { advanceQuiescence, isQuiescent, PoolActivity } from "./quiescence.js";
 
-const mostDoublings = 6;
+/** Limits the retry delay to 64 times the first one. */
+const maximumRetryDoublings = 6;
 
-/** A step's result. */
-export type Step = { readonly state: ReconcilerState; readonly actions: readonly Action[]; };
+/** Result of a reconciler step: the next state and the actions to execute. */
+export type ReconcilerStep = { readonly state: ReconcilerState; readonly actions: readonly ReconcilerAction[]; };
 
-/** What the service learnt when it sent an order. `notSent` where it was not sent at all. */
+/** Result of sending an order, as far as it is known. `notSent`: the order never left this daemon. */
 export type SentResult = OrderOutcome | "started" | "notSent";
 
-/** What became of an order when it was sent, and when that was. */
+/** Result of sending an order, and the monotonic milliseconds at which it was sent. */
 export type Sent = { readonly result: SentResult; readonly sentAt: number; };
 
-/** Compares what is declared with what engines say, and gives the orders that are due. Knows no sockets and no clock. */
+/** Compares the declaration with the engines' states and issues the orders that are due. Uses no sockets and no clock. */
 export class Reconciler {
     private constructor(private readonly fence: number, private readonly limits: OrderLimits) {}
 
-    /** For one term of the orders lease. */
+    /** Creates a reconciler for one term of the orders lease. */
     static create(fence: number, limits: OrderLimits): Reconciler {
         return new Reconciler(fence, limits);
     }
 
-    /** One round: `readings` are those of this round, by engine. */
-    step(before: ReconcilerState, view: View, readings: ReadonlyMap<string, Reading>, now: number): Step {
-        const engines = observe(view, readings);
-        const round = Round.create(before, this.fence, this.limits, now);
-        round.closeOrders(engines);
-        const pools = situationsOf(view, engines.values());
-        const quiet = new Map<string, Quiet>();
+    /** Computes one round from its readings, keyed by engine identifier. */
+    step(before: ReconcilerState, view: View, readings: ReadonlyMap<string, Reading>, now: number): ReconcilerStep {
+        const engines = observeEngines(view, readings);
+        const round = RoundPlanner.create(before, this.fence, this.limits, now);
+        round.closeFinishedOrders(engines);
+        const pools = poolStatesOf(view, engines.values());
+        const waits = new Map<string, QuiescenceWait>();
         for (const pool of pools) {
-            // A change of what is served changes what the floor counts; everything else waits until the view has it.
-            if (!round.planMoves(pool)) {
-                round.planRole(pool, quiet);
-                round.planUnloads(pool, quiet);
+            // Moving traffic changes which engines count towards the floor; other changes wait until the view contains the move.
+            if (!round.planTrafficMoves(pool)) {
+                round.planRoleChange(pool, waits);
+                round.planUnloads(pool, waits);
             }
         }
         round.planLoads(pools, [...engines.values()]);
-        return round.result(quiet);
+        return round.result(waits);
     }
 
-    /** Takes in what became of an order when it was sent. */
+    /** Records the result of sending an order. */
     settle(before: ReconcilerState, order: OpenOrder, { result, sentAt }: Sent, now: number): ReconcilerState {
         const open = new Map(before.open);
         if (result === "started") {
@@ -69,8 +70,8 @@
             return { ...before, open };
         }
         if (result === "unknown") {
-            // The answer may be lost while the order is still on its way. Only a reading after the time in which it
-            // can take effect tells whether it did; that time runs from the sending, as the audit trail comes first.
+            // The answer may be lost while the order is still in transit. Only a reading after the order timeout proves
+            // whether it took effect. The timeout counts from sending, since recording it in the audit trail comes first.
             open.set(order.engine, { ...order, phase: "uncertain", readableAt: sentAt + this.limits.orderTimeout });
             return { ...before, open };
         }
@@ -81,13 +82,13 @@
     }
 }
 
-/** The work of one step. */
-class Round {
-    private readonly actions: Action[] = [];
+/** Collects the actions of one step. */
+class RoundPlanner {
+    private readonly actions: ReconcilerAction[] = [];
     private readonly open: Map<string, OpenOrder>;
     private readonly activities = new Map<string, PoolActivity>();
-    private retries: ReadonlyMap<string, Retry>;
-    private given: number;
+    private retries: ReadonlyMap<string, OrderRetry>;
+    private issuedOrders: number;
 
     private constructor(
         private readonly before: ReconcilerState,
@@ -97,17 +98,17 @@
     ) {
         this.open = new Map(before.open);
         this.retries = before.retries;
-        this.given = before.given;
+        this.issuedOrders = before.issuedOrders;
     }
 
-    static create(before: ReconcilerState, fence: number, limits: OrderLimits, now: number): Round {
-        return new Round(before, fence, limits, now);
+    static create(before: ReconcilerState, fence: number, limits: OrderLimits, now: number): RoundPlanner {
+        return new RoundPlanner(before, fence, limits, now);
     }
 
-    /** Ends open orders whose effect a reading shows. */
-    closeOrders(engines: ReadonlyMap<string, ObservedEngine>): void {
+    /** Closes open orders whose outcome is proven by a reading. */
+    closeFinishedOrders(engines: ReadonlyMap<string, ObservedEngine>): void {
         for (const open of this.before.open.values()) {
-            const outcome = outcomeByReading(open, engines.get(open.engine));
+            const outcome = outcomeFromReading(open, engines.get(open.engine));
             if (outcome === undefined) {
                 continue;
             }
@@ -122,15 +123,15 @@
         }
     }
 
-    /** Whether traffic is to be moved. */
-    planMoves(pool: PoolSituation): boolean {
-        const moves = wantedMoves(pool);
+    /** Adds the required traffic moves and returns whether there are any. */
+    planTrafficMoves(pool: PoolState): boolean {
+        const moves = requiredMoves(pool);
         this.actions.push(...moves.map(move => ({ kind: "move", ...move }) as const));
         return moves.length > 0;
     }
 
-    planRole(pool: PoolSituation, quiet: Map<string, Quiet>): void {
-        const { drains, change } = wantedRole(pool);
+    planRoleChange(pool: PoolState, waits: Map<string, QuiescenceWait>): void {
+        const { drains, change } = requiredRoleChange(pool);
         for (const { engine, draining, cause } of drains) {
             const { id, incarnation } = engine.announcement;
             if (!this.open.has(id)) {
@@ -139,24 +140,24 @@
         }
         if (change !== undefined) {
             const idle = change.engine.reading?.state.active.length === 0;
-            const followed = this.follow(`drain/${change.engine.announcement.id}`, change.engine, pool, quiet);
-            if (idle && isQuiet(followed)) {
-                this.give(change);
+            const wait = this.trackQuiescence(`drain/${change.engine.announcement.id}`, change.engine, pool, waits);
+            if (idle && isQuiescent(wait)) {
+                this.issueOrder(change);
             }
         }
     }
 
-    planUnloads(pool: PoolSituation, quiet: Map<string, Quiet>): void {
-        for (const unload of wantedUnloads(pool)) {
+    planUnloads(pool: PoolState, waits: Map<string, QuiescenceWait>): void {
+        for (const unload of requiredUnloads(pool)) {
             const key = `${unload.engine.announcement.id}/${describeOrder(unload.order)}`;
-            if (isQuiet(this.follow(key, unload.engine, pool, quiet))) {
-                this.give(unload);
+            if (isQuiescent(this.trackQuiescence(key, unload.engine, pool, waits))) {
+                this.issueOrder(unload);
             }
         }
     }
 
-    /** Loads of all pools share the weight store; more at once would only make each of them later. */
-    planLoads(pools: readonly PoolSituation[], engines: readonly ObservedEngine[]): void {
+    /** Loads of all pools share the weight store, so that more concurrent loads would only delay each of them. */
+    planLoads(pools: readonly PoolState[], engines: readonly ObservedEngine[]): void {
         const loading = new Set(
             engines.filter(({ reading }) => reading?.state.models.some(isLoading)).map(({ announcement }) =>
                 announcement.id
@@ -167,44 +168,49 @@
                 loading.add(engine);
             }
         }
-        for (const load of pools.flatMap(wantedLoads)) {
+        for (const load of pools.flatMap(requiredLoads)) {
             if (loading.size >= this.limits.concurrentLoads) {
                 return;
             }
             const { id } = load.engine.announcement;
-            if (!loading.has(id) && this.give(load)) {
+            if (!loading.has(id) && this.issueOrder(load)) {
                 loading.add(id);
             }
         }
     }
 
-    result(quiet: ReadonlyMap<string, Quiet>): Step {
-        const state = { open: this.open, quiet, retries: this.retries, given: this.given };
+    result(waits: ReadonlyMap<string, QuiescenceWait>): ReconcilerStep {
+        const state = { open: this.open, quiescence: waits, retries: this.retries, issuedOrders: this.issuedOrders };
         return { state, actions: this.actions };
     }
 
-    private follow(key: string, engine: ObservedEngine, pool: PoolSituation, quiet: Map<string, Quiet>): Quiet {
+    private trackQuiescence(
+        key: string,
+        engine: ObservedEngine,
+        pool: PoolState,
+        waits: Map<string, QuiescenceWait>,
+    ): QuiescenceWait {
         const activity = this.activityOf(pool);
-        const followed = followQuiet(this.before.quiet.get(key), engine, activity, this.now, this.limits.settle);
-        quiet.set(key, followed);
-        return followed;
+        const wait = advanceQuiescence(this.before.quiescence.get(key), engine, activity, this.now, this.limits.settle);
+        waits.set(key, wait);
+        return wait;
     }
 
-    private activityOf({ name, engines }: PoolSituation): PoolActivity {
+    private activityOf({ name, engines }: PoolState): PoolActivity {
         const activity = this.activities.get(name) ?? PoolActivity.create(engines);
         this.activities.set(name, activity);
         return activity;
     }
 
-    private give({ engine, order, cause }: Wanted): boolean {
+    private issueOrder({ engine, order, cause }: RequiredOrder): boolean {
         const { id, incarnation } = engine.announcement;
         const notBefore = this.retries.get(retryKey(id, order))?.notBefore ?? 0;
         if (this.open.has(id) || this.now < notBefore) {
             return false;
         }
-        this.given += 1;
+        this.issuedOrders += 1;
         const open: OpenOrder = {
-            orderId: `${this.fence}/${this.given}`,
+            orderId: `${this.fence}/${this.issuedOrders}`,
             engine: id,
             incarnation,
             order,
@@ -218,7 +224,7 @@
     }
 }
 
-function observe(view: View, readings: ReadonlyMap<string, Reading>): Map<string, ObservedEngine> {
+function observeEngines(view: View, readings: ReadonlyMap<string, Reading>): Map<string, ObservedEngine> {
     const engines = new Map<string, ObservedEngine>();
     for (const id of Object.keys(view.backends).sort()) {
         const { announcement, state } = view.backends[id]!;
@@ -232,7 +238,7 @@
     return engines;
 }
 
-function situationsOf(view: View, all: Iterable<ObservedEngine>): PoolSituation[] {
+function poolStatesOf(view: View, all: Iterable<ObservedEngine>): PoolState[] {
     const byPool = new Map<string, ObservedEngine[]>();
     for (const engine of all) {
         const { pool } = engine.announcement;
@@ -254,13 +260,13 @@
 }
 
 function withRetry(
-    retries: ReadonlyMap<string, Retry>,
+    retries: ReadonlyMap<string, OrderRetry>,
     { engine, order }: OpenOrder,
     limits: OrderLimits,
     now: number,
-): ReadonlyMap<string, Retry> {
+): ReadonlyMap<string, OrderRetry> {
     const key = retryKey(engine, order);
     const count = (retries.get(key)?.count ?? 0) + 1;
-    const pause = limits.retryPause * 2 ** Math.min(count - 1, mostDoublings);
+    const pause = limits.retryPause * 2 ** Math.min(count - 1, maximumRetryDoublings);
     return new Map(retries).set(key, { count, notBefore: now + pause });
 }
--- a/packages/basilpaddle/src/node/coordination/orders/servedVersion.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/servedVersion.ts
@@ -1,40 +1,42 @@
 import type { Announcement, Pool, View } from "../../protocol/index.js";
 
-/** Part of a role's ready engines that must have a declared version warm before its traffic moves there. */
-const warmPart = 0.75;
+/** Fraction of a role's ready engines that must have a declared version warm before traffic moves to it. */
+const warmFraction = 0.75;
 
 type Role = "prefill" | "decode";
 type Coverage = { readonly warm: number; readonly needed: number; };
 
 /**
- * The version of a model that new attempts run, by the view alone, so that all daemons with the same view agree.
+ * The version of a model that new attempts run. It is derived from the view only, so that all daemons with the same view
+ * agree.
  *
- * It is the one that the holder of the orders lease named, as long as a pair of engines has it; else the one that most
- * pairs have. It isn't worked out from what engines carry alone: a version that is being unloaded would come back into
- * service whenever enough engines with the new one restart or drain. Undefined where no pair has any version.
+ * It is the version that the holder of the orders lease has named, as long as a pair of engines (prefill and decode)
+ * carries it, and otherwise the version that most pairs carry. The loaded models alone don't decide it: a version that is
+ * being unloaded would be served again whenever enough engines with the new one restart or drain. Undefined if no pair
+ * carries any version.
  */
 export function servedVersion(view: View, poolName: string, model: string): string | undefined {
     const pool = view.configuration.declaration.pools[poolName];
-    return servedAmong(readyEngines(view, poolName), pool, model, view.served?.[poolName]?.[model]);
+    return servedVersionAmong(readyEngines(view, poolName), pool, model, view.served?.[poolName]?.[model]);
 }
 
-/** The same, from the ready engines of the pool and the version that was named. */
-export function servedAmong(
+/** Like `servedVersion`, computed from the ready engines of the pool and the named version. */
+export function servedVersionAmong(
     engines: readonly Announcement[],
     pool: Pool | undefined,
     model: string,
     named: string | undefined,
 ): string | undefined {
-    const carried = named === undefined ? undefined : coverage(engines, pool, model, named);
-    return carried !== undefined && carried.prefill.warm > 0 && carried.decode.warm > 0
+    const namedCoverage = named === undefined ? undefined : coverage(engines, pool, model, named);
+    return namedCoverage !== undefined && namedCoverage.prefill.warm > 0 && namedCoverage.decode.warm > 0
         ? named
-        : mostCarried(engines, pool, model);
+        : mostCoveredVersion(engines, pool, model);
 }
 
 /**
- * The version that should be named: a declared one as soon as most ready engines of both roles have it warm. Moving
- * earlier would send a whole pool's traffic to its first warm copy, and waiting for the last copy would let one engine
- * that can't load hold back the pool.
+ * The version that should be named: a declared one as soon as enough ready engines of both roles have it warm
+ * (`warmFraction`). Moving traffic earlier would send that of the whole pool to the first warm copy, and waiting for the
+ * last copy would let one engine that can't load the version block the rollout of the pool.
  */
 export function versionToServe(
     engines: readonly Announcement[],
@@ -43,8 +45,8 @@
     named: string | undefined,
 ): string | undefined {
     const declared = declaredVersions(pool, model);
-    return declared.find(version => isCarried(coverage(engines, pool, model, version)))
-        ?? servedAmong(engines, pool, model, named);
+    return declared.find(version => isCovered(coverage(engines, pool, model, version)))
+        ?? servedVersionAmong(engines, pool, model, named);
 }
 
 function declaredVersions(pool: Pool | undefined, model: string): string[] {
@@ -61,24 +63,24 @@
 function coverage(engines: readonly Announcement[], pool: Pool | undefined, model: string, version: string) {
     const count = (role: Role): Coverage => {
         const ready = engines.filter(engine => engine.role === role);
-        const warm = ready.filter(engine => carries(engine, model, version)).length;
-        return { warm, needed: Math.max(1, pool?.floor[role] ?? 1, Math.ceil(ready.length * warmPart)) };
+        const warm = ready.filter(engine => carriesVersion(engine, model, version)).length;
+        return { warm, needed: Math.max(1, pool?.floor[role] ?? 1, Math.ceil(ready.length * warmFraction)) };
     };
     return { prefill: count("prefill"), decode: count("decode") };
 }
 
-function isCarried({ prefill, decode }: Record<Role, Coverage>): boolean {
+function isCovered({ prefill, decode }: Record<Role, Coverage>): boolean {
     return prefill.warm >= prefill.needed && decode.warm >= decode.needed;
 }
 
-function mostCarried(
+function mostCoveredVersion(
     engines: readonly Announcement[],
     pool: Pool | undefined,
     model: string,
 ): string | undefined {
     const declared = declaredVersions(pool, model);
     const carried = engines.flatMap(({ models }) => models).filter(({ name }) => name === model);
-    // The declared ones first: they win a tie. The rest by name, so that the order of announcements plays no part.
+    // Declared versions come first and win ties. The others are sorted, so that the order of announcements has no effect.
     const others = [...new Set(carried.map(({ version }) => version))].sort();
     let best: { readonly version: string; readonly pairs: number; } | undefined;
     for (const version of new Set([...declared, ...others])) {
@@ -91,6 +93,6 @@
     return best?.version;
 }
 
-function carries(engine: Announcement, model: string, version: string): boolean {
+function carriesVersion(engine: Announcement, model: string, version: string): boolean {
     return engine.models.some(carried => carried.name === model && carried.version === version);
 }
