--- a/packages/basilpaddle/src/node/state/log/logFile.ts
+++ b/packages/basilpaddle/src/node/state/log/logFile.ts
@@ -2,44 +2,44 @@
 import type { Disk, File } from "../disk.js";
 import { frameRecord, readRecords, type StoredRecord } from "./record.js";
 
-/** First bytes of a log file; the last of them is the version of the format. */
+/** First bytes of a log file; the last byte is the version of the format. */
 const header = Buffer.from("bplog\x00\x00\x01", "latin1");
 
-type Settle = { readonly resolve: () => void; readonly reject: (error: unknown) => void; };
-type Append = Settle & { readonly kind: "append"; readonly bytes: readonly Buffer[]; };
-type Replace = Settle & {
+type Deferred = { readonly resolve: () => void; readonly reject: (error: unknown) => void; };
+type AppendTask = Deferred & { readonly kind: "append"; readonly bytes: readonly Buffer[]; };
+type ReplaceTask = Deferred & {
     readonly kind: "replace";
     readonly records: readonly Uint8Array[];
     readonly before: () => Promise<void>;
 };
 
-/** How a log file is written. */
+/** Options of a log file. */
 export type LogFileOptions = {
-    /** Most records that share one sync; 1 syncs for each. @default no limit */
+    /** Maximum number of records that share one sync; 1 syncs each record separately. @default no limit */
     readonly groupLimit?: number;
     /**
-     * Whether a loss of power may leave any part of the last, unsynced write: its length without its bytes, say. Such a
-     * tail was never acknowledged and is cut; taken for damage, it would cost each host its vote at the same moment.
-     * Off, a damaged last record makes the whole file untrusted. @default false
+     * Whether a power loss may leave any part of the last, unsynced write, for example its length without its bytes.
+     * Such a tail was never acknowledged and is truncated; if it were treated as corruption, a power loss on all hosts
+     * would cost each of them its vote at once. If false, a corrupt last record throws `Damage`. @default false
      */
     readonly tornTail?: boolean;
 };
 
-/** An opened log file with what it held. */
+/** An opened log file and its content. */
 export type OpenedLogFile = {
     readonly file: LogFile;
     readonly records: readonly StoredRecord[];
-    /** Bytes of an incomplete last record that were cut off. */
+    /** Number of bytes of an incomplete last record that were truncated. */
     readonly cut: number;
 };
 
 /**
- * A file of checksummed records that is only appended to, or replaced as a whole. Group commit: records that come
- * while a sync runs wait for it, and are then written and synced together.
+ * A file of checksummed records that is only appended to or rewritten as a whole. Uses group commit: records appended
+ * during a sync are queued, then written and synced together.
  */
 export class LogFile {
-    private waiting: (Append | Replace)[] = [];
-    private working: Promise<void> | undefined;
+    private queue: (AppendTask | ReplaceTask)[] = [];
+    private worker: Promise<void> | undefined;
     private failure: unknown;
     private file: File | undefined;
     private syncCount = 0;
@@ -50,12 +50,12 @@
         private readonly options: LogFileOptions,
     ) {}
 
-    /** Writes a new log file that holds the records; an older one of the name is replaced. */
+    /** Writes a new log file with the given records; replaces an existing one of the same name. */
     static async initialise(disk: Disk, name: string, records: readonly Uint8Array[]): Promise<void> {
         await disk.replace(name, Buffer.concat([header, ...records.map(frameRecord)]));
     }
 
-    /** Opens a log file, cuts a torn tail, and gives the records. A missing or untrusted file throws `Damage`. */
+    /** Opens a log file, truncates a torn tail and reads the records. Throws `Damage` if the file is missing or corrupt. */
     static async create(disk: Disk, name: string, options: LogFileOptions = {}): Promise<OpenedLogFile> {
         const bytes = await disk.read(name);
         if (bytes === undefined) {
@@ -63,16 +63,16 @@
         }
         const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
         if (!buffer.subarray(0, header.length).equals(header)) {
-            throw Damage.create(name, 0, "it doesn't begin with the header of a log file of version 1");
+            throw Damage.create(name, 0, "it doesn't start with the header of a version 1 log file");
         }
         const { records, end } = readRecords(name, buffer, header.length, options.tornTail);
         const log = new LogFile(disk, name, options);
-        // The tail has to go before the next append: a record after it would make it damage in the middle.
+        // Truncates the torn tail before the next append: followed by a record, it would count as corruption.
         log.file = await disk.open(name, end);
         return { file: log, records, cut: buffer.length - end };
     }
 
-    /** Comes back once the records are synced. After a failure every later call fails: what is on disk is unknown. */
+    /** Resolves once the records are synced. After a failure all later calls fail, since the content on disk is unknown. */
     async append(records: readonly Uint8Array[]): Promise<void> {
         const limit = this.options.groupLimit ?? records.length;
         const appends: Promise<void>[] = [];
@@ -83,52 +83,55 @@
         await Promise.all(appends);
     }
 
-    /** Replaces everything by the given records, after earlier calls; `before` runs first, for what must be on disk by then. */
+    /**
+     * Replaces the whole content with the given records once earlier calls are done. `before` is awaited first, to write
+     * what has to be on disk before the replacement.
+     */
     rewrite(records: readonly Uint8Array[], before: () => Promise<void> = async () => {}): Promise<void> {
         return this.enqueue(settle => ({ ...settle, kind: "replace", records, before }));
     }
 
-    /** Syncs made by `append` so far. */
+    /** Number of syncs made by `append` so far. */
     syncs(): number {
         return this.syncCount;
     }
 
-    /** Waits for what was appended, and releases the file. */
+    /** Waits for pending calls and closes the file. */
     async close(): Promise<void> {
-        while (this.working !== undefined) {
-            await this.working;
+        while (this.worker !== undefined) {
+            await this.worker;
         }
         await this.file?.close();
         this.file = undefined;
     }
 
-    private enqueue(make: (settle: Settle) => Append | Replace): Promise<void> {
+    private enqueue(make: (settle: Deferred) => AppendTask | ReplaceTask): Promise<void> {
         return new Promise((resolve, reject) => {
-            this.waiting.push(make({ resolve, reject }));
-            this.working ??= this.work();
+            this.queue.push(make({ resolve, reject }));
+            this.worker ??= this.processQueue();
         });
     }
 
-    private async work(): Promise<void> {
-        // Calls of the same turn come to stand in one group.
+    private async processQueue(): Promise<void> {
+        // Defers to a microtask, so that calls of the same turn share one group.
         await Promise.resolve();
-        for (let group = this.nextGroup(); group.length > 0; group = this.nextGroup()) {
+        for (let group = this.takeGroup(); group.length > 0; group = this.takeGroup()) {
             await this.commit(group);
         }
-        this.working = undefined;
+        this.worker = undefined;
     }
 
-    /** The appends up to the next replacement, or that replacement alone. */
-    private nextGroup(): readonly (Append | Replace)[] {
-        if (this.waiting[0]?.kind === "replace") {
-            return this.waiting.splice(0, 1);
+    /** Dequeues the appends up to the next rewrite, or that rewrite alone. With a group limit, one append at a time. */
+    private takeGroup(): readonly (AppendTask | ReplaceTask)[] {
+        if (this.queue[0]?.kind === "replace") {
+            return this.queue.splice(0, 1);
         }
-        const replacement = this.waiting.findIndex(task => task.kind === "replace");
-        const appends = replacement < 0 ? this.waiting.length : replacement;
-        return this.waiting.splice(0, this.options.groupLimit === undefined ? appends : 1);
+        const replacement = this.queue.findIndex(task => task.kind === "replace");
+        const appends = replacement < 0 ? this.queue.length : replacement;
+        return this.queue.splice(0, this.options.groupLimit === undefined ? appends : 1);
     }
 
-    private async commit(group: readonly (Append | Replace)[]): Promise<void> {
+    private async commit(group: readonly (AppendTask | ReplaceTask)[]): Promise<void> {
         try {
             await this.write(group);
         }
@@ -140,8 +143,8 @@
         group.forEach(task => task.resolve());
     }
 
-    private async write(group: readonly (Append | Replace)[]): Promise<void> {
-        // After a failed sync the kernel may have dropped the pages: a later sync that passes would prove nothing.
+    private async write(group: readonly (AppendTask | ReplaceTask)[]): Promise<void> {
+        // After a failed sync the kernel may have dropped dirty pages, so a later successful sync would prove nothing.
         if (this.failure !== undefined) {
             throw this.failure;
         }
@@ -158,7 +161,7 @@
         this.syncCount += 1;
     }
 
-    private async replaceAll(task: Replace): Promise<void> {
+    private async replaceAll(task: ReplaceTask): Promise<void> {
         await task.before();
         const bytes = Buffer.concat([header, ...task.records.map(frameRecord)]);
         await this.file?.close();
--- a/packages/basilpaddle/src/node/state/log/record.ts
+++ b/packages/basilpaddle/src/node/state/log/record.ts
@@ -3,37 +3,37 @@
 
 const lengthBytes = 4;
 const checksumBytes = 4;
-const headBytes = lengthBytes + checksumBytes + checksumBytes;
-/** Largest record in bytes. */
-export const recordLimit = 64 * 1024 * 1024;
+const frameHeaderBytes = lengthBytes + checksumBytes + checksumBytes;
+/** Maximum size of a record's body in bytes. */
+export const recordLimitBytes = 64 * 1024 * 1024;
 
-/** A record as it was found in a file. */
+/** A record read from a file, with its byte offset. */
 export type StoredRecord = { readonly offset: number; readonly body: Buffer; };
 
-/** What was found in the bytes of a file after its header. */
+/** The records read from the bytes of a file after its header. */
 export type StoredRecords = {
     readonly records: readonly StoredRecord[];
-    /** Where the last whole record ends; what follows is a torn tail. */
+    /** Byte offset of the end of the last complete record; what follows is a torn tail. */
     readonly end: number;
 };
 
 /**
- * Frames a record: length, checksum of the length, checksum of the body, body. The length has a checksum of its own:
- * without it a damaged length in the middle would look like an incomplete last record, and records that were
- * acknowledged would be cut off with it.
+ * Frames a record: length, checksum of the length, checksum of the body, body. The length has its own checksum:
+ * without it a corrupt length in the middle of the file would look like an incomplete last record, and acknowledged
+ * records after it would be truncated.
  */
 export function frameRecord(body: Uint8Array): Buffer {
-    const framed = Buffer.allocUnsafe(headBytes + body.length);
+    const framed = Buffer.allocUnsafe(frameHeaderBytes + body.length);
     framed.writeUInt32BE(body.length, 0);
     framed.writeUInt32BE(crc32(framed.subarray(0, lengthBytes)), lengthBytes);
     framed.writeUInt32BE(crc32(body), lengthBytes + checksumBytes);
-    framed.set(body, headBytes);
+    framed.set(body, frameHeaderBytes);
     return framed;
 }
 
 /**
- * Reads records from `start`. An incomplete last one ends the reading; anything else wrong throws `Damage`. With
- * `tornTail`, a broken record that no whole one follows ends the reading too.
+ * Reads records from byte `start`. Reading ends at an incomplete last record; any other deviation throws `Damage`. With
+ * `tornTail`, reading also ends at a corrupt record that no complete record follows.
  */
 export function readRecords(file: string, bytes: Buffer, start: number, tornTail = false): StoredRecords {
     try {
@@ -47,16 +47,17 @@
     }
 }
 
-/** Whether a whole record begins anywhere after the offset. */
+/** Whether a complete record starts anywhere after the offset. */
 function hasRecordAfter(bytes: Buffer, offset: number): boolean {
-    for (let at = offset + 1; at + headBytes < bytes.length; at++) {
+    for (let at = offset + 1; at + frameHeaderBytes < bytes.length; at++) {
         const length = bytes.readUInt32BE(at);
-        const end = at + headBytes + length;
+        const end = at + frameHeaderBytes + length;
         const fits = length > 0 && end <= bytes.length;
         if (
             fits
             && crc32(bytes.subarray(at, at + lengthBytes)) === bytes.readUInt32BE(at + lengthBytes)
-            && crc32(bytes.subarray(at + headBytes, end)) === bytes.readUInt32BE(at + lengthBytes + checksumBytes)
+            && crc32(bytes.subarray(at + frameHeaderBytes, end))
+                === bytes.readUInt32BE(at + lengthBytes + checksumBytes)
         ) {
             return true;
         }
@@ -67,13 +68,13 @@
 function readStrictly(file: string, bytes: Buffer, start: number): StoredRecords {
     const records: StoredRecord[] = [];
     let offset = start;
-    while (bytes.length - offset >= headBytes) {
+    while (bytes.length - offset >= frameHeaderBytes) {
         const length = bytes.readUInt32BE(offset);
         const expected = bytes.readUInt32BE(offset + lengthBytes);
-        if (crc32(bytes.subarray(offset, offset + lengthBytes)) !== expected || length > recordLimit) {
+        if (crc32(bytes.subarray(offset, offset + lengthBytes)) !== expected || length > recordLimitBytes) {
             throw Damage.create(file, offset, "the length of a record doesn't match its checksum");
         }
-        const body = bytes.subarray(offset + headBytes, offset + headBytes + length);
+        const body = bytes.subarray(offset + frameHeaderBytes, offset + frameHeaderBytes + length);
         if (body.length < length) {
             break;
         }
@@ -81,7 +82,7 @@
             throw Damage.create(file, offset, "a record doesn't match its checksum");
         }
         records.push({ offset, body });
-        offset += headBytes + length;
+        offset += frameHeaderBytes + length;
     }
     return { records, end: offset };
 }
