--- a/packages/basilpaddle/src/node/state/__tests__/commands.ts
+++ b/packages/basilpaddle/src/node/state/__tests__/commands.ts
@@ -1,6 +1,6 @@
 import { announcementSchema, type Command, declarationSchema, type Incarnation } from "../../protocol/index.js";
 
-/** Commands for tests, with everything that a test doesn't care about filled in. */
+/** Builds commands for tests; fields that tests rarely care about have fixed values. */
 export const commands = {
     session(daemon: string, incarnation = "1"): Incarnation {
         return { daemon, incarnation };
--- a/packages/basilpaddle/src/node/state/__tests__/disk.spec.ts
+++ b/packages/basilpaddle/src/node/state/__tests__/disk.spec.ts
@@ -30,10 +30,10 @@
     return outcome as Damage;
 }
 
-describe("the log file", () => {
-    it("cut anywhere after its header gives the whole records before the cut", async () => {
-        // Symptom: a voter refuses to start after a power cut. The last append was on its way to the disk; what is
-        // left of it was never acknowledged, and counts for nothing.
+describe("log file", () => {
+    it("truncated anywhere after its header yields the complete records before the cut", async () => {
+        // Guards against a voter that refuses to start after a power loss during an append. The partial record was never
+        // acknowledged and has to be ignored.
         await fc.assert(
             fc.asyncProperty(bodies, fc.nat(400), async (records, place) => {
                 const whole = (await (await logOf(records)).read("log"))!;
@@ -55,9 +55,9 @@
         );
     });
 
-    it("with any one byte changed is damage that names file and place", async () => {
-        // Symptom: a voter forgets entries that it acknowledged. One byte of an earlier record went bad, above all in a
-        // length, and the reader took the rest for an unfinished append.
+    it("with any one byte changed throws Damage with the file and an offset", async () => {
+        // Guards against a voter that loses acknowledged entries: a byte of an earlier record is corrupted, especially
+        // in a length field, and the reader treats everything after it as an incomplete append.
         await fc.assert(
             fc.asyncProperty(bodies, fc.nat(400), fc.integer({ min: 1, max: 255 }), async (records, place, change) => {
                 const bytes = Buffer.from((await (await logOf(records)).read("log"))!);
@@ -73,7 +73,7 @@
         );
     });
 
-    it("comes back from an append only once the bytes are synced, with one sync for all that wait", async () => {
+    it("resolves an append only once its bytes are synced, with one sync for all pending appends", async () => {
         const disk = await logOf([]);
         const { file } = await LogFile.create(disk, "log");
         const appends = Array.from({ length: 50 }, (_, index) => file.append([Uint8Array.of(index)]));
@@ -84,7 +84,7 @@
         expect(file.syncs()).to.equal(1);
     });
 
-    it("keeps the order of appends and replacements", async () => {
+    it("preserves the order of appends and rewrites", async () => {
         const disk = await logOf([]);
         const { file } = await LogFile.create(disk, "log");
         void file.append([Uint8Array.of(1)]);
@@ -113,15 +113,15 @@
         await again.file.close();
     }
 
-    it("come back from memory", () => checkRoundTrip(MemoryDisk.create()));
+    it("can be read back from a memory disk", () => checkRoundTrip(MemoryDisk.create()));
 
-    it("come back from a folder", async () => {
+    it("can be read back from a folder", async () => {
         const folder = await fs.mkdtemp(path.join(os.tmpdir(), "disk-"));
         await checkRoundTrip(await FolderDisk.create(folder));
         await fs.rm(folder, { recursive: true });
     });
 
-    it("are damage when cut or changed", async () => {
+    it("throw Damage when changed or truncated", async () => {
         const disk = MemoryDisk.create();
         await writeIdentity(disk, identity);
         const text = Buffer.from((await disk.read(identityFile))!).toString();
@@ -133,19 +133,19 @@
     });
 });
 
-// Symptom: a directory ends by itself: "the replica stops", for a temporary file of its identity that isn't there.
-// Sequence: after a loss of everything its group writes the identity anew; meanwhile it writes down what it wants to
-// remember, for the first time in this life, and opens the same folder for that.
-// Cause: opening a folder removes what interrupted replacements left, and took the one under way for such a one.
-describe("a folder that is opened while the process writes to it", () => {
+// Guards against a directory that stops because a temporary file of its identity is missing. After the loss of all its
+// data the group writes a new identity file; at the same time the directory writes its restart cache for the first time
+// in this incarnation and opens the same folder for it. Opening a folder removes the temporary files of interrupted
+// replacements, and removed that of the replacement in progress as well.
+describe("a folder opened while the process writes to it", () => {
     async function replacedDuring(open: (folder: string) => Promise<Disk>): Promise<readonly string[]> {
         const folder = await fs.mkdtemp(path.join(os.tmpdir(), "disk-"));
         const disk = await FolderDisk.create(folder);
-        const causes: string[] = [];
-        for (let turn = 0; turn < 30; turn++) {
+        const errors: string[] = [];
+        for (let attempt = 0; attempt < 30; attempt++) {
             let isReplacing = true;
-            const replacing = disk.replace("identity.json", Buffer.from(`${turn}`))
-                .catch((error: unknown) => causes.push(String(error)))
+            const replacing = disk.replace("identity.json", Buffer.from(`${attempt}`))
+                .catch((error: unknown) => errors.push(String(error)))
                 .finally(() => {
                     isReplacing = false;
                 });
@@ -155,14 +155,14 @@
             await replacing;
         }
         await fs.rm(folder, { recursive: true });
-        return causes;
+        return errors;
     }
 
-    it("keeps the files that are being replaced", async () => {
+    it("keeps the temporary files of replacements in progress", async () => {
         expect(await replacedDuring(folder => FolderDisk.createBeside(folder))).to.deep.equal([]);
     });
 
-    it("loses what a process before it left unfinished only where it is opened first", async () => {
+    it("loses the temporary files of an earlier process only when opened with cleanup", async () => {
         const folder = await fs.mkdtemp(path.join(os.tmpdir(), "disk-"));
         await fs.writeFile(path.join(folder, "identity.json.17"), "");
         await FolderDisk.createBeside(folder);
--- a/packages/basilpaddle/src/node/state/__tests__/documentState.spec.ts
+++ b/packages/basilpaddle/src/node/state/__tests__/documentState.spec.ts
@@ -3,8 +3,8 @@
 
 const at = 1;
 
-describe("the state of a document", () => {
-    it("keeps the highest version, and the first content under it", () => {
+describe("document state", () => {
+    it("keeps the highest version and the first content stored under it", () => {
         const state = DocumentState.create();
         state.apply(1, { kind: "storeDocument", version: 7, content: "seven", at });
         state.apply(2, { kind: "storeDocument", version: 5, content: "five", at });
@@ -12,30 +12,30 @@
         expect(state.current()).to.deep.equal({ version: 7, content: "seven" });
     });
 
-    it("comes out of a snapshot as it went in, and tells its listeners", () => {
+    it("is restored unchanged from a snapshot and notifies its listeners", () => {
         const state = DocumentState.create();
         state.apply(1, { kind: "storeDocument", version: 7, content: "seven", at });
         const restored = DocumentState.create();
-        const heard: number[] = [];
-        restored.onChange(document => heard.push(document.version));
+        const notifiedVersions: number[] = [];
+        restored.onChange(document => notifiedVersions.push(document.version));
         restored.restore(state.snapshot());
-        expect([restored.current().content, heard]).to.deep.equal(["seven", [7]]);
+        expect([restored.current().content, notifiedVersions]).to.deep.equal(["seven", [7]]);
     });
 
-    it("does nothing with commands of another state", () => {
+    it("rejects commands of other state machines", () => {
         const result = DocumentState.create().apply(1, { kind: "releaseRun", key: "k", token: "t", at });
         expect(result.kind).to.equal("stale");
     });
 });
 
-describe("a log whose last write may be torn", () => {
+describe("a log file opened with tornTail", () => {
     async function logWith(change: (bytes: Buffer, lastRecordAt: number) => Buffer): Promise<MemoryDisk> {
         const disk = MemoryDisk.create();
         const records = [Buffer.from("one"), Buffer.from("two")];
         await LogFile.initialise(disk, "log", records);
-        const shorter = (await disk.read("log"))!.length;
+        const lastRecordAt = (await disk.read("log"))!.length;
         await LogFile.initialise(disk, "log", [...records, Buffer.from("three")]);
-        await disk.replace("log", change(Buffer.from((await disk.read("log"))!), shorter));
+        await disk.replace("log", change(Buffer.from((await disk.read("log"))!), lastRecordAt));
         return disk;
     }
 
@@ -44,17 +44,17 @@
         return records.map(record => record.body.toString());
     }
 
-    // Symptom: after a loss of power everywhere all voters give their identities up at once, and no group is left.
-    // Sequence: the file has grown by the last write, but some of its bytes never reached the disk.
-    // Cause: the reader takes bytes that were never synced for damage of what was.
-    it("is cut where the last record has its length but not its bytes", async () => {
+    // Guards against losing the whole group after a power loss on all hosts: the file grew by the length of the last
+    // write, but some of its bytes never reached the disk. If the reader treats these unsynced bytes as corruption of
+    // synced data, all voters discard their identities at once.
+    it("is truncated before a last record whose bytes are all zero", async () => {
         const disk = await logWith((bytes, at) =>
             Buffer.concat([bytes.subarray(0, at), Buffer.alloc(bytes.length - at)])
         );
         expect(await bodies(disk)).to.deep.equal(["one", "two"]);
     });
 
-    it("is cut where a part of the last record's body is missing", async () => {
+    it("is truncated before a last record with a corrupt body", async () => {
         const disk = await logWith(bytes => {
             bytes[bytes.length - 1]! ^= 0xff;
             return bytes;
@@ -62,7 +62,7 @@
         expect(await bodies(disk)).to.deep.equal(["one", "two"]);
     });
 
-    it("is damage where a whole record follows", async () => {
+    it("throws Damage if a complete record follows the corrupt one", async () => {
         const disk = await logWith((bytes, at) => {
             bytes[at - 1]! ^= 0xff;
             return bytes;
--- a/packages/basilpaddle/src/node/state/__tests__/folderLock.spec.ts
+++ b/packages/basilpaddle/src/node/state/__tests__/folderLock.spec.ts
@@ -13,10 +13,10 @@
     setInterval(() => undefined, 1_000);
 });`;
 
-describe("the lock of a data folder", () => {
-    it("is held against other processes and other paths, and ends with a killed process", async () => {
-        // Symptom: a daemon that crashed can't start again until somebody removes a file. Cause: a lock that outlives
-        // its process. The other way round: two processes on one folder, since its path was written another way.
+describe("data folder lock", () => {
+    it("excludes other processes, also by another path, and is released when its process is killed", async () => {
+        // Guards against a lock that outlives its process, so that a crashed daemon can't restart until somebody removes
+        // a file, and against two processes that use one folder because they were given different paths to it.
         const parent = await fs.mkdtemp(path.join(os.tmpdir(), "basilpaddle-lock-"));
         const folder = path.join(parent, "data");
         const other = path.join(parent, "other");
--- a/packages/basilpaddle/src/node/state/__tests__/ledger.spec.ts
+++ b/packages/basilpaddle/src/node/state/__tests__/ledger.spec.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
 import type { Command } from "../../protocol/index.js";
-import { auditLimit } from "../audit.js";
+import { auditEntryLimit } from "../audit.js";
 import { Ledger } from "../ledger.js";
 import { decodeSnapshot } from "../ledgerSnapshot.js";
 import { commands } from "./commands.js";
@@ -14,9 +14,10 @@
 }
 
 describe("run records", () => {
-    it("start a key once until it is released, whatever the order of arrivals and resends", () => {
-        // Symptom: a landlord gets two claim letters. Sequence: retries of one key through several entry daemons,
-        // resends and late ends in any order. Cause: a record that forgets or confuses its arrival.
+    it("start a key at most once until it is released, for any order of arrivals and resends", () => {
+        // Guards against a non-idempotent request that runs twice, so that a landlord gets two claim letters: one key is
+        // retried through several entry daemons, with resends and late finishes in any order, and its record loses or
+        // mixes up the token of the arrival.
         const key = fc.constantFrom("k", "l");
         const token = fc.constantFrom("t1", "t2", "t3");
         const step = fc.tuple(fc.constantFrom("start", "finish", "release"), key, token);
@@ -49,7 +50,7 @@
         );
     });
 
-    it("tell a second arrival the answer, and another body only that the key is taken", () => {
+    it("return the answer to a second arrival with the same body, but not to one with another body", () => {
         const ledger = ledgerOf(commands.start("k", "t1"), commands.finish("k", "t1"));
         const known = { kind: "known", state: "answered", owner: commands.session("entry-1") };
         const body = new TextEncoder().encode("notice");
@@ -62,33 +63,41 @@
         });
     });
 
-    it("tell a run whose owner is gone as unknown, and one whose owner is there as running", () => {
-        // Symptom: a desk that resends a notice is told for a day that it runs, though its entry daemon died.
-        // Sequence: start, death of the daemon, its session is closed, resend. Cause: `running` told without a look at
-        // the owner's session.
+    it("report a run as unknown once its owner's session is closed, and as running before", () => {
+        // Guards against a caller that resends a notice and gets `running` for a day although the entry daemon that owned
+        // the run crashed and its session is closed: `running` was returned without checking the owner's session.
         const ledger = ledgerOf(commands.open("entry-1"), commands.start("k", "t1"));
         expect(ledger.apply(3, commands.start("k", "t2"))).to.include({ kind: "known", state: "running" });
         ledger.apply(4, commands.close("entry-1"));
         expect(ledger.apply(5, commands.start("k", "t2"))).to.include({ kind: "known", state: "unknown" });
     });
 
-    it("don't start an arrival that was taken back before its start came", () => {
-        // Symptom: a key answers "in progress" until it expires, though nothing ran. Sequence: the start is proposed to
-        // a leader that loses its term, the release to the next one; the start comes to be committed after it.
-        // Cause: a release of an unknown key that leaves no trace.
+    it("reject a start that is committed after the release of its token", () => {
+        // Guards against a key that is "in progress" until it expires although nothing ran: the start is proposed to a
+        // leader that loses its term, the release to the next leader, and the start is committed after the release. The
+        // release of an unknown key has to leave a record.
         const ledger = ledgerOf(commands.open("entry-1"), commands.release("k", "t1"));
         expect(ledger.apply(3, commands.start("k", "t1")).kind).to.equal("stale");
         expect(ledger.apply(4, commands.start("k", "t2")).kind).to.equal("started");
         expect(ledger.apply(5, commands.start("k", "t1")).kind).to.equal("known");
     });
 
-    it("don't start an arrival that was taken back, after others took the key and gave it back", () => {
-        // Symptom: a key answers "in progress" until it expires, though nothing ran. Sequence: an arrival's start is
-        // under way, its release is held, a second arrival starts and is released; a late copy of the first start
-        // comes. Cause: the memory of a release is overwritten by the next one, or not kept while another arrival runs.
-        const overtaken = ledgerOf(commands.release("k", "t1"), commands.start("k", "t2"), commands.release("k", "t2"));
-        const beside = ledgerOf(commands.start("k", "t2"), commands.release("k", "t1"), commands.release("k", "t2"));
-        for (const ledger of [overtaken, beside]) {
+    it("reject a late start of a released token after other arrivals started and released the key", () => {
+        // Guards against a key that is "in progress" until it expires although nothing ran: an arrival is released while
+        // its start is in flight, a second arrival starts and is released, then a late copy of the first start is
+        // committed. A released token must not be overwritten by the next release, and must be stored while another
+        // arrival runs.
+        const releasedFirst = ledgerOf(
+            commands.release("k", "t1"),
+            commands.start("k", "t2"),
+            commands.release("k", "t2"),
+        );
+        const releasedDuringRun = ledgerOf(
+            commands.start("k", "t2"),
+            commands.release("k", "t1"),
+            commands.release("k", "t2"),
+        );
+        for (const ledger of [releasedFirst, releasedDuringRun]) {
             const copy = Ledger.create();
             copy.restore(ledger.snapshot());
             expect(copy.apply(4, commands.start("k", "t1")).kind).to.equal("stale");
@@ -97,7 +106,7 @@
         }
     });
 
-    it("come out of a snapshot as they went in, each with its own answer, end and releases", () => {
+    it("are restored unchanged from a snapshot, each with its own answer, end and releases", () => {
         const ledger = ledgerOf(
             commands.start("ключ", "t1"),
             commands.finish("ключ", "t1", "notice"),
@@ -139,13 +148,13 @@
         ]);
     });
 
-    it("remember a bounded number of releases of a key", () => {
+    it("store a bounded number of released tokens per key", () => {
         const releases = Array.from({ length: 100 }, (_, position) => commands.release("k", `t${position}`));
         const runs = decodeSnapshot(ledgerOf(...releases).snapshot()).runs;
         expect(runs.map(run => run.releasedTokens)).to.deep.equal([["t96", "t97", "t98", "t99"]]);
     });
 
-    it("are bounded: starts are refused when full, and new answers take the place of the oldest", () => {
+    it("are bounded: starts are rejected when full, and new answers evict the oldest", () => {
         const ledger = Ledger.create({ records: 2, answerBytes: 10, oneAnswerBytes: 8 });
         const results = [
             commands.start("k", "t"),
@@ -182,7 +191,7 @@
         commands.finish("k", "t"),
     ];
 
-    it("is the same after a snapshot, and refuses another layout version", () => {
+    it("is restored unchanged from a snapshot, and rejects another layout version", () => {
         const ledger = ledgerOf(...list);
         const copy = Ledger.create();
         copy.restore(ledger.snapshot());
@@ -193,19 +202,20 @@
             const index = ledger.appliedIndex() + 1;
             expect(copy.apply(index, command)).to.deep.equal(ledger.apply(index, command));
         }
-        const later = new Encoder({ useRecords: false }).encode({ version: 4, content: {} });
-        expect(() => copy.restore(later)).to.throw(/layout version 4.*reads version 3/);
+        const newerSnapshot = new Encoder({ useRecords: false }).encode({ version: 4, content: {} });
+        expect(() => copy.restore(newerSnapshot)).to.throw(/layout version 4.*reads version 3/);
     });
 
-    it("never goes back, by a command or by a snapshot", () => {
-        // Symptom: a daemon serves an old configuration. Cause: an old snapshot, or a command twice, is taken in.
+    it("rejects commands and snapshots older than its state", () => {
+        // Guards against a daemon that serves an old configuration because it restored an older snapshot or applied a
+        // command twice.
         const old = ledgerOf(...list.slice(0, 2)).snapshot();
         const ledger = ledgerOf(...list);
-        expect(() => ledger.restore(old)).to.throw(/Broken invariant/);
-        expect(() => ledger.apply(6, list[0]!)).to.throw(/Broken invariant/);
+        expect(() => ledger.restore(old)).to.throw(/Invariant violated/);
+        expect(() => ledger.apply(6, list[0]!)).to.throw(/Invariant violated/);
     });
 
-    it("keeps a trail of who changed what against which revision, and what came of it", () => {
+    it("audits who changed what against which revision, and with what outcome", () => {
         const [refused, accepted] = ledgerOf(...list).auditPage({ topic: "configuration", limit: 10 });
         expect(accepted).to.include({
             index: 2,
@@ -217,13 +227,13 @@
         expect(refused).to.include({ who: "bo", outcome: "conflict with revision 1 by ana (one)" });
     });
 
-    it("keeps changes in the trail while daemons and backend servers come and go", () => {
+    it("doesn't evict configuration changes from the audit trail when many sessions are opened", () => {
         const ledger = ledgerOf(...list);
-        for (let index = 7; index < 7 + 2 * auditLimit; index++) {
+        for (let index = 7; index < 7 + 2 * auditEntryLimit; index++) {
             ledger.apply(index, commands.open("entry-1", String(index)));
         }
         expect(ledger.auditPage({ topic: "configuration", limit: 10 })).to.have.length(2);
-        expect(ledger.auditPage({ limit: 4 * auditLimit }).length).to.be.at.most(2 + auditLimit * 1.1);
+        expect(ledger.auditPage({ limit: 4 * auditEntryLimit }).length).to.be.at.most(2 + auditEntryLimit * 1.1);
     });
 
     it("keeps the files of accepted configurations in its history", () => {
--- a/packages/basilpaddle/src/node/state/audit.ts
+++ b/packages/basilpaddle/src/node/state/audit.ts
@@ -1,69 +1,69 @@
 import { z } from "zod";
 import type { Command, CommandResult } from "../protocol/index.js";
 
-/** What an entry of the audit trail is about. Each kind has its own room, so that restarts push out no changes. */
+/** Topics of audit trail entries. Each topic has its own limit, so that entries from restarts don't evict changes. */
 export const auditTopics = ["configuration", "membership", "order"] as const;
-/** What an entry of the audit trail is about. */
+/** Topic of an audit trail entry. */
 export type AuditTopic = (typeof auditTopics)[number];
 
-/** One entry of the audit trail. */
+/** Schema of one audit trail entry. */
 export const auditEntrySchema = z.object({
     /** Log index of the command. */
     index: z.int(),
     topic: z.enum(auditTopics),
-    /** Wall time, in milliseconds since 1970, as the proposer's host believed it. */
+    /** Wall clock time of the proposer's host, in milliseconds since 1970. */
     at: z.int(),
-    /** The operator or the daemon. */
+    /** The operator or daemon that caused the command. */
     who: z.string(),
-    /** What was done, and to what. */
+    /** The action; `subject` is what it applied to. */
     action: z.string(),
     subject: z.string(),
-    /** The revision that a change was made against; of other entries the revision in force of acceptance. */
+    /** For a configuration change, the revision it is based on; otherwise the revision in force when the command was applied. */
     revision: z.int(),
     outcome: z.string(),
     note: z.string().optional(),
 });
 
-/** One entry of the audit trail. */
+/** One audit trail entry. */
 export type AuditEntry = z.infer<typeof auditEntrySchema>;
-/** Asks for entries older than an index, the newest first. */
+/** Selects up to `limit` entries with an index below `before`, newest first. */
 export type AuditQuery = {
     readonly before?: number;
     readonly topic?: AuditTopic;
     readonly limit: number;
 };
 
-/** Entries kept of each topic. */
-export const auditLimit = 5_000;
+/** Maximum number of entries kept per topic; `append` lets a topic exceed it by a tenth before it trims. */
+export const auditEntryLimit = 5_000;
 
-/** Who did what, when and against which revision, and what came of it; bounded. */
+/** Bounded record of who did what, when, against which revision, and with what outcome. */
 export class AuditTrail {
     private readonly entries: Record<AuditTopic, AuditEntry[]> = { configuration: [], membership: [], order: [] };
 
     static create(entries: readonly AuditEntry[] = []): AuditTrail {
         const trail = new AuditTrail();
         for (const entry of entries) {
-            trail.note(entry);
+            trail.append(entry);
         }
         return trail;
     }
 
-    /** Adds an entry; of its topic the oldest ones make room. */
-    note(entry: AuditEntry): void {
+    /** Appends an entry and evicts the oldest entries of its topic when there are too many. */
+    append(entry: AuditEntry): void {
         const entries = this.entries[entry.topic];
         entries.push(entry);
-        // Cut in steps: taking one entry off the front copies the whole list for each command.
-        if (entries.length > auditLimit + auditLimit / 10) {
-            entries.splice(0, entries.length - auditLimit);
+        // Trims in batches: removing one entry from the front would copy the whole list for each command.
+        if (entries.length > auditEntryLimit + auditEntryLimit / 10) {
+            entries.splice(0, entries.length - auditEntryLimit);
         }
     }
 
-    /** Every entry, by topic and then by age. */
+    /** All entries, grouped by topic, oldest first. */
     list(): readonly AuditEntry[] {
         return auditTopics.flatMap(topic => this.entries[topic]);
     }
 
-    /** Entries that match, the newest first. */
+    /** Entries that match the query, newest first. */
     page(query: AuditQuery): readonly AuditEntry[] {
         const before = query.before ?? Number.POSITIVE_INFINITY;
         const topics = query.topic === undefined ? auditTopics : [query.topic];
@@ -74,22 +74,22 @@
     }
 }
 
-/** The entry for an applied command, or undefined for one that leaves no trail of its own. */
+/** The audit entry for an applied command, or undefined if the command isn't audited. */
 export function auditEntry(
     index: number,
     command: Command,
     result: CommandResult,
     revision: number,
 ): AuditEntry | undefined {
-    const described = describe(command, revision);
-    return described === undefined
+    const description = descriptionOf(command, revision);
+    return description === undefined
         ? undefined
-        : { index, at: command.at, outcome: outcomeOf(command, result), ...described };
+        : { index, at: command.at, outcome: outcomeOf(command, result), ...description };
 }
 
 type Description = Omit<AuditEntry, "index" | "at" | "outcome">;
 
-function describe(command: Command, revision: number): Description | undefined {
+function descriptionOf(command: Command, revision: number): Description | undefined {
     const membership = { topic: "membership", action: command.kind, revision } as const;
     switch (command.kind) {
         case "changeConfiguration": {
--- a/packages/basilpaddle/src/node/state/damage.ts
+++ b/packages/basilpaddle/src/node/state/damage.ts
@@ -1,16 +1,16 @@
-/** A state file that can't be trusted: what it holds isn't what was written and synced. */
+/** A corrupt state file: its content isn't what was written and synced. */
 export class Damage extends Error {
     override readonly name = "Damage";
 
     private constructor(
         /** Name of the file in the data folder. */
         readonly file: string,
-        /** Byte at which the trouble begins. */
+        /** Byte offset at which the corruption begins. */
         readonly offset: number,
-        /** What is wrong there. */
+        /** What is wrong at the offset. */
         readonly reason: string,
     ) {
-        super(`The state file ${file} can't be trusted at byte ${offset}: ${reason}.`);
+        super(`The state file ${file} is corrupt at byte ${offset}: ${reason}.`);
     }
 
     static create(file: string, offset: number, reason: string): Damage {
--- a/packages/basilpaddle/src/node/state/disk.ts
+++ b/packages/basilpaddle/src/node/state/disk.ts
@@ -1,32 +1,35 @@
-/** One file that is written at its end. What was appended lasts only once `sync` has come back. */
+/** An append-only file. Appended bytes are durable only once `sync` has resolved. */
 export abstract class File {
-    /** Writes the bytes at the end of the file. */
+    /** Appends the bytes. */
     abstract append(bytes: Uint8Array): Promise<void>;
 
-    /** Comes back once everything appended before the call will be there after a loss of power. */
+    /** Resolves once everything appended before the call would survive a power loss. */
     abstract sync(): Promise<void>;
 
-    /** Releases the file without a sync. */
+    /** Closes the file without syncing it. */
     abstract close(): Promise<void>;
 }
 
-/** The one folder that durable state lives in. Names are plain file names. */
+/** The folder that holds durable state. Names are plain file names without a path. */
 export abstract class Disk {
     /** Names of the files in the folder. */
     abstract list(): Promise<readonly string[]>;
 
-    /** The whole file, or undefined where there is none. */
+    /** The whole content of a file, or undefined if it doesn't exist. */
     abstract read(name: string): Promise<Uint8Array | undefined>;
 
-    /** Opens a file for appending; cuts it to the given length first, and syncs that. */
+    /** Truncates a file to the given length in bytes, syncs it and opens it for appending. Creates a missing file. */
     abstract open(name: string, length: number): Promise<File>;
 
-    /** Writes the whole file so that after a loss of power either the old or the new one is there; then it lasts. */
+    /**
+     * Replaces a file atomically: after a power loss either the old or the new content is there. Resolves once the new
+     * content is durable.
+     */
     abstract replace(name: string, bytes: Uint8Array): Promise<void>;
 
-    /** Gives a file another name, and makes that last. */
+    /** Renames a file; resolves once the new name is durable. */
     abstract rename(from: string, to: string): Promise<void>;
 
-    /** Removes a file, if it is there, and makes that last. */
+    /** Removes a file if it exists; resolves once the removal is durable. */
     abstract remove(name: string): Promise<void>;
 }
--- a/packages/basilpaddle/src/node/state/folderDisk.ts
+++ b/packages/basilpaddle/src/node/state/folderDisk.ts
@@ -4,8 +4,8 @@
 import writeFileAtomic from "write-file-atomic";
 import { Disk, File } from "./disk.js";
 
-/** What write-file-atomic calls its unfinished files: the name, a dot and a number. */
-const unfinished = /\.\d+$/;
+/** Matches the temporary files of write-file-atomic: the file's name, a dot and a number. */
+const temporaryFileName = /\.\d+$/;
 
 class FolderFile extends File {
     private constructor(private readonly handle: fs.FileHandle) {
@@ -17,7 +17,7 @@
     }
 
     override async append(bytes: Uint8Array): Promise<void> {
-        // A write may take fewer bytes than it was given; the rest would be missing in the middle of the file.
+        // A write may be partial; without the loop the remaining bytes would be missing in the middle of the file.
         for (let offset = 0; offset < bytes.length;) {
             const { bytesWritten } = await this.handle.write(bytes, offset, bytes.length - offset);
             offset += bytesWritten;
@@ -33,27 +33,27 @@
     }
 }
 
-/** A folder of the host's file system. */
+/** A disk backed by a folder of the host's file system. */
 export class FolderDisk extends Disk {
     private constructor(private readonly folder: string) {
         super();
     }
 
     /**
-     * Makes the folder where it is missing, and removes what an interrupted replacement left. To be done before anything
-     * in the process writes there: a replacement under way looks the same as one that was interrupted.
+     * Creates the folder if it is missing, and removes the temporary files of interrupted replacements. Call it before
+     * anything in the process writes to the folder: the temporary file of a replacement in progress looks the same.
      */
     static async create(folder: string): Promise<FolderDisk> {
         const disk = await FolderDisk.createBeside(folder);
         for (const name of await fs.readdir(folder)) {
-            if (unfinished.test(name)) {
+            if (temporaryFileName.test(name)) {
                 await fs.rm(disk.path(name), { force: true });
             }
         }
         return disk;
     }
 
-    /** The same for a folder that others in the process may be writing to: it removes nothing. */
+    /** Like `create`, but removes nothing: for a folder that other parts of the process may be writing to. */
     static async createBeside(folder: string): Promise<FolderDisk> {
         await fs.mkdir(folder, { recursive: true });
         return new FolderDisk(folder);
@@ -101,7 +101,7 @@
         await this.syncFolder();
     }
 
-    /** A file's own sync doesn't keep its name: without this a new or renamed file can be gone after a loss of power. */
+    /** Syncing a file doesn't sync its directory entry: without this a new or renamed file can be lost at a power loss. */
     private async syncFolder(): Promise<void> {
         const handle = await fs.open(this.folder, constants.O_RDONLY);
         try {
--- a/packages/basilpaddle/src/node/state/folderLock.ts
+++ b/packages/basilpaddle/src/node/state/folderLock.ts
@@ -2,17 +2,19 @@
 import * as net from "node:net";
 
 /**
- * Lets one process at a time work on a data folder. A second one would cut the record that the first is writing off the
- * log as incomplete, and both would vote under one identity: two leaders in one term.
+ * Exclusive lock of a data folder, held by one process at a time. A second process would truncate the record that the
+ * first is writing, since it looks like an incomplete append, and both would vote under one identity: two leaders in
+ * one term.
  *
- * It is an abstract socket named after the folder's device and inode. The kernel takes it back however the process
- * ends, so nothing is left to be told from a live lock, and another path or settings file finds the same name. It sees
- * only processes in the same network namespace; Linux alone has such sockets, and elsewhere nothing is locked.
+ * The lock is an abstract socket named after the folder's device and inode. The kernel releases it however the process
+ * ends, so there are no stale locks, and the name is the same whichever path or settings file leads to the folder. It
+ * excludes only processes in the same network namespace. Only Linux has abstract sockets; on other platforms nothing is
+ * locked.
  */
 export class FolderLock {
     private constructor(private readonly server: net.Server | undefined) {}
 
-    /** Makes the folder where it is missing, and takes it; throws where another process has it. */
+    /** Creates the folder if it is missing and locks it; throws if another process holds the lock. */
     static async create(folder: string): Promise<FolderLock> {
         await fs.mkdir(folder, { recursive: true });
         if (process.platform !== "linux") {
@@ -21,14 +23,14 @@
         const { dev, ino } = await fs.stat(folder, { bigint: true });
         const server = net.createServer(socket => socket.destroy());
         await new Promise<void>((resolve, reject) => {
-            server.once("error", error => reject(explained(error, folder)));
+            server.once("error", error => reject(lockError(error, folder)));
             server.listen(`\0basilpaddle-${dev}-${ino}`, resolve);
         });
         server.unref();
         return new FolderLock(server);
     }
 
-    /** Gives the folder back. */
+    /** Releases the lock. */
     async close(): Promise<void> {
         await new Promise<void>(resolve => {
             if (this.server === undefined) {
@@ -40,12 +42,12 @@
     }
 }
 
-function explained(error: NodeJS.ErrnoException, folder: string): Error {
+function lockError(error: NodeJS.ErrnoException, folder: string): Error {
     if (error.code !== "EADDRINUSE") {
         return error;
     }
     return new Error(
-        `The data folder ${folder} is in use by another process. End that one first, or name another folder.`,
+        `The data folder ${folder} is in use by another process. Stop that process or choose another folder.`,
         { cause: error },
     );
 }
--- a/packages/basilpaddle/src/node/state/history.ts
+++ b/packages/basilpaddle/src/node/state/history.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import { type Change, changeSchema } from "../protocol/index.js";
 
-/** One accepted configuration. */
+/** Schema of one accepted configuration. */
 export const historyEntrySchema = z.object({
     revision: z.int(),
     index: z.int(),
@@ -9,19 +9,19 @@
     changeId: z.string(),
     operator: z.string(),
     note: z.string(),
-    /** The files that it was merged from; empty in older entries, whose text was dropped to make room. */
+    /** The files that it was merged from; empty in older entries whose text was dropped to stay within the limit. */
     files: changeSchema.shape.files,
 });
 
 /** One accepted configuration. */
 export type HistoryEntry = z.infer<typeof historyEntrySchema>;
 
-/** Entries kept. */
-export const historyLimit = 2_000;
-/** Characters of file text kept over all entries; the newest entry keeps its files in any case. */
-export const historyTextLimit = 2 * 1024 * 1024;
+/** Maximum number of entries kept. */
+export const historyEntryLimit = 2_000;
+/** Maximum total of file names and texts over all entries, in characters. The newest entry always keeps its files. */
+export const historyTextLimitCharacters = 2 * 1024 * 1024;
 
-/** The accepted configurations, the oldest first, bounded. */
+/** Bounded list of the accepted configurations, oldest first. */
 export class History {
     private constructor(private entries: HistoryEntry[]) {}
 
@@ -29,23 +29,23 @@
         return new History([...entries]);
     }
 
-    /** Adds an accepted change. */
-    note(revision: number, index: number, at: number, change: Change): void {
+    /** Appends an accepted change and evicts what exceeds the limits. */
+    append(revision: number, index: number, at: number, change: Change): void {
         const { changeId, operator, note, files } = change;
         this.entries.push({ revision, index, at, changeId, operator, note, files });
-        this.entries = withinText(this.entries.slice(-historyLimit));
+        this.entries = withinTextLimit(this.entries.slice(-historyEntryLimit));
     }
 
-    /** Every entry, the oldest first. */
+    /** All entries, oldest first. */
     list(): readonly HistoryEntry[] {
         return this.entries;
     }
 }
 
-function withinText(entries: readonly HistoryEntry[]): HistoryEntry[] {
-    let left = historyTextLimit;
+function withinTextLimit(entries: readonly HistoryEntry[]): HistoryEntry[] {
+    let remaining = historyTextLimitCharacters;
     return entries.toReversed().map((entry, age) => {
-        left -= entry.files.reduce((sum, file) => sum + file.name.length + file.text.length, 0);
-        return left >= 0 || age === 0 || entry.files.length === 0 ? entry : { ...entry, files: [] };
+        remaining -= entry.files.reduce((sum, file) => sum + file.name.length + file.text.length, 0);
+        return remaining >= 0 || age === 0 || entry.files.length === 0 ? entry : { ...entry, files: [] };
     }).toReversed();
 }
--- a/packages/basilpaddle/src/node/state/identity.ts
+++ b/packages/basilpaddle/src/node/state/identity.ts
@@ -6,32 +6,32 @@
 /** Name of the file that holds the identity. */
 export const identityFile = "identity.json";
 
-/** Who a replica is. A lost disk doesn't bring the same identity back. */
+/** Schema of a replica's identity. A replica that lost its disk gets a new identity. */
 export const identitySchema = z.strictObject({
     version: z.literal(1),
-    /** Name of the group; unknown to a replica that wasn't yet taken in. */
+    /** Name of the group; absent until the replica has joined a group. */
     cluster: z.string().min(1).optional(),
     name: z.string().min(1),
-    /** The name, `#`, and a part of its own. */
+    /** The name, `#` and a unique suffix. */
     identity: z.string().min(1),
-    /** Identities of the voters that the group started with; none for a replica that joins a group. */
+    /** Identities of the group's initial voters; empty for a replica that joins an existing group. */
     initialVoters: z.array(z.string().min(1)),
 });
 
 const storedSchema = z.strictObject({ checksum: z.int(), identity: identitySchema });
 
-/** Who a replica is. */
+/** Identity of a replica. */
 export type Identity = z.infer<typeof identitySchema>;
 
-/** Reads the identity; undefined where there is none, `Damage` where it can't be trusted. */
+/** Reads the identity; undefined if there is none. Throws `Damage` if the file is corrupt. */
 export async function readIdentity(disk: Disk): Promise<Identity | undefined> {
     const bytes = await disk.read(identityFile);
     if (bytes === undefined) {
         return undefined;
     }
-    const stored = storedSchema.safeParse(parse(Buffer.from(bytes).toString("utf8")));
+    const stored = storedSchema.safeParse(parseJson(Buffer.from(bytes).toString("utf8")));
     if (!stored.success) {
-        throw Damage.create(identityFile, 0, "it isn't an identity of version 1");
+        throw Damage.create(identityFile, 0, "it isn't a version 1 identity file");
     }
     const { checksum, identity } = stored.data;
     if (checksumOf(identity) !== checksum) {
@@ -40,7 +40,7 @@
     return identity;
 }
 
-/** Writes the identity; comes back once it lasts. */
+/** Writes the identity; resolves once it is durable. */
 export async function writeIdentity(disk: Disk, identity: Identity): Promise<void> {
     const stored = { checksum: checksumOf(identity), identity };
     await disk.replace(identityFile, Buffer.from(`${JSON.stringify(stored, undefined, 4)}\n`));
@@ -51,7 +51,7 @@
     return crc32(JSON.stringify([version, cluster ?? "", name, own, initialVoters]));
 }
 
-function parse(text: string): unknown {
+function parseJson(text: string): unknown {
     try {
         return JSON.parse(text);
     }
--- a/packages/basilpaddle/src/node/state/invariant.ts
+++ b/packages/basilpaddle/src/node/state/invariant.ts
@@ -1,11 +1,11 @@
-/** A rule of the state that must hold whatever comes in. Broken, it means a fault in the program, never in the input. */
+/** Thrown when an invariant of the state is violated. It always means a bug in the program, never invalid input. */
 export class Invariant extends Error {
     private constructor(message: string) {
-        super(`Broken invariant: ${message}`);
+        super(`Invariant violated: ${message}`);
         this.name = "Invariant";
     }
 
-    /** Throws unless the condition holds. The process must not go on with a state that it can't trust. */
+    /** Throws unless the condition holds. The process must not continue with an inconsistent state. */
     static hold(condition: boolean, message: string): asserts condition {
         if (!condition) {
             throw new Invariant(message);
--- a/packages/basilpaddle/src/node/state/ledger.ts
+++ b/packages/basilpaddle/src/node/state/ledger.ts
@@ -21,8 +21,8 @@
     private steps = ViewSteps.create(this.viewState.view());
     private runs: Runs;
     private audit = AuditTrail.create();
-    private accepted = History.create();
-    private restoredTimes = 0;
+    private configurationHistory = History.create();
+    private restoreCount = 0;
 
     private constructor(private readonly limits: RunLimits) {
         super();
@@ -34,13 +34,13 @@
     }
 
     override apply(index: number, command: Command): CommandResult {
-        Invariant.hold(index > this.index, `log index ${index} after ${this.index}`);
+        Invariant.hold(index > this.index, `log index ${index} doesn't follow ${this.index}`);
         this.index = index;
         const { revision } = this.view().configuration;
         const result = isViewCommand(command) ? this.applyView(index, command) : this.applyRecord(index, command);
         const entry = auditEntry(index, command, result, revision);
         if (entry !== undefined) {
-            this.audit.note(entry);
+            this.audit.append(entry);
         }
         return result;
     }
@@ -52,20 +52,23 @@
             decided: [...this.viewState.decidedChanges()],
             runs: [...this.runs.list()],
             audit: [...this.audit.list()],
-            history: [...this.accepted.list()],
+            history: [...this.configurationHistory.list()],
         });
     }
 
     override restore(snapshot: Uint8Array): void {
         const content = decodeSnapshot(snapshot);
-        Invariant.hold(content.index >= this.index, `a snapshot at log index ${content.index} after ${this.index}`);
+        Invariant.hold(
+            content.index >= this.index,
+            `a snapshot at log index ${content.index} is older than the state at ${this.index}`,
+        );
         this.index = content.index;
         this.viewState = ViewState.fromSnapshot(content.view, content.decided);
         this.steps = ViewSteps.create(content.view);
         this.runs = Runs.create(this.limits, content.runs);
         this.audit = AuditTrail.create(content.audit);
-        this.accepted = History.create(content.history);
-        this.restoredTimes += 1;
+        this.configurationHistory = History.create(content.history);
+        this.restoreCount += 1;
     }
 
     /** Log index of the last applied command. */
@@ -73,44 +76,44 @@
         return this.index;
     }
 
-    /** The view after the last command. */
+    /** The view after the last applied command. */
     view(): View {
         return this.viewState.view();
     }
 
-    /** The view steps that a follower lacks, or undefined where it needs the whole view. */
+    /** The view steps that a follower is missing, or undefined if it needs the whole view. */
     missingSteps(wanted: MissingSteps): readonly ViewStep[] | undefined {
         return this.steps.missing(wanted);
     }
 
-    /** Entries of the audit trail, the newest first. */
+    /** Audit trail entries that match the query, newest first. */
     auditPage(query: AuditQuery): readonly AuditEntry[] {
         return this.audit.page(query);
     }
 
-    /** The accepted configurations, the oldest first. */
+    /** The accepted configurations, oldest first. */
     history(): readonly HistoryEntry[] {
-        return this.accepted.list();
+        return this.configurationHistory.list();
     }
 
-    /** The first answer to a change, if it is remembered. */
+    /** The result that a change got when it was first applied, if it is still stored. */
     firstAnswer(changeId: string): CommandResult | undefined {
         return this.viewState.firstAnswer(changeId);
     }
 
-    /** Number of run records, and bytes of kept answers. */
+    /** Number of run records, and total size of their stored answers in bytes. */
     runUsage(): ReturnType<Runs["usage"]> {
         return this.runs.usage();
     }
 
-    /** Whether a run record began at or below the log index. */
+    /** Whether any run record has a `sinceIndex` at or below the log index. */
     hasRunsUpTo(index: number): boolean {
         return this.runs.hasUpTo(index);
     }
 
-    /** How often the state was replaced by a snapshot; commands that it covers were not seen one by one. */
+    /** How often the state was replaced by a snapshot. The commands that a snapshot covers weren't applied one by one. */
     restores(): number {
-        return this.restoredTimes;
+        return this.restoreCount;
     }
 
     private applyView(index: number, command: Command): CommandResult {
@@ -119,7 +122,7 @@
         this.steps.push(index, command, result);
         const changed = this.view().configuration.revision > revision;
         if (command.kind === "changeConfiguration" && changed) {
-            this.accepted.note(this.view().configuration.revision, index, command.at, command.change);
+            this.configurationHistory.append(this.view().configuration.revision, index, command.at, command.change);
         }
         return result;
     }
@@ -127,7 +130,7 @@
     private applyRecord(index: number, command: Command): CommandResult {
         switch (command.kind) {
             case "startRun":
-                return this.start(index, command);
+                return this.startRun(index, command);
             case "finishRun":
                 return this.runs.finish(index, command);
             case "releaseRun":
@@ -143,14 +146,14 @@
         }
     }
 
-    private start(index: number, command: Extract<Command, { kind: "startRun"; }>): CommandResult {
+    private startRun(index: number, command: Extract<Command, { kind: "startRun"; }>): CommandResult {
         const records = this.runs.usage().records;
         const known = this.runs.has(command.key);
         const result = this.runs.start(index, command, owner => this.hasOpenSession(owner));
         const added = this.runs.usage().records - records;
         Invariant.hold(
             added === (result.kind === "started" && !known ? 1 : 0),
-            `${added} records added for a start answered ${result.kind}`,
+            `${added} run records added by a startRun with result ${result.kind}`,
         );
         return result;
     }
--- a/packages/basilpaddle/src/node/state/ledgerSnapshot.ts
+++ b/packages/basilpaddle/src/node/state/ledgerSnapshot.ts
@@ -6,7 +6,7 @@
 import { fromColumns, runColumnsSchema, toColumns } from "./runColumns.js";
 import { runSchema } from "./runs.js";
 
-/** Version of the snapshot's layout that this program writes, and the only one that it reads. */
+/** Layout version of the snapshots that this program writes, and the only one that it reads. */
 export const snapshotVersion = 3;
 
 const contentSchema = z.object({
@@ -19,31 +19,31 @@
     history: z.array(historyEntrySchema),
 });
 
-/** What a snapshot of the ledger holds. */
+/** Content of a ledger snapshot. */
 export type LedgerContent = z.infer<typeof contentSchema>;
 
 const encoder = new Encoder({ useRecords: false, mapsAsObjects: true });
 
-/** Writes a snapshot as CBOR with its version. */
+/** Encodes a snapshot as CBOR together with its layout version. */
 export function encodeSnapshot(content: LedgerContent): Uint8Array {
     return encoder.encode({ version: snapshotVersion, content: { ...content, runs: toColumns(content.runs) } });
 }
 
-/** Reads a snapshot. Throws with the cause where it is of another version or broken. */
+/** Decodes a snapshot. Throws if it has another layout version or its content is invalid. */
 export function decodeSnapshot(bytes: Uint8Array): LedgerContent {
-    // Decoded byte strings are windows into the source; without a copy each kept answer would hold all of it.
+    // Decoded byte strings are views of the source buffer; without a copy each stored answer would retain all of it.
     const decoded = z.looseObject({ version: z.unknown() }).safeParse(encoder.decode(Buffer.from(bytes)));
     const version = decoded.data?.version;
     if (version !== snapshotVersion) {
         throw new Error(
             `The snapshot has layout version ${String(version)}, and this program reads version ${snapshotVersion}. `
-                + "Start a release that knows this version; the data folder was left as it is.",
+                + "Start a release that supports this version; the data folder was not modified.",
         );
     }
     const content = contentSchema.safeParse(decoded.data?.content);
     if (!content.success) {
-        const places = content.error.issues.map(issue => `${issue.path.join(".")}: ${issue.message}`);
-        throw new Error(`The snapshot's content doesn't fit its layout version: ${places.join("; ")}`);
+        const issues = content.error.issues.map(issue => `${issue.path.join(".")}: ${issue.message}`);
+        throw new Error(`The snapshot's content doesn't match its layout version: ${issues.join("; ")}`);
     }
     return content.data;
 }
--- a/packages/basilpaddle/src/node/state/memoryDisk.ts
+++ b/packages/basilpaddle/src/node/state/memoryDisk.ts
@@ -1,13 +1,13 @@
 import { Disk, File } from "./disk.js";
 
-type Content = { written: Buffer; synced: number; };
+type FileContent = { written: Buffer; synced: number; };
 
 class MemoryFile extends File {
-    private constructor(private readonly content: Content) {
+    private constructor(private readonly content: FileContent) {
         super();
     }
 
-    static create(content: Content): MemoryFile {
+    static create(content: FileContent): MemoryFile {
         return new MemoryFile(content);
     }
 
@@ -22,9 +22,9 @@
     override async close(): Promise<void> {}
 }
 
-/** A disk in memory, for tests and trials; a crash can be played on it. */
+/** An in-memory disk for tests and simulations that can simulate a power loss. */
 export class MemoryDisk extends Disk {
-    private readonly files = new Map<string, Content>();
+    private readonly files = new Map<string, FileContent>();
 
     private constructor() {
         super();
@@ -34,14 +34,14 @@
         return new MemoryDisk();
     }
 
-    /** What a loss of power leaves: each file keeps what was synced and at most the given bytes more. */
+    /** The disk after a power loss: each file keeps its synced bytes and at most `unsyncedBytes` of the bytes after them. */
     crash(unsyncedBytes = 0): MemoryDisk {
-        const left = MemoryDisk.create();
+        const remaining = MemoryDisk.create();
         for (const [name, content] of this.files) {
             const kept = content.written.subarray(0, content.synced + unsyncedBytes);
-            left.files.set(name, { written: Buffer.from(kept), synced: kept.length });
+            remaining.files.set(name, { written: Buffer.from(kept), synced: kept.length });
         }
-        return left;
+        return remaining;
     }
 
     override async list(): Promise<readonly string[]> {
--- a/packages/basilpaddle/src/node/state/runColumns.ts
+++ b/packages/basilpaddle/src/node/state/runColumns.ts
@@ -2,33 +2,34 @@
 import { incarnationSchema, keptAnswerSchema } from "../protocol/index.js";
 import type { Run } from "./runs.js";
 
-/** Numbers of each record: lengths of key, digest and token, and positions of owner and state. */
-const numbersEach = 5;
-/** Places in time of each record: `startedAt`, `sinceIndex` and `endedIndex`. */
-const placesEach = 3;
-const notEnded = -1;
+/** Entries of `numbers` per record: lengths of key, digest and token, and positions of owner and state. */
+const numbersPerRecord = 5;
+/** Entries of `places` per record: `startedAt`, `sinceIndex` and `endedIndex`. */
+const placesPerRecord = 3;
+/** Stored in place of `endedIndex` in a record without one. */
+const noEndIndex = -1;
 
 /**
- * Run records as they lie in a snapshot. Written as one object each, 40,000 of them block the process long enough for
- * its followers to miss heartbeats; a few long columns take a fraction of that.
+ * Schema of run records in a snapshot, stored by column. Encoding 40,000 records as one object each blocks the process
+ * long enough for its followers to miss heartbeats; encoding a few long columns takes a fraction of that time.
  */
 export const runColumnsSchema = z.object({
-    /** Key, digest and token of all records, one after the other. */
+    /** Key, digest and token of all records, concatenated. */
     text: z.string(),
     numbers: z.instanceof(Uint32Array),
     places: z.instanceof(Float64Array),
     owners: z.array(incarnationSchema),
     states: z.array(z.string()),
-    /** What few records have, with the position of the record. */
+    /** Fields that few records have (`answers` and `releases`), each with the position of its record. */
     answers: z.array(z.tuple([z.int(), keptAnswerSchema])),
     releases: z.array(z.tuple([z.int(), z.array(z.string())])),
 });
 
-/** Run records as they lie in a snapshot. */
+/** Run records in a snapshot, stored by column. */
 export type RunColumns = z.infer<typeof runColumnsSchema>;
 
-/** Values in the order in which they first came, each once. */
-class Distinct<Value> {
+/** Distinct values in the order of their first occurrence. */
+class DistinctValues<Value> {
     readonly values: Value[] = [];
     private readonly positions = new Map<string, number>();
 
@@ -42,28 +43,31 @@
     }
 }
 
-/** Lays records out as columns. */
+/** Converts records to columns. */
 export function toColumns(runs: readonly Run[]): RunColumns {
-    const owners = new Distinct<Run["owner"]>();
-    const states = new Distinct<string>();
-    const numbers = new Uint32Array(runs.length * numbersEach);
-    const places = new Float64Array(runs.length * placesEach);
+    const owners = new DistinctValues<Run["owner"]>();
+    const states = new DistinctValues<string>();
+    const numbers = new Uint32Array(runs.length * numbersPerRecord);
+    const places = new Float64Array(runs.length * placesPerRecord);
     const parts: string[] = [];
     const answers: RunColumns["answers"] = [];
     const releases: RunColumns["releases"] = [];
     runs.forEach((run, position) => {
         const { key, digest, token, owner, state } = run;
         parts.push(key, digest, token);
-        const at = position * numbersEach;
-        numbers[at] = key.length;
-        numbers[at + 1] = digest.length;
-        numbers[at + 2] = token.length;
-        numbers[at + 3] = owners.position(`${owner.daemon.length} ${owner.daemon}${owner.incarnation}`, owner);
-        numbers[at + 4] = states.position(state, state);
-        const place = position * placesEach;
-        places[place] = run.startedAt;
-        places[place + 1] = run.sinceIndex;
-        places[place + 2] = run.endedIndex ?? notEnded;
+        const numbersOffset = position * numbersPerRecord;
+        numbers[numbersOffset] = key.length;
+        numbers[numbersOffset + 1] = digest.length;
+        numbers[numbersOffset + 2] = token.length;
+        numbers[numbersOffset + 3] = owners.position(
+            `${owner.daemon.length} ${owner.daemon}${owner.incarnation}`,
+            owner,
+        );
+        numbers[numbersOffset + 4] = states.position(state, state);
+        const placesOffset = position * placesPerRecord;
+        places[placesOffset] = run.startedAt;
+        places[placesOffset + 1] = run.sinceIndex;
+        places[placesOffset + 2] = run.endedIndex ?? noEndIndex;
         if (run.answer !== undefined) {
             answers.push([position, run.answer]);
         }
@@ -74,27 +78,27 @@
     return { text: parts.join(""), numbers, places, owners: owners.values, states: states.values, answers, releases };
 }
 
-/** Takes columns apart into records, which are still to be checked. */
+/** Converts columns to records; the caller has to validate them. */
 export function fromColumns(columns: RunColumns): unknown[] {
     const { text, numbers, places, owners, states } = columns;
     const answers = new Map(columns.answers);
     const releases = new Map(columns.releases);
     let offset = 0;
-    const take = (length: number | undefined): string => text.slice(offset, offset += length ?? 0);
-    return Array.from({ length: numbers.length / numbersEach }, (_, position) => {
-        const at = position * numbersEach;
-        const place = position * placesEach;
-        const endedIndex = places[place + 2];
+    const readText = (length: number | undefined): string => text.slice(offset, offset += length ?? 0);
+    return Array.from({ length: numbers.length / numbersPerRecord }, (_, position) => {
+        const numbersOffset = position * numbersPerRecord;
+        const placesOffset = position * placesPerRecord;
+        const endedIndex = places[placesOffset + 2];
         return {
-            key: take(numbers[at]),
-            digest: take(numbers[at + 1]),
-            token: take(numbers[at + 2]),
-            owner: owners[numbers[at + 3]!],
-            state: states[numbers[at + 4]!],
-            startedAt: places[place],
-            sinceIndex: places[place + 1],
+            key: readText(numbers[numbersOffset]),
+            digest: readText(numbers[numbersOffset + 1]),
+            token: readText(numbers[numbersOffset + 2]),
+            owner: owners[numbers[numbersOffset + 3]!],
+            state: states[numbers[numbersOffset + 4]!],
+            startedAt: places[placesOffset],
+            sinceIndex: places[placesOffset + 1],
             releasedTokens: releases.get(position) ?? [],
-            ...(endedIndex === notEnded ? {} : { endedIndex }),
+            ...(endedIndex === noEndIndex ? {} : { endedIndex }),
             ...(answers.has(position) ? { answer: answers.get(position) } : {}),
         };
     });
--- a/packages/basilpaddle/src/node/state/runs.ts
+++ b/packages/basilpaddle/src/node/state/runs.ts
@@ -10,57 +10,57 @@
 } from "../protocol/index.js";
 import { Invariant } from "./invariant.js";
 
-/** One run of a non-idempotent request. */
+/** Schema of the record of one run of a non-idempotent request. */
 export const runSchema = z.object({
     key: z.string(),
     digest: z.string(),
     owner: incarnationSchema,
     token: z.string(),
     startedAt: z.int(),
-    /** Log index of its start or release; it is forgotten once that index is old enough. */
+    /** Log index of its start or release; the record expires once that index is old enough. */
     sinceIndex: z.int(),
-    /** `released`: it was proved not to have run; kept for a while against a start of the same arrival that comes late. */
+    /** `released`: the run is proven not to have executed; the record is kept so that a late start with its token is rejected. */
     state: z.enum(["running", "answered", "released", ...outcomes]),
     answer: keptAnswerSchema.optional(),
-    /** Arrivals that were taken back, the last one last. A copy of the start of one of them may still come. */
+    /** Tokens of released arrivals, latest last. A delayed copy of the start of one of them may still be committed. */
     releasedTokens: z.array(z.string()),
-    /** Log index of its end; orders the kept answers by age, the same at every replica. */
+    /** Log index of its end; gives stored answers the same age order at every replica. */
     endedIndex: z.int().optional(),
 });
 
-/** One run of a non-idempotent request. */
+/** The record of one run of a non-idempotent request. */
 export type Run = z.infer<typeof runSchema>;
 
-/** How much the run records may hold. */
+/** Limits of the run records. */
 export type RunLimits = {
-    /** Records at once; a start beyond them is refused. */
+    /** Maximum number of records; a start of a new key beyond it is rejected. */
     readonly records: number;
-    /** Bytes of all kept answers together; a new answer beyond them takes the place of the oldest ones. */
+    /** Maximum total size of the stored answers in bytes; a new answer evicts the oldest ones. */
     readonly answerBytes: number;
-    /** Bytes of one kept answer. */
+    /** Maximum size of one stored answer in bytes; a larger one isn't stored. */
     readonly oneAnswerBytes: number;
 };
 
-/** How much the run records hold unless told otherwise. */
+/** Default limits of the run records. */
 export const defaultRunLimits: RunLimits = Object.freeze({
     records: 40_000,
     answerBytes: 4 * 1024 * 1024,
     oneAnswerBytes: 256 * 1024,
 });
 
-/** Releases of one key that are remembered. */
-const rememberedReleases = 4;
+/** Maximum number of released tokens stored per key. */
+const releaseLimitPerKey = 4;
 
 type StartRun = Extract<Command, { kind: "startRun"; }>;
 type FinishRun = Extract<Command, { kind: "finishRun"; }>;
 type ReleaseRun = Extract<Command, { kind: "releaseRun"; }>;
 type ExpireRuns = Extract<Command, { kind: "expireRuns"; }>;
 
-/** Records of non-idempotent runs, so that each key starts at most once while its record lives. */
+/** Records of non-idempotent runs; a key starts at most once while its record exists, unless it is released. */
 export class Runs {
     private readonly runs = new Map<string, Run>();
-    /** The runs that keep an answer, the oldest answer first. */
-    private readonly kept = new Map<string, Run>();
+    /** The runs with a stored answer, oldest answer first. */
+    private readonly runsWithAnswer = new Map<string, Run>();
     private answerBytes = 0;
 
     private constructor(private readonly limits: RunLimits) {}
@@ -69,30 +69,32 @@
         const created = new Runs(limits);
         for (const run of runs) {
             created.runs.set(run.key, run);
-            created.answerBytes += bytesOf(run.answer);
+            created.answerBytes += answerBytesOf(run.answer);
         }
-        for (const run of runs.filter(each => each.answer !== undefined).sort((a, b) => endOf(a) - endOf(b))) {
-            created.kept.set(run.key, run);
+        for (
+            const run of runs.filter(each => each.answer !== undefined).sort((a, b) => endIndexOf(a) - endIndexOf(b))
+        ) {
+            created.runsWithAnswer.set(run.key, run);
         }
         return created;
     }
 
-    /** Whether there is a record of the key. */
+    /** Whether there is a record for the key. */
     has(key: string): boolean {
         return this.runs.has(key);
     }
 
-    /** Every record, the oldest first. */
+    /** All records in the order in which their keys were added. */
     list(): readonly Run[] {
         return [...this.runs.values()];
     }
 
-    /** Number of records, and bytes of kept answers. */
+    /** Number of records, and total size of the stored answers in bytes. */
     usage(): { readonly records: number; readonly answerBytes: number; } {
         return { records: this.runs.size, answerBytes: this.answerBytes };
     }
 
-    /** Whether a record began at or below the log index. */
+    /** Whether any record has a `sinceIndex` at or below the log index. */
     hasUpTo(index: number): boolean {
         for (const run of this.runs.values()) {
             if (run.sinceIndex <= index) {
@@ -103,8 +105,9 @@
     }
 
     /**
-     * Starts a run, or tells of the one that came first. The same arrival gets its start again after a lost answer.
-     * A run that nobody drives any more, because its owner's session is closed, is told as unknown.
+     * Starts a run, or returns the state of the existing one. A resend with the same token gets `started` again while
+     * the run is running, for the case that the first result was lost. A running run whose owner's session is closed is
+     * reported as `unknown`, since nobody will finish it.
      */
     start(index: number, command: StartRun, isOpen: (owner: Incarnation) => boolean): CommandResult {
         const known = this.runs.get(command.key);
@@ -114,7 +117,7 @@
         if (known !== undefined && known.state !== "released") {
             return known.token === command.token && known.state === "running"
                 ? { kind: "started" }
-                : tell(known, command, isOpen);
+                : existingRunResult(known, command, isOpen);
         }
         if (known === undefined && this.runs.size >= this.limits.records) {
             return { kind: "full", limit: this.limits.records };
@@ -132,34 +135,35 @@
         return { kind: "started" };
     }
 
-    /** Notes how a run ended. The first end counts. */
+    /** Records the outcome of a run. Only the first outcome counts. */
     finish(index: number, command: FinishRun): CommandResult {
         const run = this.runs.get(command.key);
         if (run === undefined || run.token !== command.token) {
             return staleRun(command.key);
         }
         if (run.state === "running") {
-            const answer = this.fitting(command.answer);
-            this.answerBytes += bytesOf(answer);
+            const answer = this.makeRoomFor(command.answer);
+            this.answerBytes += answerBytesOf(answer);
             const ended: Run = { ...run, state: command.result, answer, endedIndex: index };
             this.runs.set(command.key, ended);
             if (answer !== undefined) {
-                this.kept.set(command.key, ended);
+                this.runsWithAnswer.set(command.key, ended);
             }
         }
         return { kind: "done", index };
     }
 
     /**
-     * Lets the key of a run that was proved not to have run start again. The release may overtake the start that it
-     * takes back, or a resent copy of it. Without the memory of it that start would hold the key for its whole life,
-     * and the caller would be told that a request runs which nobody runs.
+     * Lets the key of a run that is proven not to have executed start again. The release may be committed before the
+     * start that it undoes, or before a resent copy of it. If the token weren't stored, that late start would occupy the
+     * key until the record expires, and the caller would be told that a request is running which nobody runs.
      */
     release(index: number, command: ReleaseRun): CommandResult {
         const run = this.runs.get(command.key);
         const releasedTokens = withRelease(run, command.token);
         if (run !== undefined && run.state !== "released" && (run.token !== command.token || run.state !== "running")) {
-            // The key is another arrival's. That one may be released too, before the start that this takes back comes.
+            // The key belongs to another arrival, which may be released too before the start that this release undoes
+            // is committed.
             if (run.token !== command.token && run.state === "running") {
                 this.runs.set(command.key, { ...run, releasedTokens });
             }
@@ -181,64 +185,65 @@
         return { kind: "done", index };
     }
 
-    /** Forgets every run that began at or below the command's index. */
+    /** Deletes every record with a `sinceIndex` at or below the command's index. */
     expire(index: number, command: ExpireRuns): CommandResult {
         for (const run of this.runs.values()) {
             if (run.sinceIndex <= command.upTo) {
-                this.drop(run.key);
+                this.dropAnswer(run.key);
                 this.runs.delete(run.key);
             }
         }
-        Invariant.hold(this.answerBytes >= 0, `${this.answerBytes} bytes of kept answers`);
+        Invariant.hold(this.answerBytes >= 0, `the stored answers have ${this.answerBytes} bytes`);
         return { kind: "done", index };
     }
 
     /**
-     * Makes room for an answer by dropping the oldest ones. A caller that lost its answer comes back soon; keeping the
-     * first answers of the day instead would answer nobody's resend once the room is taken.
+     * Evicts the oldest answers until the given one fits, and returns it; returns undefined for one that is too large.
+     * A caller that lost its answer resends soon. If the oldest answers were kept instead, no resend would find its
+     * answer once the limit is reached.
      */
-    private fitting(answer: KeptAnswer | undefined): KeptAnswer | undefined {
-        const bytes = bytesOf(answer);
+    private makeRoomFor(answer: KeptAnswer | undefined): KeptAnswer | undefined {
+        const bytes = answerBytesOf(answer);
         if (bytes > this.limits.oneAnswerBytes || bytes > this.limits.answerBytes) {
             return undefined;
         }
-        for (const run of this.kept.values()) {
+        for (const run of this.runsWithAnswer.values()) {
             if (this.answerBytes + bytes <= this.limits.answerBytes) {
                 break;
             }
-            this.drop(run.key);
+            this.dropAnswer(run.key);
         }
         return answer;
     }
 
-    private drop(key: string): void {
-        const run = this.kept.get(key);
+    private dropAnswer(key: string): void {
+        const run = this.runsWithAnswer.get(key);
         if (run !== undefined) {
-            this.answerBytes -= bytesOf(run.answer);
-            this.kept.delete(key);
+            this.answerBytes -= answerBytesOf(run.answer);
+            this.runsWithAnswer.delete(key);
             this.runs.set(key, { ...run, answer: undefined });
         }
     }
 }
 
-function tell(run: Run, command: StartRun, isOpen: (owner: Incarnation) => boolean): CommandResult {
+function existingRunResult(run: Run, command: StartRun, isOpen: (owner: Incarnation) => boolean): CommandResult {
     const state = run.state === "released" ? "notRun" : run.state;
     return {
         kind: "known",
         state: state === "running" && !isOpen(run.owner) ? "unknown" : state,
         owner: run.owner,
         sameDigest: run.digest === command.digest,
-        // Another body under the same key gets no look at the answer to the first.
+        // A request with another body under the same key must not see the answer to the first one.
         answer: run.digest === command.digest ? run.answer : undefined,
     };
 }
 
 function withRelease(run: Run | undefined, token: string): string[] {
     const earlier = run?.releasedTokens.filter(each => each !== token) ?? [];
-    return [...earlier, token].slice(-rememberedReleases);
+    return [...earlier, token].slice(-releaseLimitPerKey);
 }
 
-function endOf(run: Run): number {
+function endIndexOf(run: Run): number {
     return run.endedIndex ?? 0;
 }
 
@@ -246,7 +251,7 @@
     return { kind: "stale", reason: `the run of ${key} isn't this arrival's any more` };
 }
 
-function bytesOf(answer: KeptAnswer | undefined): number {
+function answerBytesOf(answer: KeptAnswer | undefined): number {
     if (answer === undefined) {
         return 0;
     }
--- a/packages/basilpaddle/src/node/state/stateMachine.ts
+++ b/packages/basilpaddle/src/node/state/stateMachine.ts
@@ -1,13 +1,13 @@
 import type { Command, CommandResult } from "../protocol/index.js";
 
-/** What replicas apply the log to. Applying the same commands in the same order gives the same state everywhere. */
+/** Replicated state machine. Applying the same commands in the same order gives the same state at every replica. */
 export abstract class StateMachine {
-    /** Applies a committed command. Indexes rise; a command is applied once. */
+    /** Applies a committed command. Log indexes increase, and each command is applied once. */
     abstract apply(index: number, command: Command): CommandResult;
 
-    /** The whole state as bytes, for a snapshot. */
+    /** Serialises the whole state for a snapshot. */
     abstract snapshot(): Uint8Array;
 
-    /** Replaces the whole state by that of a snapshot. */
+    /** Replaces the whole state with that of a snapshot. */
     abstract restore(snapshot: Uint8Array): void;
 }
