--- a/packages/basilpaddle/src/node/state/ledger.ts
+++ b/packages/basilpaddle/src/node/state/ledger.ts
@@ -12,7 +12,7 @@
 import { decodeSnapshot, encodeSnapshot } from "./ledgerSnapshot.js";
 import { defaultRunLimits, type RunLimits, Runs } from "./runs.js";
 import { StateMachine } from "./stateMachine.js";
-import { type MissingSteps, ViewState, ViewSteps } from "./view/index.js";
+import { type StepQuery, ViewState, ViewSteps } from "./view/index.js";
 
 /** The replicated state of the control daemons: the view, run records, audit trail and configuration history. */
 export class Ledger extends StateMachine {
@@ -82,7 +82,7 @@
     }
 
     /** The view steps that a follower is missing, or undefined if it needs the whole view. */
-    missingSteps(wanted: MissingSteps): readonly ViewStep[] | undefined {
+    missingSteps(wanted: StepQuery): readonly ViewStep[] | undefined {
         return this.steps.missing(wanted);
     }
 
@@ -97,8 +97,8 @@
     }
 
     /** The result that a change got when it was first applied, if it is still stored. */
-    firstAnswer(changeId: string): CommandResult | undefined {
-        return this.viewState.firstAnswer(changeId);
+    firstChangeResult(changeId: string): CommandResult | undefined {
+        return this.viewState.firstChangeResult(changeId);
     }
 
     /** Number of run records, and total size of their stored answers in bytes. */
--- a/packages/basilpaddle/src/node/state/view/__tests__/declarationDelta.spec.ts
+++ b/packages/basilpaddle/src/node/state/view/__tests__/declarationDelta.spec.ts
@@ -4,7 +4,7 @@
 import { encodeFrame } from "../../../transport/index.js";
 import { commands } from "../../__tests__/commands.js";
 import { Ledger } from "../../ledger.js";
-import { commandOf, deltaOf, withDelta } from "../declarationDelta.js";
+import { applyDeclarationDelta, commandOf, declarationDelta } from "../declarationDelta.js";
 import { ViewState } from "../viewState.js";
 
 const organisations = (count: number) =>
@@ -20,38 +20,38 @@
     return { ...command, change: { ...command.change, declaration } };
 }
 
-/** Alters one organisation of many. */
-function large(altered: number): Declaration {
+/** A declaration with 2,000 organisations, one of which has another share. */
+function largeDeclaration(altered: number): Declaration {
     const entries = Array.from({ length: 2_000 }, (_, at) => [`o${at}`, { share: at === altered ? 2 : 1 }]);
     return declarationSchema.parse({ organisations: Object.fromEntries(entries) });
 }
 
-describe("a delta of declarations", () => {
-    it("gives the second out of the first", () => {
+describe("declaration delta", () => {
+    it("turns the first declaration into the second", () => {
         fc.assert(
             fc.property(declarations, declarations, (before, after) => {
-                expect(withDelta(before, deltaOf(before, after))).to.deep.equal(after);
+                expect(applyDeclarationDelta(before, declarationDelta(before, after))).to.deep.equal(after);
             }),
             { seed: 1, numRuns: 300 },
         );
     });
 
     /*
-     * Symptom: a follower's view parts from that of the control daemons. Sequence: a large change, one that is refused,
-     * a resend of an accepted one, and one more change. Cause: a delta against a declaration that was never in force.
+     * Guards against a follower's view that diverges from that of the control daemons: after a large change, a rejected
+     * one and a resend of an accepted one, the next delta is based on a declaration that isn't in force.
      */
     for (const restarts of [false, true]) {
-        it(`follows accepted changes only, and is small${restarts ? ", also after restarts" : ""}`, () => {
+        it(`is based on accepted changes only, and is small${restarts ? ", also after restarts" : ""}`, () => {
             const ledger = Ledger.create();
             const follower = ViewState.create();
             const sequence = [
-                changeTo("one", 0, large(1)),
-                changeTo("refused", 0, large(2)),
-                changeTo("two", 1, large(3)),
-                changeTo("one", 0, large(1)),
-                changeTo("three", 2, large(4)),
-                changeTo("three", 2, large(5)),
-                changeTo("four", 3, large(6)),
+                changeTo("one", 0, largeDeclaration(1)),
+                changeTo("refused", 0, largeDeclaration(2)),
+                changeTo("two", 1, largeDeclaration(3)),
+                changeTo("one", 0, largeDeclaration(1)),
+                changeTo("three", 2, largeDeclaration(4)),
+                changeTo("three", 2, largeDeclaration(5)),
+                changeTo("four", 3, largeDeclaration(6)),
             ];
             const sizes: number[] = [];
             sequence.forEach((command, at) => {
@@ -59,7 +59,7 @@
                 const step = ledger.missingSteps({ after: at, count: 1, bytes: 10_000_000 })![0]!;
                 follower.apply(step.index, commandOf(step, follower.view()));
                 sizes.push(encodeFrame(step).length);
-                // A resend under the same identifier may bring another content right after a restart.
+                // After a restart, a resend with the same change ID may have different content.
                 if (restarts) {
                     ledger.restore(ledger.snapshot());
                 }
--- a/packages/basilpaddle/src/node/state/view/__tests__/drain.spec.ts
+++ b/packages/basilpaddle/src/node/state/view/__tests__/drain.spec.ts
@@ -16,10 +16,10 @@
 const held = [commands.open("a"), commands.grant("orders", "a"), commands.announce("decode-1", 1)];
 
 describe("draining", () => {
-    it("follows the holder of the orders lease, and nobody after it", () => {
-        // Symptom: an engine that the new holder put back into service gets no work. Sequence: the old holder freezes
-        // with a proposal on its way, the lease goes to another daemon, the proposal is committed. Cause: a command
-        // that isn't bound to the fencing number that it was made under.
+    it("is accepted only from the current holder of the orders lease", () => {
+        // Guards against an engine that gets no work although the new lease holder ended its drain: the old holder stalls
+        // with a proposal in flight, another daemon gets the lease, then the old proposal is committed. Each command has
+        // to be checked against the fence under which it was made.
         const { kinds, state } = applied(
             ...held,
             drain(2),
@@ -33,15 +33,15 @@
         expect(state).to.equal("ready");
     });
 
-    it("outlasts an announcement of the same incarnation, and ends with the next one", () => {
-        // Symptom: an engine cuts requests while it changes its role. Sequence: it is drained, a model that it was
-        // loading gets warm, it announces that, and entry daemons choose it again. Cause: an announcement that takes
-        // the drain mark off.
+    it("survives an announcement of the same incarnation and ends with the next incarnation", () => {
+        // Guards against an engine that aborts requests while it changes its role: it is drained, a model that it was
+        // loading becomes warm, it announces that, and entry daemons select it again because the announcement cleared
+        // the draining state.
         expect(applied(...held, drain(2), commands.announce("decode-1", 1)).state).to.equal("draining");
         expect(applied(...held, drain(2), commands.announce("decode-1", 2)).state).to.equal("ready");
     });
 
-    it("gives way to leaving, and doesn't bring back one that left", () => {
+    it("is overridden by leaving, and its end doesn't bring back an engine that left", () => {
         const leaving = [...held, drain(2), commands.mark("decode-1", 1, "leaving")];
         expect(applied(...leaving).state).to.equal("leaving");
         const { kinds, state } = applied(...leaving, drain(2, false));
@@ -55,14 +55,14 @@
         return { kind: "moveTraffic", pool: "drafting", model, version: "2", fence, at: 1 };
     }
 
-    it("follows the holder of the orders lease, for what is declared", () => {
+    it("is accepted only under the current fence of the orders lease and for declared models", () => {
         const list = [commands.open("a"), commands.grant("orders", "a"), commands.change("one", 0)];
         const { view, kinds } = applied(...list, move(1), move(2, "other"), move(2));
         expect(kinds.slice(3)).to.deep.equal(["stale", "stale", "done"]);
         expect(view.view().served).to.deep.equal({ drafting: { m: "2" } });
     });
 
-    it("forgets pools that aren't declared any more", () => {
+    it("removes pools that aren't declared any more", () => {
         const list = [commands.open("a"), commands.grant("orders", "a"), commands.change("one", 0), move(2)];
         const { view } = applied(...list, commands.change("two", 1, "ana", "other"));
         view.apply(6, { kind: "moveTraffic", pool: "other", model: "m", version: "1", fence: 2, at: 1 });
--- a/packages/basilpaddle/src/node/state/view/__tests__/viewState.spec.ts
+++ b/packages/basilpaddle/src/node/state/view/__tests__/viewState.spec.ts
@@ -3,7 +3,7 @@
 import type { Command } from "../../../protocol/index.js";
 import { commands } from "../../__tests__/commands.js";
 import { Ledger } from "../../ledger.js";
-import { goneLimit } from "../backends.js";
+import { goneBackendLimit } from "../backends.js";
 import { ViewState } from "../viewState.js";
 
 function applied(...list: readonly Command[]): { state: ViewState; kinds: string[]; } {
@@ -12,10 +12,10 @@
     return { state, kinds };
 }
 
-describe("changes of the configuration", () => {
-    it("made against the same revision: one wins, the other is told who", () => {
-        // Symptom: the second operator's files silently replace the first's. Sequence: both read revision 0, both
-        // send. Cause: a change is taken without looking at the revision that it was made against.
+describe("configuration changes", () => {
+    it("based on the same revision: the first is accepted, the second gets a conflict that names it", () => {
+        // Guards against the second operator's files silently replacing the first's when both read revision 0 and both
+        // apply a change: each change has to be checked against the revision that it is based on.
         const { state } = applied(commands.change("one", 0, "ana"));
         expect(state.apply(2, commands.change("two", 0, "bo"))).to.deep.equal({
             kind: "conflict",
@@ -25,8 +25,8 @@
         expect(state.view().configuration.changeId).to.equal("one");
     });
 
-    it("sent again get their first answer, also after later changes", () => {
-        // Symptom: an operator whose answer got lost resends and is told of a conflict with itself.
+    it("that are resent get their first result, also after later changes", () => {
+        // Guards against an operator who resends a change after a lost response and gets a conflict with that change.
         const { state } = applied(commands.change("one", 0), commands.change("two", 1), commands.change("late", 0));
         expect(state.apply(4, commands.change("one", 0))).to.deep.equal({ kind: "accepted", revision: 1 });
         expect(state.apply(5, commands.change("late", 2))).to.include({ kind: "conflict" });
@@ -35,7 +35,7 @@
 });
 
 describe("sessions and leases", () => {
-    it("give a lease to one open session at a time, under a rising fencing number", () => {
+    it("grant a lease to one open session at a time, with an increasing fence", () => {
         const { state, kinds } = applied(
             commands.open("a"),
             commands.open("b"),
@@ -49,9 +49,9 @@
         expect(state.view().leases.orders).to.deep.equal({ holder: commands.session("b"), fence: 6 });
     });
 
-    it("of an earlier start end when the daemon opens a new one, and its late close does nothing", () => {
-        // Symptom: a restarted daemon loses its session. Sequence: it restarts, opens a session, and the close of its
-        // earlier start is committed after that. Cause: sessions closed by name alone.
+    it("of an earlier incarnation end when the daemon opens a new session, and a late close has no effect", () => {
+        // Guards against a restarted daemon that loses its session: it opens a session, then the close of its earlier
+        // incarnation is committed. Sessions must not be closed by daemon name alone.
         const { state, kinds } = applied(
             commands.open("a", "1"),
             commands.grant("orders", "a", "1"),
@@ -66,9 +66,10 @@
 });
 
 describe("backend servers", () => {
-    it("that left stay out whatever comes late, until a higher incarnation", () => {
-        // Symptom: callers are sent to a process that is ending. Sequence: a backend server announces itself through
-        // a slow entry daemon, leaves through another one, falls silent; then the announcement is committed.
+    it("that left don't return through late commands, only with a higher incarnation", () => {
+        // Guards against requests that are routed to a process that is shutting down: a backend server announces itself
+        // through a slow entry daemon, leaves through another one and sends no more heartbeats; then the announcement is
+        // committed.
         const { state, kinds } = applied(
             commands.announce("w", 3),
             commands.mark("w", 3, "leaving"),
@@ -84,19 +85,19 @@
         expect(state.view().backends.w!.state).to.equal("ready");
     });
 
-    it("that were only silent come back at the same incarnation", () => {
+    it("that were gone without leaving return with the same incarnation", () => {
         const { state } = applied(commands.announce("w", 3), commands.mark("w", 3, "gone"), commands.announce("w", 3));
         expect(state.view().backends.w!.state).to.equal("ready");
     });
 
-    it("that are gone are remembered up to a number of them, the latest ones", () => {
+    it("that are gone are kept up to a limit, the latest ones", () => {
         const state = ViewState.create();
-        for (let count = 0; count < goneLimit + 5; count++) {
+        for (let count = 0; count < goneBackendLimit + 5; count++) {
             state.apply(2 * count + 1, commands.announce(`w${count}`, 1));
             state.apply(2 * count + 2, commands.mark(`w${count}`, 1, "gone"));
         }
-        expect(Object.keys(state.view().backends)).to.have.length(goneLimit);
-        expect(state.view().backends).to.include.keys(`w${goneLimit + 4}`).and.not.to.have.any.keys("w0", "w4");
+        expect(Object.keys(state.view().backends)).to.have.length(goneBackendLimit);
+        expect(state.view().backends).to.include.keys(`w${goneBackendLimit + 4}`).and.not.to.have.any.keys("w0", "w4");
     });
 });
 
@@ -121,9 +122,9 @@
 );
 
 describe("a follower", () => {
-    it("that joins by a view and goes on by steps has the same view as the ledger, at every index", () => {
-        // Symptom: two daemons route by different configurations of the same revision. Sequence: a refused change is
-        // sent again after a follower joined by a view. Cause: only the ledger remembers what was refused.
+    it("that joins from a view and applies steps has the same view as the ledger at every index", () => {
+        // Guards against two daemons that route by different configurations of the same revision: a rejected change is
+        // resent after a follower joined from a view, and only the ledger knows that it was rejected.
         fc.assert(
             fc.property(fc.array(anyViewCommand, { maxLength: 60 }), fc.nat(60), (list, joinAfter) => {
                 const ledger = Ledger.create();
--- a/packages/basilpaddle/src/node/state/view/backends.ts
+++ b/packages/basilpaddle/src/node/state/view/backends.ts
@@ -6,29 +6,29 @@
 type DrainBackend = Extract<Command, { kind: "drainBackend"; }>;
 type Backend = View["backends"][string];
 
-/** Backend servers that are gone and still remembered, so that a late word of an earlier start is recognised. */
-export const goneLimit = 1_000;
+/** Maximum number of gone backend servers kept, to recognise a late command about an earlier incarnation. */
+export const goneBackendLimit = 1_000;
 
-/** Takes in a backend server. Only a higher incarnation brings one back that said it was leaving. */
+/** Adds or updates a backend server. One that announced it is leaving returns only with a higher incarnation. */
 export function announceBackend(view: View, index: number, command: AnnounceBackend): Reduction {
     const { announcement } = command;
     const known = view.backends[announcement.id];
     if (known !== undefined && announcement.incarnation < known.announcement.incarnation) {
         return stale(view, `incarnation ${known.announcement.incarnation} of ${announcement.id} is known`);
     }
-    // An announcement that was on its way while the backend server left would otherwise bring it back into service:
-    // callers would be sent to a process that is about to end.
+    // An announcement that was in flight while the backend server left would otherwise bring it back into service, and
+    // requests would be routed to a process that is shutting down.
     if (known !== undefined && announcement.incarnation === known.announcement.incarnation && hasLeft(known)) {
         return stale(view, `${announcement.id} said at this incarnation that it is leaving`);
     }
-    // An engine announces itself again whenever its models change, as during the order that it was drained for. That
-    // must not give it work which the next order would cut off.
+    // An engine announces itself again whenever its models change, also during the order that it was drained for. That
+    // must not end the drain: the next order would abort the requests placed on it.
     const drained = known?.state === "draining" && known.announcement.incarnation === announcement.incarnation;
     const state = drained ? "draining" : "ready";
     return { view: withBackend(view, announcement.id, { announcement, state }), result: { kind: "done", index } };
 }
 
-/** Takes an engine out of placement or in again, at the word of the orders lease that is held now. */
+/** Starts or ends draining an engine; the command needs the fence of the orders lease that is held now. */
 export function drainBackend(view: View, index: number, command: DrainBackend): Reduction {
     const held = view.leases[ordersLease];
     if (held === undefined || held.fence !== command.fence) {
@@ -45,7 +45,7 @@
     return { view: withBackend(view, command.id, { ...known, state }), result: { kind: "done", index } };
 }
 
-/** Marks a backend server as leaving or gone. The mark of another incarnation than the known one changes nothing. */
+/** Marks a backend server as leaving or gone. A mark for another incarnation than the known one changes nothing. */
 export function markBackend(view: View, index: number, command: MarkBackend): Reduction {
     const known = view.backends[command.id];
     if (known === undefined || known.announcement.incarnation !== command.incarnation) {
@@ -70,11 +70,11 @@
     return { ...view, backends: { ...view.backends, [id]: backend } };
 }
 
-/** Moves the entry to the end, so that the order of the record tells which has been gone longest. */
+/** Moves the entry to the end, so that gone backend servers are in the order in which they went, and evicts the oldest. */
 function withGone(view: View, id: string, backend: Backend): View {
     const backends = { ...without(view.backends, id), [id]: backend };
     const gone = Object.keys(backends).filter(key => backends[key]!.state === "gone");
-    for (const key of gone.slice(0, Math.max(0, gone.length - goneLimit))) {
+    for (const key of gone.slice(0, Math.max(0, gone.length - goneBackendLimit))) {
         delete backends[key];
     }
     return { ...view, backends };
--- a/packages/basilpaddle/src/node/state/view/configuration.ts
+++ b/packages/basilpaddle/src/node/state/view/configuration.ts
@@ -1,13 +1,13 @@
 import type { Change, CommandResult, View } from "../../protocol/index.js";
 import type { Reduction } from "./reduction.js";
 
-/** The answer that a change got first, for its resends. */
+/** The first result of a change, which its resends get as well. */
 export type DecidedChange = { readonly changeId: string; readonly result: CommandResult; };
 
-/** Changes whose first answer is remembered. */
-export const decidedLimit = 4_000;
+/** Maximum number of changes whose first result is kept. */
+export const decidedChangeLimit = 4_000;
 
-/** Remembers the first answers to changes, up to a number of them. */
+/** Bounded map of the first results of changes. */
 export class DecidedChanges {
     private constructor(private readonly results: Map<string, CommandResult>) {}
 
@@ -15,26 +15,26 @@
         return new DecidedChanges(new Map(decided.map(change => [change.changeId, change.result])));
     }
 
-    /** The first answer to the change, if it is remembered. */
-    first(changeId: string): CommandResult | undefined {
+    /** The first result of the change, if it is still stored. */
+    firstResult(changeId: string): CommandResult | undefined {
         return this.results.get(changeId);
     }
 
-    /** Notes the first answer to a change; the oldest makes room. */
-    note(changeId: string, result: CommandResult): void {
+    /** Stores the first result of a change and evicts the oldest one beyond the limit. */
+    add(changeId: string, result: CommandResult): void {
         this.results.set(changeId, result);
-        if (this.results.size > decidedLimit) {
+        if (this.results.size > decidedChangeLimit) {
             this.results.delete(this.results.keys().next().value!);
         }
     }
 
-    /** All that is remembered, the oldest first. */
+    /** All stored results, oldest first. */
     list(): readonly DecidedChange[] {
         return [...this.results].map(([changeId, result]) => ({ changeId, result }));
     }
 }
 
-/** Accepts a change that was made against the revision in force; of two racing ones the second is told who won. */
+/** Accepts a change based on the revision in force; any other is a conflict, whose result names the change that won. */
 export function changeConfiguration(view: View, change: Change): Reduction {
     const { revision, changeId, operator } = view.configuration;
     if (change.base !== revision) {
--- a/packages/basilpaddle/src/node/state/view/declarationDelta.ts
+++ b/packages/basilpaddle/src/node/state/view/declarationDelta.ts
@@ -1,14 +1,14 @@
 /**
- * Carries a change of a large configuration to followers as what it alters. With 24,000 organisations the whole
- * declaration is a megabyte, for each change and each entry daemon.
+ * Sends changes of a large configuration to followers as a delta. With 24,000 organisations the whole declaration is a
+ * megabyte, and it would be sent for each change to each entry daemon.
  */
 import { isDeepStrictEqual } from "node:util";
 import type { Command, Declaration, DeclarationDelta, View, ViewStep } from "../../protocol/index.js";
 
 type RecordDelta<Value> = { readonly set: Record<string, Value>; readonly removed: readonly string[]; };
 
-/** What has to be altered in one declaration to get the other. */
-export function deltaOf(before: Declaration, after: Declaration): DeclarationDelta {
+/** The delta that turns one declaration into the other. */
+export function declarationDelta(before: Declaration, after: Declaration): DeclarationDelta {
     return {
         pools: recordDelta(before.pools, after.pools),
         services: recordDelta(before.services, after.services),
@@ -18,24 +18,24 @@
     };
 }
 
-/** The declaration with the alterations. */
-export function withDelta(before: Declaration, delta: DeclarationDelta): Declaration {
+/** The declaration with the delta applied. */
+export function applyDeclarationDelta(before: Declaration, delta: DeclarationDelta): Declaration {
     return {
-        pools: altered(before.pools, delta.pools),
-        services: altered(before.services, delta.services),
-        organisations: altered(before.organisations, delta.organisations),
+        pools: applyRecordDelta(before.pools, delta.pools),
+        services: applyRecordDelta(before.services, delta.services),
+        organisations: applyRecordDelta(before.organisations, delta.organisations),
         routes: delta.routes,
         anyOrganisation: delta.anyOrganisation,
     };
 }
 
-/** The whole command of a step that follows on the given view. */
+/** The command of a step; a delta is expanded against the declaration of the view that the step follows. */
 export function commandOf(step: ViewStep, view: View): Command {
     const { command, delta } = step;
     if (delta === undefined || command.kind !== "changeConfiguration") {
         return command;
     }
-    const declaration = withDelta(view.configuration.declaration, delta);
+    const declaration = applyDeclarationDelta(view.configuration.declaration, delta);
     return { ...command, change: { ...command.change, declaration } };
 }
 
@@ -50,7 +50,10 @@
     return { set: Object.fromEntries(set), removed };
 }
 
-function altered<Value>(before: Readonly<Record<string, Value>>, delta: RecordDelta<Value>): Record<string, Value> {
+function applyRecordDelta<Value>(
+    before: Readonly<Record<string, Value>>,
+    delta: RecordDelta<Value>,
+): Record<string, Value> {
     const after = { ...before, ...delta.set };
     for (const name of delta.removed) {
         delete after[name];
--- a/packages/basilpaddle/src/node/state/view/leases.ts
+++ b/packages/basilpaddle/src/node/state/view/leases.ts
@@ -5,7 +5,7 @@
 type GrantLease = Extract<Command, { kind: "grantLease"; }>;
 type ReleaseLease = Extract<Command, { kind: "releaseLease"; }>;
 
-/** Grants a lease that is free; the log index becomes its fencing number. The holder itself gets its own number again. */
+/** Grants a free lease; the log index becomes its fence. A repeated grant to the current holder returns the same fence. */
 export function grantLease(view: View, index: number, command: GrantLease): Reduction {
     if (!isOpen(view, command.holder)) {
         return stale(view, `the session of ${command.holder.daemon} at this incarnation isn't open`);
@@ -23,7 +23,7 @@
     };
 }
 
-/** Frees a lease at the word of its holder. */
+/** Releases a lease on the request of its holder. */
 export function releaseLease(view: View, index: number, command: ReleaseLease): Reduction {
     const held = view.leases[command.lease];
     if (held === undefined || !sameIncarnation(held.holder, command.holder)) {
--- a/packages/basilpaddle/src/node/state/view/reduction.ts
+++ b/packages/basilpaddle/src/node/state/view/reduction.ts
@@ -1,14 +1,14 @@
 import type { CommandResult, Incarnation, View } from "../../protocol/index.js";
 
-/** What a command makes of a view, and its answer. */
+/** The view after a command, and the command's result. */
 export type Reduction = { readonly view: View; readonly result: CommandResult; };
 
-/** Leaves the view as it is, because the state that the command was made for has passed. */
+/** Rejects a command as stale and leaves the view unchanged: the command was made for a state that has since changed. */
 export function stale(view: View, reason: string): Reduction {
     return { view, result: { kind: "stale", reason } };
 }
 
-/** Whether both name the same start of the same daemon. */
+/** Whether both are the same incarnation of the same daemon. */
 export function sameIncarnation(one: Incarnation, other: Incarnation): boolean {
     return one.daemon === other.daemon && one.incarnation === other.incarnation;
 }
--- a/packages/basilpaddle/src/node/state/view/traffic.ts
+++ b/packages/basilpaddle/src/node/state/view/traffic.ts
@@ -3,7 +3,7 @@
 
 type MoveTraffic = Extract<Command, { kind: "moveTraffic"; }>;
 
-/** Names the version that new attempts run, at the word of the orders lease that is held now. */
+/** Sets the version that new attempts run; the command needs the fence of the orders lease that is held now. */
 export function moveTraffic(view: View, index: number, command: MoveTraffic): Reduction {
     const { pool, model, version, fence } = command;
     if (view.leases[ordersLease]?.fence !== fence) {
@@ -12,13 +12,13 @@
     if (!isDeclared(view, pool, model)) {
         return stale(view, `${pool} doesn't declare ${model}`);
     }
-    const kept = declaredOnly(view);
+    const kept = declaredModels(view);
     const served = { ...kept, [pool]: { ...kept[pool], [model]: version } };
     return { view: { ...view, served }, result: { kind: "done", index } };
 }
 
-/** Without pools and models that aren't declared any more, so that their number stays bounded. */
-function declaredOnly(view: View): NonNullable<View["served"]> {
+/** The served versions without pools and models that aren't declared any more, which keeps their number bounded. */
+function declaredModels(view: View): NonNullable<View["served"]> {
     const pools = Object.entries(view.served ?? {}).map(([pool, models]) => {
         const kept = Object.entries(models).filter(([model]) => isDeclared(view, pool, model));
         return [pool, Object.fromEntries(kept)] as const;
--- a/packages/basilpaddle/src/node/state/view/viewState.ts
+++ b/packages/basilpaddle/src/node/state/view/viewState.ts
@@ -7,14 +7,14 @@
 import { closeSession, isOpen, openSession } from "./sessions.js";
 import { moveTraffic } from "./traffic.js";
 
-/** Who made the configuration of revision 0, which declares nothing. */
-const nobody = "nobody";
-/** Not a usable name: codecs and plain objects give it a meaning of its own. */
-const unusableName = "__proto__";
+/** Operator and change ID of the initial configuration, revision 0, which declares nothing. */
+const initialAuthor = "nobody";
+/** Rejected as a name, since codecs and plain objects treat it specially. */
+const reservedName = "__proto__";
 
 /**
- * Applies view commands to a view. Control daemons and entry daemons use the same rules, so that equal steps give
- * equal views. Each view is a value of its own: one that was handed out doesn't change any more.
+ * Applies view commands to a view. Control daemons and entry daemons use the same rules, so that the same steps give
+ * the same view. Views are immutable: a view that was returned doesn't change afterwards.
  */
 export class ViewState {
     private constructor(private current: View, private readonly decided: DecidedChanges) {}
@@ -24,44 +24,44 @@
         return ViewState.fromSnapshot(emptyView());
     }
 
-    /** Goes on from a view. What a ledger remembers of decided changes comes along; a follower has no need of it. */
+    /** Continues from a view. A ledger also passes its decided changes; a follower doesn't need them. */
     static fromSnapshot(view: View, decided: readonly DecidedChange[] = []): ViewState {
         return new ViewState(view, DecidedChanges.create(decided));
     }
 
-    /** The view after the last command. */
+    /** The view after the last applied command. */
     view(): View {
         return this.current;
     }
 
-    /** First answers to changes, the oldest first. */
+    /** First results of changes, oldest first. */
     decidedChanges(): readonly DecidedChange[] {
         return this.decided.list();
     }
 
-    /** The first answer to the change, if it is remembered. */
-    firstAnswer(changeId: string): CommandResult | undefined {
-        return this.decided.first(changeId);
+    /** The first result of the change, if it is still stored. */
+    firstChangeResult(changeId: string): CommandResult | undefined {
+        return this.decided.firstResult(changeId);
     }
 
-    /** Applies a committed view command. Throws if the index doesn't rise or an invariant of the view breaks. */
+    /** Applies a committed view command. Throws if the index doesn't increase or an invariant of the view is violated. */
     apply(index: number, command: Command): CommandResult {
-        Invariant.hold(index > this.current.index, `view index ${index} after ${this.current.index}`);
+        Invariant.hold(index > this.current.index, `view index ${index} doesn't follow ${this.current.index}`);
         const before = this.current;
         const reduction = this.reduce(index, command);
         this.current = { ...reduction.view, index };
-        assertForward(before, this.current);
+        assertMonotonic(before, this.current);
         return reduction.result;
     }
 
     private reduce(index: number, command: Command): Reduction {
         const view = this.current;
-        if (namesOf(command).includes(unusableName)) {
-            return stale(view, `${unusableName} can't be used as a name`);
+        if (namesAddedBy(command).includes(reservedName)) {
+            return stale(view, `${reservedName} can't be used as a name`);
         }
         switch (command.kind) {
             case "changeConfiguration":
-                return this.decide(command.change);
+                return this.decideChange(command.change);
             case "openSession":
                 return openSession(view, index, command);
             case "closeSession":
@@ -79,17 +79,17 @@
             case "moveTraffic":
                 return moveTraffic(view, index, command);
             default:
-                throw new TypeError(`${command.kind} is no view command`);
+                throw new TypeError(`${command.kind} is not a view command`);
         }
     }
 
-    private decide(change: Parameters<typeof changeConfiguration>[1]): Reduction {
-        const first = this.decided.first(change.changeId);
+    private decideChange(change: Parameters<typeof changeConfiguration>[1]): Reduction {
+        const first = this.decided.firstResult(change.changeId);
         if (first !== undefined) {
             return { view: this.current, result: first };
         }
         const reduction = changeConfiguration(this.current, change);
-        this.decided.note(change.changeId, reduction.result);
+        this.decided.add(change.changeId, reduction.result);
         return reduction;
     }
 }
@@ -100,8 +100,8 @@
         index: 0,
         configuration: {
             revision: 0,
-            changeId: nobody,
-            operator: nobody,
+            changeId: initialAuthor,
+            operator: initialAuthor,
             declaration: declarationSchema.parse({}),
         },
         sessions: {},
@@ -110,7 +110,7 @@
     };
 }
 
-function namesOf(command: Command): readonly string[] {
+function namesAddedBy(command: Command): readonly string[] {
     switch (command.kind) {
         case "openSession":
             return [command.session.daemon];
@@ -123,7 +123,7 @@
     }
 }
 
-function assertForward(before: View, after: View): void {
+function assertMonotonic(before: View, after: View): void {
     const { revision } = before.configuration;
     Invariant.hold(
         after.configuration.revision >= revision,
--- a/packages/basilpaddle/src/node/state/view/viewSteps.ts
+++ b/packages/basilpaddle/src/node/state/view/viewSteps.ts
@@ -7,51 +7,51 @@
     type ViewStep,
 } from "../../protocol/index.js";
 import { encodeFrame } from "../../transport/index.js";
-import { deltaOf } from "./declarationDelta.js";
+import { declarationDelta } from "./declarationDelta.js";
 
-/** View steps kept for followers that are a little behind. */
-export const stepsLimit = 1_024;
-/** Bytes of view steps kept. */
-export const stepsBytesLimit = 8 * 1024 * 1024;
-/** Bytes from which on a step carries what it alters in place of the whole declaration. */
-const wholeLimit = 16 * 1024;
+/** Maximum number of view steps kept for followers that lag slightly. */
+export const viewStepLimit = 1_024;
+/** Maximum total size of the kept view steps in bytes. */
+export const viewStepLimitBytes = 8 * 1024 * 1024;
+/** Size in bytes above which a step carries a delta in place of the whole declaration. */
+const deltaThresholdBytes = 16 * 1024;
 
-/** The last declaration that was accepted; the next one is told as what it alters in it. */
-type Accepted = { readonly revision: number; readonly declaration: Declaration; };
+/** The last accepted declaration, the base of the next delta. */
+type AcceptedDeclaration = { readonly revision: number; readonly declaration: Declaration; };
 type KeptStep = { readonly step: ViewStep; readonly bytes: number; };
 
-/** What a follower that has applied up to an index still lacks: at most so many steps and so many bytes. */
-export type MissingSteps = { readonly after: number; readonly count: number; readonly bytes: number; };
+/** Selects the steps after an index that a follower is missing, limited to `count` steps and `bytes` in total. */
+export type StepQuery = { readonly after: number; readonly count: number; readonly bytes: number; };
 
-/** The newest view steps, bounded. Kept beside the state, not in it: after a snapshot it starts empty. */
+/** Bounded buffer of the latest view steps. It isn't part of the replicated state and is empty after a snapshot is restored. */
 export class ViewSteps {
     private kept: KeptStep[] = [];
     private keptBytes = 0;
 
-    private constructor(private base: number, private accepted: Accepted) {}
+    private constructor(private base: number, private accepted: AcceptedDeclaration) {}
 
-    /** Steps that follow the given view. */
+    /** An empty buffer for the steps that follow the given view. */
     static create(view: View): ViewSteps {
         return new ViewSteps(view.index, view.configuration);
     }
 
-    /** Adds the step that follows the last one. */
+    /** Appends the next step. */
     push(index: number, command: Command, result: CommandResult): void {
-        const whole: ViewStep = { index, command: forFollowers(command, result) };
+        const whole: ViewStep = { index, command: followerCommand(command, result) };
         const wholeBytes = encodeFrame(whole).length;
-        const step = wholeBytes > wholeLimit ? this.asDelta(whole) : whole;
+        const step = wholeBytes > deltaThresholdBytes ? this.asDelta(whole) : whole;
         const bytes = step === whole ? wholeBytes : encodeFrame(step).length;
-        this.noteAccepted(command, result);
+        this.recordAccepted(command, result);
         this.kept.push({ step, bytes });
         this.keptBytes += bytes;
-        if (this.kept.length > stepsLimit || this.keptBytes > stepsBytesLimit) {
-            this.trim();
+        if (this.kept.length > viewStepLimit || this.keptBytes > viewStepLimitBytes) {
+            this.dropOlderHalf();
         }
     }
 
-    private noteAccepted(command: Command, result: CommandResult): void {
-        // A resend gets its first answer, `accepted`, again but alters nothing: the next delta would be made against a
-        // declaration that isn't in force any more, and the views of followers would part from that of the ledger.
+    private recordAccepted(command: Command, result: CommandResult): void {
+        // A resend gets its first result, `accepted`, again but changes nothing. If it counted, the next delta would be
+        // based on a declaration that isn't in force any more, and followers' views would diverge from the ledger's.
         const isNew = result.kind === "accepted" && result.revision > this.accepted.revision;
         if (command.kind === "changeConfiguration" && isNew) {
             this.accepted = { revision: result.revision, declaration: command.change.declaration };
@@ -63,13 +63,13 @@
         if (command.kind !== "changeConfiguration") {
             return whole;
         }
-        const delta = deltaOf(this.accepted.declaration, command.change.declaration);
+        const delta = declarationDelta(this.accepted.declaration, command.change.declaration);
         const change = { ...command.change, declaration: declarationSchema.parse({}) };
         return { index, command: { ...command, change }, delta };
     }
 
-    /** The steps after the index, or undefined where some are no longer kept or they are over the bounds. */
-    missing(wanted: MissingSteps): readonly ViewStep[] | undefined {
+    /** The steps after the index, or undefined if some are no longer kept or they exceed the query's limits. */
+    missing(wanted: StepQuery): readonly ViewStep[] | undefined {
         if (wanted.after < this.base) {
             return undefined;
         }
@@ -81,8 +81,8 @@
         return missing.map(kept => kept.step);
     }
 
-    /** Drops the older half at once, because taking off one at a time copies the whole list for each step. */
-    private trim(): void {
+    /** Drops the older half at once, since removing one at a time would copy the whole list for each step. */
+    private dropOlderHalf(): void {
         const dropped = this.kept.splice(0, Math.ceil(this.kept.length / 2));
         this.base = dropped.at(-1)!.step.index;
         this.keptBytes -= dropped.reduce((sum, kept) => sum + kept.bytes, 0);
@@ -105,11 +105,11 @@
 }
 
 /**
- * The command as followers get it: without the text of the files, and a refused change without its content and with a
- * base that never comes. A follower that joined by a view has no memory of decided changes: it could otherwise accept
- * a resend of a refused change, and its view would part from that of the control daemons unnoticed.
+ * The command as followers get it: without the text of the files; a rejected change also without its declaration and
+ * with a base that no revision reaches. A follower that joined from a view doesn't know the decided changes. It could
+ * otherwise accept a resend of a rejected change, and its view would silently diverge from that of the control daemons.
  */
-function forFollowers(command: Command, result: CommandResult): Command {
+function followerCommand(command: Command, result: CommandResult): Command {
     if (command.kind !== "changeConfiguration") {
         return command;
     }
