--- a/packages/basilpaddle/src/node/state/configuration/checks.ts
+++ b/packages/basilpaddle/src/node/state/configuration/checks.ts
@@ -2,33 +2,33 @@
 import type { Origin } from "./origin.js";
 
 const roles = ["prefill", "decode"] as const;
-/** Paths that the entry daemons answer themselves on every host. */
-const ownPaths = ["/v1/chat/completions", "/v1/completions", "/v1/models"];
+/** Paths that entry daemons serve themselves on every host. */
+const reservedPaths = ["/v1/chat/completions", "/v1/completions", "/v1/models"];
 
-/** All that is wrong in a whole configuration though each of its files is right by itself. */
+/** Findings that concern the merged configuration as a whole, although each of its files is valid by itself. */
 export function declarationFindings(
     declaration: Declaration,
-    origin: Origin,
+    locations: Origin,
     references: "check" | "skip",
 ): readonly Finding[] {
     return [
-        ...Object.entries(declaration.pools).flatMap(([name, pool]) => poolFindings(name, pool, origin)),
-        ...modelFindings(declaration, origin),
-        ...serviceFindings(declaration, origin),
-        ...(references === "check" ? routeFindings(declaration, origin) : []),
+        ...Object.entries(declaration.pools).flatMap(([name, pool]) => poolFindings(name, pool, locations)),
+        ...modelFindings(declaration, locations),
+        ...serviceFindings(declaration, locations),
+        ...(references === "check" ? routeFindings(declaration, locations) : []),
     ];
 }
 
-function poolFindings(name: string, pool: Pool, origin: Origin): Finding[] {
+function poolFindings(name: string, pool: Pool, locations: Origin): Finding[] {
     return roles.filter(role => pool.floor[role] > pool.copies[role]).map(role => ({
-        ...origin.of(["pools", name]),
+        ...locations.locationOf(["pools", name]),
         cause: `the floor of ${pool.floor[role]} ${role} is above the ${pool.copies[role]} declared copies`,
-        cure: `set floor.${role} to at most copies.${role} (a floor left out is 1)`,
+        cure: `set floor.${role} to at most copies.${role} (the default floor is 1)`,
     }));
 }
 
-// A caller names a model and no pool: a model in two pools would leave open whose engines run it.
-function modelFindings(declaration: Declaration, origin: Origin): Finding[] {
+// Callers name a model but no pool: a model in two pools would be ambiguous.
+function modelFindings(declaration: Declaration, locations: Origin): Finding[] {
     const findings: Finding[] = [];
     const pools = new Map<string, string>();
     for (const [name, pool] of Object.entries(declaration.pools)) {
@@ -37,16 +37,16 @@
             const other = pools.get(model.name);
             if (other !== undefined && other !== name) {
                 findings.push({
-                    ...origin.of(["pools", name]),
-                    cause: `model ${model.name} is carried by pool ${other} as well (${
-                        origin.of(["pools", other]).file
+                    ...locations.locationOf(["pools", name]),
+                    cause: `model ${model.name} is also declared by pool ${other} (${
+                        locations.locationOf(["pools", other]).file
                     })`,
                     cure: "declare each model in one pool",
                 });
             }
             if (versions.has(`${model.name}/${model.version}`)) {
                 findings.push({
-                    ...origin.of(["pools", name]),
+                    ...locations.locationOf(["pools", name]),
                     cause: `model ${model.name} version ${model.version} is listed twice`,
                 });
             }
@@ -57,45 +57,45 @@
     return findings;
 }
 
-function routeFindings(declaration: Declaration, origin: Origin): Finding[] {
+function routeFindings(declaration: Declaration, locations: Origin): Finding[] {
     const models = new Set(Object.values(declaration.pools).flatMap(pool => pool.models.map(model => model.name)));
     return declaration.routes
         .filter(route => route.model !== undefined && !models.has(route.model))
         .map(route => ({
-            ...origin.of(["routes", route.name]),
-            cause: `names model ${route.model}, which no pool carries`,
-            cure: models.size > 0 ? `known models: ${[...models].sort().join(", ")}` : "declare a pool with it",
+            ...locations.locationOf(["routes", route.name]),
+            cause: `references model ${route.model}, which no pool declares`,
+            cure: models.size > 0 ? `known models: ${[...models].sort().join(", ")}` : "declare a pool with this model",
         }));
 }
 
-function serviceFindings(declaration: Declaration, origin: Origin): Finding[] {
+function serviceFindings(declaration: Declaration, locations: Origin): Finding[] {
     const findings: Finding[] = [];
-    const seen = new Map<string, string>();
+    const servicesBySelector = new Map<string, string>();
     for (const [name, service] of Object.entries(declaration.services)) {
-        const selector = `${service.host?.toLowerCase() ?? "*"} ${normalPrefix(service)}`;
-        const other = seen.get(selector);
+        const selector = `${service.host?.toLowerCase() ?? "*"} ${normalisedPrefix(service)}`;
+        const other = servicesBySelector.get(selector);
         if (other !== undefined) {
             findings.push({
-                ...origin.of(["services", name]),
+                ...locations.locationOf(["services", name]),
                 cause: `overlaps with service ${other} (${
-                    origin.of(["services", other]).file
+                    locations.locationOf(["services", other]).file
                 }): same host and path prefix`,
-                cure: "give one of them another host or path prefix",
+                cure: "change the host or path prefix of one of them",
             });
         }
-        seen.set(selector, other ?? name);
-        const taken = ownPaths.find(path => normalPrefix(service).startsWith(path));
-        if (taken !== undefined && service.host === undefined) {
+        servicesBySelector.set(selector, other ?? name);
+        const reservedPath = reservedPaths.find(path => normalisedPrefix(service).startsWith(path));
+        if (reservedPath !== undefined && service.host === undefined) {
             findings.push({
-                ...origin.of(["services", name]),
-                cause: `its path prefix lies under ${taken}, which model requests use`,
-                cure: "choose another path prefix or state a host",
+                ...locations.locationOf(["services", name]),
+                cause: `its path prefix is under ${reservedPath}, which is reserved for model requests`,
+                cure: "choose another path prefix or set a host",
             });
         }
     }
     return findings;
 }
 
-function normalPrefix(service: Service): string {
+function normalisedPrefix(service: Service): string {
     return service.pathPrefix.replace(/\/+$/, "") || "/";
 }
--- a/packages/basilpaddle/src/node/state/configuration/folder.ts
+++ b/packages/basilpaddle/src/node/state/configuration/folder.ts
@@ -3,34 +3,36 @@
 import { type Either, Left, Right } from "purify-ts";
 import type { Finding } from "../../protocol/index.js";
 
-/** Largest file of a configuration folder, in bytes. */
-export const fileLimit = 1024 * 1024;
-/** Most files of a configuration folder. */
+/** Maximum size of a file in a configuration folder, in bytes. */
+export const fileLimitBytes = 1024 * 1024;
+/** Maximum number of files in a configuration folder. */
 export const fileCountLimit = 1_000;
 
-/** A file of the configuration folder as it was read. */
+/** Name and text of a file read from the configuration folder. */
 export type ConfigurationFile = {
     readonly name: string;
     readonly text: string;
 };
 
-/** What the configuration folder held at one moment. */
+/** A consistent snapshot of the configuration folder. */
 export type FolderContent = {
-    /** In the order of their names, by code unit. */
+    /** Sorted by name, by UTF-16 code unit. */
     readonly files: readonly ConfigurationFile[];
-    /** Names that were passed over: hidden files, and files that don't end in `.json`. */
+    /** Names that were ignored: hidden, backup and temporary files, and files that don't end in `.json`. */
     readonly ignored: readonly string[];
 };
 
-/** A folder on a disk, as far as reading the configuration needs it; the tests have one that changes while it is read. */
+/** The folder operations that reading the configuration needs. Tests use a folder that changes while it is read. */
 export abstract class Folder {
-    /** Names of all that it holds. */
+    /** Names of all entries of the folder. */
     abstract names(): Promise<readonly string[]>;
 
-    /** A word that changes whenever the file is written or replaced. */
-    abstract stamp(name: string): Promise<{ readonly isFile: boolean; readonly bytes: number; readonly mark: string; }>;
+    /** Kind and size of an entry, and a mark that changes whenever the file is written or replaced. */
+    abstract fileStatus(
+        name: string,
+    ): Promise<{ readonly isFile: boolean; readonly bytes: number; readonly mark: string; }>;
 
-    /** The text of a file. */
+    /** The content of a file. */
     abstract read(name: string): Promise<Uint8Array>;
 }
 
@@ -48,7 +50,7 @@
         return readdir(this.root);
     }
 
-    override async stamp(name: string): Promise<{ isFile: boolean; bytes: number; mark: string; }> {
+    override async fileStatus(name: string): Promise<{ isFile: boolean; bytes: number; mark: string; }> {
         const found = await stat(path.join(this.root, name), { bigint: true });
         return {
             isFile: found.isFile(),
@@ -62,7 +64,7 @@
     }
 }
 
-/** Reads all files of the folder as they stood at one moment, or tells why that moment couldn't be had. */
+/** Reads a consistent snapshot of all configuration files in the folder, or returns the findings that prevent it. */
 export async function readFolder(folder: Folder): Promise<Either<readonly Finding[], FolderContent>> {
     const listed = await list(folder);
     if (listed.isLeft()) {
@@ -78,8 +80,8 @@
     const files: ConfigurationFile[] = [];
     const marks = new Map<string, string>();
     for (const name of wanted) {
-        const taken = await readOne(folder, name);
-        taken.caseOf({
+        const outcome = await readOne(folder, name);
+        outcome.caseOf({
             Left: finding => {
                 findings.push(finding);
             },
@@ -89,7 +91,7 @@
             },
         });
     }
-    findings.push(...await changedMeanwhile(folder, wanted, marks));
+    findings.push(...await concurrentChanges(folder, wanted, marks));
     if (findings.length > 0) {
         return Left(findings);
     }
@@ -109,18 +111,18 @@
             file: ".",
             place: "",
             cause: `the folder can't be read: ${(error as Error).message}`,
-            cure: "name a folder that exists and that you may read",
+            cure: "specify an existing folder that you have permission to read",
         }]);
     }
 }
 
 function countFindings(count: number): readonly Finding[] {
     if (count === 0) {
-        // An empty folder is more often a mistyped or half copied one than a wish to withdraw everything.
-        return [{ file: ".", place: "", cause: "holds no file that ends in .json", cure: "check the folder's name" }];
+        // An empty folder is more likely mistyped or partially copied than meant to remove the whole configuration.
+        return [{ file: ".", place: "", cause: "contains no .json file", cure: "check the folder's name" }];
     }
     if (count > fileCountLimit) {
-        return [{ file: ".", place: "", cause: `holds ${count} files; the limit is ${fileCountLimit}` }];
+        return [{ file: ".", place: "", cause: `contains ${count} files; the limit is ${fileCountLimit}` }];
     }
     return [];
 }
@@ -130,12 +132,12 @@
     name: string,
 ): Promise<Either<Finding, { readonly file: ConfigurationFile; readonly mark: string; }>> {
     try {
-        const before = await folder.stamp(name);
+        const before = await folder.fileStatus(name);
         if (!before.isFile) {
-            return Left({ file: name, place: "", cause: "isn't a file", cure: "rename it or take it out" });
+            return Left({ file: name, place: "", cause: "isn't a regular file", cure: "rename or remove it" });
         }
-        if (before.bytes > fileLimit) {
-            return Left({ file: name, place: "", cause: `has ${before.bytes} bytes; the limit is ${fileLimit}` });
+        if (before.bytes > fileLimitBytes) {
+            return Left({ file: name, place: "", cause: `has ${before.bytes} bytes; the limit is ${fileLimitBytes}` });
         }
         const bytes = await folder.read(name);
         const text = new TextDecoder("utf-8", { fatal: true }).decode(bytes);
@@ -156,9 +158,9 @@
     return { file: name, place: "", cause: `can't be read: ${(error as Error).message}` };
 }
 
-// A folder that a tool is still writing gives half of the new state: a team's file may be missing or cut short, and its
-// pools would be withdrawn by what looks like a whole change. Each file has to stand at the end as it was when read.
-async function changedMeanwhile(
+// While a tool is still writing the folder, a team's file may be missing or incomplete, and what looks like a complete
+// change would remove its pools. Each file has to be unchanged after all files were read.
+async function concurrentChanges(
     folder: Folder,
     wanted: readonly string[],
     marks: ReadonlyMap<string, string>,
@@ -169,19 +171,19 @@
     }
     const now = new Set(listed.unsafeCoerce().filter(isConfiguration));
     const added = [...now].filter(name => !wanted.includes(name));
-    const findings = added.map(name => meanwhile(name, "appeared"));
+    const findings = added.map(name => concurrentChangeFinding(name, "appeared"));
     for (const [name, mark] of marks) {
-        const stamp = await folder.stamp(name).catch(() => undefined);
-        if (stamp === undefined || !now.has(name)) {
-            findings.push(meanwhile(name, "vanished"));
+        const status = await folder.fileStatus(name).catch(() => undefined);
+        if (status === undefined || !now.has(name)) {
+            findings.push(concurrentChangeFinding(name, "vanished"));
         }
-        else if (stamp.mark !== mark) {
-            findings.push(meanwhile(name, "was changed"));
+        else if (status.mark !== mark) {
+            findings.push(concurrentChangeFinding(name, "was changed"));
         }
     }
     return findings;
 }
 
-function meanwhile(name: string, what: string): Finding {
+function concurrentChangeFinding(name: string, what: string): Finding {
     return { file: name, place: "", cause: `${what} while the folder was read`, cure: "run the command again" };
 }
--- a/packages/basilpaddle/src/node/state/configuration/loading.ts
+++ b/packages/basilpaddle/src/node/state/configuration/loading.ts
@@ -3,16 +3,16 @@
 import { type ConfigurationFile, DiskFolder, readFolder } from "./folder.js";
 import { mergeFiles } from "./merge.js";
 
-/** A configuration folder that was read whole and found right. */
+/** A valid configuration that was read from a folder. */
 export type Configuration = {
     readonly declaration: Declaration;
-    /** The files that it was merged from, in the order of their names. */
+    /** The files that it was merged from, sorted by name. */
     readonly files: readonly ConfigurationFile[];
-    /** Names in the folder that were passed over. */
+    /** Names in the folder that were ignored. */
     readonly ignored: readonly string[];
 };
 
-/** Reads and merges a configuration folder, or tells all findings together. */
+/** Reads and merges a configuration folder, or returns the findings. */
 export async function loadConfiguration(root: string): Promise<Either<readonly Finding[], Configuration>> {
     const content = await readFolder(DiskFolder.create(root));
     if (content.isLeft()) {
--- a/packages/basilpaddle/src/node/state/configuration/merge.ts
+++ b/packages/basilpaddle/src/node/state/configuration/merge.ts
@@ -14,7 +14,7 @@
 const namedSections = ["pools", "services", "routes", "organisations"] as const;
 type NamedSection = (typeof namedSections)[number];
 
-/** Merges the files in the order given into one declaration, or tells all that is wrong in all of them together. */
+/** Merges the files in the given order into one declaration, or returns the findings of all files together. */
 export function mergeFiles(files: readonly ConfigurationFile[]): Either<readonly Finding[], Declaration> {
     const merge = new Merge();
     for (const file of files) {
@@ -23,10 +23,10 @@
     return merge.finish();
 }
 
-/** One merge of files, with what has been found wrong so far. */
+/** State of one merge: the sections merged and the findings collected so far. */
 class Merge {
     private readonly findings: Finding[] = [];
-    private readonly origin = Origin.create();
+    private readonly locations = Origin.create();
     private readonly sections: { [section in NamedSection]: Map<string, unknown>; } = {
         pools: new Map(),
         services: new Map(),
@@ -34,12 +34,12 @@
         organisations: new Map(),
     };
     private anyOrganisation: Fragment["anyOrganisation"];
-    private broken = false;
+    private hasInvalidFile = false;
 
     add(file: ConfigurationFile): void {
         JsonText.parse(file.text).caseOf({
             Left: faults => {
-                this.broken = true;
+                this.hasInvalidFile = true;
                 this.findings.push(...faults.map(fault => ({ file: file.name, ...fault })));
             },
             Right: text => this.addText(file.name, text),
@@ -55,11 +55,11 @@
             anyOrganisation: this.anyOrganisation,
         });
         if (declaration.success) {
-            // With a file missing from the merge, a reference into it would be called unknown although it is right.
-            const references = this.broken ? "skip" : "check";
-            this.findings.push(...declarationFindings(declaration.data, this.origin, references));
+            // If a file couldn't be merged, valid references to its definitions would be reported as unknown.
+            const references = this.hasInvalidFile ? "skip" : "check";
+            this.findings.push(...declarationFindings(declaration.data, this.locations, references));
         }
-        else if (!this.broken) {
+        else if (!this.hasInvalidFile) {
             this.findings.push({ file: ".", place: "", cause: `can't be merged: ${declaration.error.message}` });
         }
         if (this.findings.length > 0 || !declaration.success) {
@@ -69,20 +69,20 @@
     }
 
     private addText(file: string, text: JsonText): void {
-        this.claimAll(file, text);
+        this.recordDefinitions(file, text);
         const fragment = fragmentSchema.safeParse(text.value);
         if (!fragment.success) {
-            this.broken = true;
+            this.hasInvalidFile = true;
             for (const issue of fragment.error.issues) {
                 this.findings.push({ file, place: text.place(issue.path), cause: issue.message });
             }
             return;
         }
-        this.take(fragment.data);
+        this.addFragment(fragment.data);
     }
 
-    // Claims are noted also for a file with wrong fields, so that one run tells both.
-    private claimAll(file: string, text: JsonText): void {
+    // Records definitions of a file with invalid fields too, so that one run reports both kinds of findings.
+    private recordDefinitions(file: string, text: JsonText): void {
         const value = text.value;
         if (!isObject(value)) {
             return;
@@ -90,27 +90,27 @@
         for (const section of namedSections) {
             const entries = value[section];
             for (const name of isObject(entries) ? Object.keys(entries) : []) {
-                this.claim(file, text, [section, name]);
+                this.recordDefinition(file, text, [section, name]);
             }
         }
         if (value["anyOrganisation"] !== undefined) {
-            this.claim(file, text, ["anyOrganisation"]);
+            this.recordDefinition(file, text, ["anyOrganisation"]);
         }
     }
 
-    private claim(file: string, text: JsonText, path: readonly string[]): void {
-        const earlier = this.origin.claim(path, { file, place: text.place(path) });
+    private recordDefinition(file: string, text: JsonText, path: readonly string[]): void {
+        const earlier = this.locations.addLocation(path, { file, place: text.place(path) });
         if (earlier !== undefined) {
             this.findings.push({
                 file,
                 place: text.place(path),
-                cause: `is claimed by ${earlier.file} as well, at ${earlier.place}`,
-                cure: "keep it in one of the two files",
+                cause: `is also defined in ${earlier.file}, at ${earlier.place}`,
+                cure: "define it in only one of the two files",
             });
         }
     }
 
-    private take(fragment: Fragment): void {
+    private addFragment(fragment: Fragment): void {
         for (const section of namedSections) {
             for (const [name, value] of Object.entries(fragment[section] ?? {})) {
                 const entry = section === "routes" ? { ...value, name } : value;
--- a/packages/basilpaddle/src/node/state/configuration/origin.ts
+++ b/packages/basilpaddle/src/node/state/configuration/origin.ts
@@ -1,29 +1,29 @@
-/** A file and the place in it. */
-export type Place = {
+/** A file and a place in it. */
+export type SourceLocation = {
     readonly file: string;
     readonly place: string;
 };
 
-/** Knows which file each part of a merged configuration came from. */
+/** Source location of each part of a merged configuration. */
 export class Origin {
-    private readonly claims = new Map<string, Place>();
+    private readonly locations = new Map<string, SourceLocation>();
 
     static create(): Origin {
         return new Origin();
     }
 
-    /** Notes where a part stands; returns the earlier place if there is one, which then stays. */
-    claim(path: readonly string[], place: Place): Place | undefined {
+    /** Records where a part is defined. If it is defined already, keeps and returns the earlier location. */
+    addLocation(path: readonly string[], place: SourceLocation): SourceLocation | undefined {
         const key = path.join("/");
-        const earlier = this.claims.get(key);
+        const earlier = this.locations.get(key);
         if (earlier === undefined) {
-            this.claims.set(key, place);
+            this.locations.set(key, place);
         }
         return earlier;
     }
 
-    /** Where the part stands. */
-    of(path: readonly string[]): Place {
-        return this.claims.get(path.join("/")) ?? { file: ".", place: path.join(".") };
+    /** Where the part is defined; for an unknown part, its path in the configuration. */
+    locationOf(path: readonly string[]): SourceLocation {
+        return this.locations.get(path.join("/")) ?? { file: ".", place: path.join(".") };
     }
 }
