--- a/packages/basilpaddle/src/node/state/disk.ts
+++ b/packages/basilpaddle/src/node/state/disk.ts
@@ -1,5 +1,5 @@
 /** An append-only file. Appended bytes are durable only once `sync` has resolved. */
-export abstract class File {
+export abstract class AppendOnlyFile {
     /** Appends the bytes. */
     abstract append(bytes: Uint8Array): Promise<void>;
 
@@ -19,7 +19,7 @@
     abstract read(name: string): Promise<Uint8Array | undefined>;
 
     /** Truncates a file to the given length in bytes, syncs it and opens it for appending. Creates a missing file. */
-    abstract open(name: string, length: number): Promise<File>;
+    abstract open(name: string, length: number): Promise<AppendOnlyFile>;
 
     /**
      * Replaces a file atomically: after a power loss either the old or the new content is there. Resolves once the new
--- a/packages/basilpaddle/src/node/state/folderDisk.ts
+++ b/packages/basilpaddle/src/node/state/folderDisk.ts
@@ -2,12 +2,12 @@
 import * as fs from "node:fs/promises";
 import * as path from "node:path";
 import writeFileAtomic from "write-file-atomic";
-import { Disk, File } from "./disk.js";
+import { AppendOnlyFile, Disk } from "./disk.js";
 
 /** Matches the temporary files of write-file-atomic: the file's name, a dot and a number. */
 const temporaryFileName = /\.\d+$/;
 
-class FolderFile extends File {
+class FolderFile extends AppendOnlyFile {
     private constructor(private readonly handle: fs.FileHandle) {
         super();
     }
@@ -75,7 +75,7 @@
         }
     }
 
-    override async open(name: string, length: number): Promise<File> {
+    override async open(name: string, length: number): Promise<AppendOnlyFile> {
         const flags = constants.O_CREAT | constants.O_WRONLY | constants.O_APPEND;
         const handle = await fs.open(this.path(name), flags, 0o600);
         await handle.truncate(length);
--- a/packages/basilpaddle/src/node/state/ledger.ts
+++ b/packages/basilpaddle/src/node/state/ledger.ts
@@ -34,7 +34,7 @@
     }
 
     override apply(index: number, command: Command): CommandResult {
-        Invariant.hold(index > this.index, `log index ${index} doesn't follow ${this.index}`);
+        Invariant.hold(index > this.index, `log index ${index} isn't above ${this.index}`);
         this.index = index;
         const { revision } = this.view().configuration;
         const result = isViewCommand(command) ? this.applyView(index, command) : this.applyRecord(index, command);
--- a/packages/basilpaddle/src/node/state/log/logFile.ts
+++ b/packages/basilpaddle/src/node/state/log/logFile.ts
@@ -1,5 +1,5 @@
 import { Damage } from "../damage.js";
-import type { Disk, File } from "../disk.js";
+import type { AppendOnlyFile, Disk } from "../disk.js";
 import { frameRecord, readRecords, type StoredRecord } from "./record.js";
 
 /** First bytes of a log file; the last byte is the version of the format. */
@@ -41,7 +41,7 @@
     private queue: (AppendTask | ReplaceTask)[] = [];
     private worker: Promise<void> | undefined;
     private failure: unknown;
-    private file: File | undefined;
+    private file: AppendOnlyFile | undefined;
     private syncCount = 0;
 
     private constructor(
--- a/packages/basilpaddle/src/node/state/memoryDisk.ts
+++ b/packages/basilpaddle/src/node/state/memoryDisk.ts
@@ -1,8 +1,8 @@
-import { Disk, File } from "./disk.js";
+import { AppendOnlyFile, Disk } from "./disk.js";
 
 type FileContent = { written: Buffer; synced: number; };
 
-class MemoryFile extends File {
+class MemoryFile extends AppendOnlyFile {
     private constructor(private readonly content: FileContent) {
         super();
     }
@@ -52,7 +52,7 @@
         return this.files.get(name)?.written;
     }
 
-    override async open(name: string, length: number): Promise<File> {
+    override async open(name: string, length: number): Promise<AppendOnlyFile> {
         const content = this.files.get(name) ?? { written: Buffer.alloc(0), synced: 0 };
         content.written = Buffer.from(content.written.subarray(0, length));
         content.synced = content.written.length;
--- a/packages/basilpaddle/src/node/state/runs.ts
+++ b/packages/basilpaddle/src/node/state/runs.ts
@@ -19,7 +19,7 @@
     startedAt: z.int(),
     /** Log index of its start or release; the record expires once that index is old enough. */
     sinceIndex: z.int(),
-    /** `released`: the run is proven not to have executed; the record is kept so that a late start with its token is rejected. */
+    /** `released`: the run is proven not to have executed; its record is kept to reject a late start with its token. */
     state: z.enum(["running", "answered", "released", ...outcomes]),
     answer: keptAnswerSchema.optional(),
     /** Tokens of released arrivals, latest last. A delayed copy of the start of one of them may still be committed. */
--- a/packages/basilpaddle/src/node/state/view/viewState.ts
+++ b/packages/basilpaddle/src/node/state/view/viewState.ts
@@ -46,7 +46,7 @@
 
     /** Applies a committed view command. Throws if the index doesn't increase or an invariant of the view is violated. */
     apply(index: number, command: Command): CommandResult {
-        Invariant.hold(index > this.current.index, `view index ${index} doesn't follow ${this.current.index}`);
+        Invariant.hold(index > this.current.index, `view index ${index} isn't above ${this.current.index}`);
         const before = this.current;
         const reduction = this.reduce(index, command);
         this.current = { ...reduction.view, index };
