--- a/packages/basilpaddle/src/node/state/configuration/__tests__/configuration.spec.ts
+++ b/packages/basilpaddle/src/node/state/configuration/__tests__/configuration.spec.ts
@@ -90,7 +90,7 @@
                 },
             }),
         );
-        expect(found.join("\n")).to.match(/b\.json: routes\.other .*references model draft-xl, which no pool declares/);
+        expect(found.join("\n")).to.match(/b\.json: routes\.other .*names model draft-xl, which no pool declares/);
         expect(found.join("\n")).to.match(/c\.json: pools\.second .*floor of 1 prefill is above the 0 declared/);
         expect(found.join("\n")).to.match(/c\.json: pools\.second .*model draft-l is also declared by pool drafting/);
         expect(found.join("\n")).to.match(/c\.json: services\.two .*overlaps with service one/);
--- a/packages/basilpaddle/src/node/state/configuration/checks.ts
+++ b/packages/basilpaddle/src/node/state/configuration/checks.ts
@@ -63,7 +63,7 @@
         .filter(route => route.model !== undefined && !models.has(route.model))
         .map(route => ({
             ...locations.locationOf(["routes", route.name]),
-            cause: `references model ${route.model}, which no pool declares`,
+            cause: `names model ${route.model}, which no pool declares`,
             cure: models.size > 0 ? `known models: ${[...models].sort().join(", ")}` : "declare a pool with this model",
         }));
 }
