--- a/packages/basilpaddle/src/node/utils/__tests__/fraction.spec.ts
+++ b/packages/basilpaddle/src/node/utils/__tests__/fraction.spec.ts
@@ -1,15 +1,15 @@
 import { expect } from "chai";
 import { fractionOf } from "../fraction.js";
 
-describe("the fraction that follows from a text", () => {
-    it("is the same for the same text, and within bounds", () => {
+describe("the hash of a text as a fraction", () => {
+    it("is deterministic and within bounds", () => {
         expect(fractionOf("request-1")).to.equal(fractionOf("request-1"));
         for (const text of ["", "a", "é".repeat(300)]) {
             expect(fractionOf(text)).to.be.within(0, 1 - Number.EPSILON);
         }
     });
 
-    it("spreads texts that differ at their end only evenly", () => {
+    it("distributes texts that differ only at their end uniformly", () => {
         const counts = new Array<number>(10).fill(0);
         for (let number = 0; number < 10_000; number++) {
             counts[Math.floor(fractionOf(`request-${number}`) * 10)]! += 1;
--- a/packages/basilpaddle/src/node/utils/__tests__/lineLogger.spec.ts
+++ b/packages/basilpaddle/src/node/utils/__tests__/lineLogger.spec.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { createLineLogger, LineOutput } from "../index.js";
 
-/** Keeps what is written; while it is stalled nothing is taken off its hands. */
-class KeptOutput extends LineOutput {
+/** Records the written text; while it is stalled, no write completes. */
+class RecordedOutput extends LineOutput {
     text = "";
     stalled = false;
 
@@ -20,16 +20,16 @@
     }
 }
 
-const written = (): Promise<void> => new Promise(resolve => setTimeout(resolve, 20));
+const outputWritten = (): Promise<void> => new Promise(resolve => setTimeout(resolve, 20));
 
 describe("the line logger", () => {
-    it("writes one object a line, with its details and what errors say", async () => {
-        const output = new KeptOutput();
+    it("writes one object per line, with its details and the contents of errors", async () => {
+        const output = new RecordedOutput();
         const logger = createLineLogger("gateway-1", "info", output);
         logger.info("request", { request: "a1", path: ["x"] });
         logger.error("a call failed", { error: new RangeError("too much") });
         logger.debug("not written");
-        await written();
+        await outputWritten();
         const [first, second, ...others] = output.lines();
         expect(others).to.deep.equal([]);
         expect(first).to.deep.include({
@@ -42,9 +42,9 @@
         expect(second!.error).to.include({ name: "RangeError", message: "too much" });
     });
 
-    // Symptom: under a storm of one kind of line the cause, told in another one, can't be found.
-    it("bounds each kind of line by itself, and tells what it dropped", async () => {
-        const output = new KeptOutput();
+    // Without a limit per message, a burst of one message suppresses the line that reports the cause.
+    it("limits the rate of each message separately and reports dropped lines", async () => {
+        const output = new RecordedOutput();
         let now = 10_000;
         const logger = createLineLogger("gateway-1", "info", output, () => now);
         for (let number = 0; number < 500; number++) {
@@ -53,7 +53,7 @@
         logger.error("the cause");
         now += 1_001;
         logger.info("after");
-        await written();
+        await outputWritten();
         const messages = output.lines().map(line => line.message);
         expect(messages.filter(message => message === "storm").length).to.equal(200);
         expect(messages).to.include("the cause");
@@ -61,9 +61,9 @@
         expect(report?.dropped).to.deep.equal({ storm: 300 });
     });
 
-    // Symptom: a daemon grows, or stands still, because nobody reads its standard output.
-    it("keeps no more than its limit for a reader that stalls, and doesn't wait for it", async () => {
-        const output = new KeptOutput();
+    // A daemon whose standard output isn't read must neither run out of memory nor block.
+    it("buffers a limited number of bytes for a stalled reader without blocking", async () => {
+        const output = new RecordedOutput();
         output.stalled = true;
         let now = 10_000;
         const logger = createLineLogger("gateway-1", "info", output, () => now);
@@ -72,7 +72,7 @@
             logger.info(`kind ${number % 100}`, { filler });
             now += 50;
             if (number % 100 === 0) {
-                await written();
+                await outputWritten();
             }
         }
         expect(output.text.length).to.be.below(3 * 1024 * 1024);
--- a/packages/basilpaddle/src/node/utils/__tests__/logger.spec.ts
+++ b/packages/basilpaddle/src/node/utils/__tests__/logger.spec.ts
@@ -2,9 +2,9 @@
 import { createLogger } from "../index.js";
 
 describe("the logger", () => {
-    it("writes lines without the names of what is undefined, also below another logger", () => {
-        // Symptom: every line carries "parentNames":"[undefined]" and "path":"[undefined]". Cause: the library writes
-        // undefined members of its description as text.
+    it("omits undefined metadata, also in sub-loggers", () => {
+        // The library writes undefined metadata as text, so that every line contained "parentNames":"[undefined]" and
+        // "path":"[undefined]".
         const lines: string[] = [];
         const { log } = console;
         console.log = (line: string) => lines.push(line);
@@ -25,8 +25,8 @@
         expect(second!._meta).to.deep.include({ name: "peers", parentNames: ["control-a"], logLevelName: "WARN" });
     });
 
-    it("writes what an error inside an object says", () => {
-        // Symptom: "the daemon can't start" with {"error":{}} and no cause. Cause: an error's members aren't enumerable.
+    it("writes the contents of an error inside an object", () => {
+        // The properties of an error aren't enumerable: a failed start was logged with {"error":{}} and without its cause.
         const lines: string[] = [];
         const { log } = console;
         console.log = (line: string) => lines.push(line);
--- a/packages/basilpaddle/src/node/utils/__tests__/recordedMetrics.spec.ts
+++ b/packages/basilpaddle/src/node/utils/__tests__/recordedMetrics.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { droppedName, RecordedMetrics, seriesLimit } from "../recordedMetrics.js";
+import { droppedCounterName, RecordedMetrics, seriesLimit } from "../recordedMetrics.js";
 
 describe("recorded metrics", () => {
     it("are written in the Prometheus text format", () => {
@@ -23,23 +23,22 @@
         expect(lines).to.include("first_token_milliseconds_count 3");
     });
 
-    it("escape what would break a line", () => {
+    it("escape special characters in label values", () => {
         const metrics = RecordedMetrics.create();
         metrics.count("odd_total", { value: "a\"b\\c\nd" });
         expect(metrics.text()).to.include("odd_total{value=\"a\\\"b\\\\c\\nd\"} 1");
     });
 
-    it("stay bounded, and count what they dropped", () => {
-        // Symptom: a daemon's memory grows for weeks.
-        // Sequence: somebody labels a metric with a caller's own word; each word makes a series.
-        // Cause: nothing bounded the number of series.
+    it("limit the number of series and count dropped values", () => {
+        // Each distinct label value creates a series: a metric labelled with caller input would grow a daemon's memory for
+        // weeks if the number of series weren't limited.
         const metrics = RecordedMetrics.create();
         for (let word = 0; word < seriesLimit + 5; word++) {
             metrics.count("words_total", { word: String(word) });
         }
         metrics.observe("odd_milliseconds", Number.NaN);
-        expect(metrics.text()).to.include(`${droppedName}{metric="words_total"} 5`);
-        expect(metrics.text()).to.include(`${droppedName}{metric="odd_milliseconds"} 1`);
+        expect(metrics.text()).to.include(`${droppedCounterName}{metric="words_total"} 5`);
+        expect(metrics.text()).to.include(`${droppedCounterName}{metric="odd_milliseconds"} 1`);
         expect(metrics.text().split("\n").filter(line => line.startsWith("words_total{"))).to.have.length(seriesLimit);
     });
 });
--- a/packages/basilpaddle/src/node/utils/clock.ts
+++ b/packages/basilpaddle/src/node/utils/clock.ts
@@ -1,19 +1,19 @@
-/** Source of time. Monotonic time decides leases and timeouts; wall time is only for people and records. */
+/** Source of time. Leases and timeouts use monotonic time only; wall time is for display and records. */
 export abstract class Clock {
-    /** Milliseconds on a clock that never goes back and that goes on counting while the process is stopped. */
+    /** Milliseconds on a clock that never goes backwards and keeps counting while the process is suspended. */
     abstract monotonic(): number;
 
-    /** Milliseconds since 1970, as the host believes it. Never compared between hosts. */
+    /** Milliseconds since 1970 by the host's clock. Not comparable between hosts. */
     abstract wall(): number;
 
-    /** Runs the callback once after the given milliseconds; the returned function cancels it. */
+    /** Runs the callback once after the given number of milliseconds; the returned function cancels it. */
     abstract after(milliseconds: number, callback: () => void): () => void;
 }
 
 /**
- * Runs the callback once after the given milliseconds, and after whatever has arrived by then was looked at; the returned
- * function cancels it. A process that was busy or stopped finds its timers due first: taken at their word, it would
- * give up connections and answers that have long been there.
+ * Runs the callback once after the given number of milliseconds, and after input that has arrived by then was processed; the
+ * returned function cancels it. When a process was busy or suspended, its event loop runs expired timers before pending
+ * input: without the extra step, it would time out connections and answers that have already arrived.
  */
 export function afterPoll(milliseconds: number, callback: () => void): () => void {
     let cancelled = false;
@@ -30,7 +30,7 @@
     };
 }
 
-/** The host's own clocks. */
+/** The clocks of the host. */
 export class SystemClock extends Clock {
     static create(): SystemClock {
         return new SystemClock();
--- a/packages/basilpaddle/src/node/utils/disposables.ts
+++ b/packages/basilpaddle/src/node/utils/disposables.ts
@@ -1,29 +1,29 @@
-/** Something to be released; releasing it twice does no harm. */
+/** Function that releases a resource; idempotent. */
 export type Disposable = () => void | Promise<void>;
 
-/** Gathers what an owner has to release, and releases it in the reverse order. */
+/** Collects the disposables of an owner and releases them in reverse order. */
 export class DisposableStore {
-    private readonly held: Disposable[] = [];
+    private readonly disposables: Disposable[] = [];
     private disposed = false;
 
     static create(): DisposableStore {
         return new DisposableStore();
     }
 
-    /** Takes the disposable over; one that comes after the store was disposed is released at once. */
+    /** Adds a disposable; if the store has already been disposed, releases it immediately. */
     add(disposable: Disposable): void {
         if (this.disposed) {
             void disposable();
             return;
         }
-        this.held.push(disposable);
+        this.disposables.push(disposable);
     }
 
-    /** Releases everything. Every disposable runs even if one fails; the first failure is thrown at the end. */
+    /** Releases all disposables. Each one runs even if another fails; the first failure is thrown at the end. */
     async dispose(): Promise<void> {
         this.disposed = true;
         const failures: unknown[] = [];
-        for (let disposable = this.held.pop(); disposable !== undefined; disposable = this.held.pop()) {
+        for (let disposable = this.disposables.pop(); disposable !== undefined; disposable = this.disposables.pop()) {
             try {
                 await disposable();
             }
--- a/packages/basilpaddle/src/node/utils/fraction.ts
+++ b/packages/basilpaddle/src/node/utils/fraction.ts
@@ -1,6 +1,7 @@
 /**
- * A number from 0 up to, but without, 1 that follows from the text: choices that must repeat for the same request and
- * differ between requests (FNV-1a, its bits mixed once more, since texts that differ at their end only lie close together).
+ * Maps a text deterministically to a number from 0 (inclusive) to 1 (exclusive), for choices that must be the same for the
+ * same request and differ between requests. Uses FNV-1a with an additional mixing step, since without it texts that differ
+ * only at their end have similar hashes.
  */
 export function fractionOf(text: string): number {
     let hash = 0x811c9dc5;
--- a/packages/basilpaddle/src/node/utils/jsonText.ts
+++ b/packages/basilpaddle/src/node/utils/jsonText.ts
@@ -2,48 +2,48 @@
 import { createRequire } from "node:module";
 import { type Either, Left, Right } from "purify-ts";
 
-// The package's module build can't be loaded by Node, and the names of its other build can't be imported one by one.
+// Node.js can't load the package's ES module build, and its CommonJS build doesn't support named imports.
 const jsonc = createRequire(import.meta.url)("jsonc-parser") as typeof import("jsonc-parser");
 
-/** A fault in a JSON text and where it stands. */
+/** An error in a JSON text, with its position. */
 export type JsonFault = {
     readonly place: string;
     readonly cause: string;
 };
 
-/** A JSON text that was read, and remembers where each of its fields stands. */
+/** A parsed JSON text that can locate each of its fields. */
 export class JsonText {
     private constructor(
         private readonly text: string,
         private readonly tree: JsonNode,
-        /** The value that the text stands for. */
+        /** The parsed value. */
         readonly value: unknown,
     ) {}
 
-    /** Reads the text, or tells every fault of it. */
+    /** Parses the text; returns its first syntax error or all duplicate keys on failure. */
     static parse(text: string): Either<readonly JsonFault[], JsonText> {
         const errors: ParseError[] = [];
         const body = text.startsWith("\uFEFF") ? text.slice(1) : text;
         const tree = jsonc.parseTree(body, errors, { disallowComments: true, allowTrailingComma: false });
         const first = errors[0];
         if (first !== undefined || tree === undefined) {
-            // Later errors of one text are mostly echoes of the first one.
+            // Later syntax errors are mostly consequences of the first one.
             const offset = first?.offset ?? body.length;
-            const cause = first === undefined ? "the file is empty" : describe(first);
-            return Left([{ place: position(body, offset), cause: `isn't well-formed JSON: ${cause}` }]);
+            const cause = first === undefined ? "the file is empty" : describeParseError(first);
+            return Left([{ place: lineAndColumn(body, offset), cause: `isn't well-formed JSON: ${cause}` }]);
         }
-        const repeated = repeatedFields(body, tree);
+        const repeated = duplicateKeys(body, tree);
         return repeated.length > 0 ? Left(repeated) : Right(new JsonText(body, tree, JSON.parse(body)));
     }
 
-    /** Names the place of a field, or of the nearest one around it that stands in the text. */
+    /** Path and position of a field; if it isn't in the text, the position of its nearest existing ancestor. */
     place(path: readonly PropertyKey[]): string {
-        const steps = path.map(step => typeof step === "symbol" ? step.toString() : step);
-        const node = this.nearest(steps);
-        return `${steps.join(".")}${steps.length > 0 ? " " : ""}(${position(this.text, node.offset)})`;
+        const keys = path.map(key => typeof key === "symbol" ? key.toString() : key);
+        const node = this.nearestNode(keys);
+        return `${keys.join(".")}${keys.length > 0 ? " " : ""}(${lineAndColumn(this.text, node.offset)})`;
     }
 
-    private nearest(path: readonly (string | number)[]): JsonNode {
+    private nearestNode(path: readonly (string | number)[]): JsonNode {
         for (let length = path.length; length > 0; length--) {
             const node = jsonc.findNodeAtLocation(this.tree, path.slice(0, length));
             if (node !== undefined) {
@@ -54,32 +54,32 @@
     }
 }
 
-// JSON.parse keeps the last of two equal names without a word, so that half of what a person wrote would have no effect.
-function repeatedFields(text: string, node: JsonNode): JsonFault[] {
+// JSON.parse silently keeps only the last of several duplicate keys, so a part of the file would have no effect.
+function duplicateKeys(text: string, node: JsonNode): JsonFault[] {
     const faults: JsonFault[] = [];
     const seen = new Set<string>();
     for (const child of node.children ?? []) {
         const key = node.type === "object" ? child.children?.[0] : undefined;
         if (key !== undefined && seen.has(key.value as string)) {
             faults.push({
-                place: `${jsonc.getNodePath(key).join(".")} (${position(text, key.offset)})`,
+                place: `${jsonc.getNodePath(key).join(".")} (${lineAndColumn(text, key.offset)})`,
                 cause: "stands twice in the same object",
             });
         }
         if (key !== undefined) {
             seen.add(key.value as string);
         }
-        faults.push(...repeatedFields(text, child));
+        faults.push(...duplicateKeys(text, child));
     }
     return faults;
 }
 
-function position(text: string, offset: number): string {
+function lineAndColumn(text: string, offset: number): string {
     const before = text.slice(0, offset).split("\n");
     return `line ${before.length}, column ${before[before.length - 1]!.length + 1}`;
 }
 
-function describe(error: ParseError): string {
-    const words = jsonc.printParseErrorCode(error.error).replace(/([a-z])([A-Z])/g, "$1 $2");
-    return words.toLowerCase();
+function describeParseError(error: ParseError): string {
+    const description = jsonc.printParseErrorCode(error.error).replace(/([a-z])([A-Z])/g, "$1 $2");
+    return description.toLowerCase();
 }
--- a/packages/basilpaddle/src/node/utils/metrics.ts
+++ b/packages/basilpaddle/src/node/utils/metrics.ts
@@ -1,19 +1,19 @@
-/** Labels of a metric. Their values come from bounded sets: pools, codes, reasons; never keys, prompts or callers' words. */
+/** Labels of a metric. Their values come from bounded sets such as pools, codes or reasons, never from keys, prompts or callers. */
 export type MetricLabels = Readonly<Record<string, string>>;
 
-/** Takes what the daemon measures. Names are those of the Prometheus text format, with the unit as their suffix. */
+/** Sink for the daemon's metrics. Names follow the Prometheus conventions, with the unit as a suffix. */
 export abstract class Metrics {
-    /** Adds to a counter. */
+    /** Increments a counter. */
     abstract count(name: string, labels?: MetricLabels, amount?: number): void;
 
     /** Sets a gauge. */
     abstract gauge(name: string, value: number, labels?: MetricLabels): void;
 
-    /** Takes a value into a histogram. */
+    /** Records a value in a histogram. */
     abstract observe(name: string, value: number, labels?: MetricLabels): void;
 }
 
-/** Takes nothing in; for tests and one-shot commands. */
+/** Discards all metrics; for tests and one-shot commands. */
 export class SilentMetrics extends Metrics {
     static create(): SilentMetrics {
         return new SilentMetrics();
--- a/packages/basilpaddle/src/node/utils/randomness.ts
+++ b/packages/basilpaddle/src/node/utils/randomness.ts
@@ -3,19 +3,19 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Source of random numbers, so that a random run repeats exactly from its seed. */
+/** Source of random numbers; interchangeable, so that a test run can be reproduced exactly from its seed. */
 export abstract class Randomness {
-    /** A number from 0 up to, but without, 1. */
+    /** A number from 0 (inclusive) to 1 (exclusive). */
     abstract fraction(): number;
 
-    /** A whole number from `least` to `most`, both included. */
+    /** An integer from `least` to `most`, both inclusive. */
     abstract integer(least: number, most: number): number;
 
-    /** An identifier that no other daemon makes. */
+    /** A globally unique identifier. */
     abstract identifier(): string;
 }
 
-/** Random numbers from the host. */
+/** Random numbers from the runtime's generators. */
 export class SystemRandomness extends Randomness {
     static create(): SystemRandomness {
         return new SystemRandomness();
@@ -35,20 +35,20 @@
 }
 
 /**
- * Random numbers of one host among many that may have started from the same image at the same moment. Their own sources
- * can then give all of them the same numbers: voters stand for election together, again and again, and none wins. The
- * host's name and its clocks are mixed in.
+ * Random numbers for hosts that may have started from the same image at the same time. The system's generators can then
+ * return the same numbers on all of them, so that voters repeatedly start elections at the same time and none wins. The
+ * daemon's name and the host's clocks are therefore mixed into the seed.
  */
 export class HostRandomness extends Randomness {
     private readonly generator;
-    private readonly mark: string;
+    private readonly identifierPrefix: string;
 
     private constructor(name: string) {
         super();
         const moment = `${Date.now()} ${process.hrtime.bigint()} ${process.pid}`;
         const digest = createHash("sha256").update(`${name} ${moment} ${randomUUID()}`).digest();
         this.generator = xoroshiro128plus(digest.readInt32BE(0));
-        this.mark = digest.toString("hex", 4, 12);
+        this.identifierPrefix = digest.toString("hex", 4, 12);
     }
 
     static create(name: string): HostRandomness {
@@ -64,11 +64,11 @@
     }
 
     override identifier(): string {
-        return `${this.mark}-${randomUUID()}`;
+        return `${this.identifierPrefix}-${randomUUID()}`;
     }
 }
 
-/** Random numbers that follow from a seed. */
+/** Deterministic random numbers from a seed. */
 export class SeededRandomness extends Randomness {
     private readonly generator;
 
--- a/packages/basilpaddle/src/node/utils/recordedMetrics.ts
+++ b/packages/basilpaddle/src/node/utils/recordedMetrics.ts
@@ -1,22 +1,22 @@
 import * as hdr from "hdr-histogram-js";
 import { type MetricLabels, Metrics } from "./metrics.js";
 
-/** Most series that one metric may have; a label with unbounded values would eat the daemon's memory. */
+/** Maximum number of series per metric; a label with unbounded values would otherwise exhaust the daemon's memory. */
 export const seriesLimit = 1_000;
-/** Counter of what was dropped because a metric had too many series or an unusable value. */
-export const droppedName = "basilpaddle_metrics_dropped_total";
+/** Counts values dropped because the metric had too many series or the value wasn't a finite number. */
+export const droppedCounterName = "basilpaddle_metrics_dropped_total";
 
-/** Histograms hold whole numbers: thousandths of the metric's unit. */
-const scale = 1_000;
+/** Histograms store integers: thousandths of the metric's unit. */
+const histogramScale = 1_000;
 /** Upper bounds of the buckets, in the metric's unit. */
-const bounds = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 60_000, 300_000];
+const bucketBounds = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 60_000, 300_000];
 
 type Distribution = { readonly counts: hdr.JsHistogram; sum: number; };
 type Family =
     | { readonly kind: "counter" | "gauge"; readonly series: Map<string, number>; }
     | { readonly kind: "histogram"; readonly series: Map<string, Distribution>; };
 
-/** Keeps what the daemon measures, and writes it in the Prometheus text format. */
+/** Stores the daemon's metrics and renders them in the Prometheus text format. */
 export class RecordedMetrics extends Metrics {
     private readonly families = new Map<string, Family>();
     private readonly collectors = new Set<() => void>();
@@ -52,17 +52,17 @@
             distribution = { counts: createCounts(), sum: 0 };
             family.series.set(key, distribution);
         }
-        distribution.counts.recordValue(Math.round(value * scale));
+        distribution.counts.recordValue(Math.round(value * histogramScale));
         distribution.sum += value;
     }
 
-    /** Calls the collector before each writing, so that it can set gauges; the returned function takes it off. */
+    /** Registers a collector that is called before each rendering to set gauges; the returned function removes it. */
     onCollect(collector: () => void): () => void {
         this.collectors.add(collector);
         return () => this.collectors.delete(collector);
     }
 
-    /** Writes all metrics in the Prometheus text format 0.0.4. */
+    /** Renders all metrics in the Prometheus text format 0.0.4. */
     text(): string {
         for (const collector of this.collectors) {
             collector();
@@ -71,10 +71,12 @@
         for (const [name, family] of [...this.families].sort(([one], [other]) => one < other ? -1 : 1)) {
             lines.push(`# TYPE ${name} ${family.kind}`);
             if (family.kind === "histogram") {
-                family.series.forEach((distribution, labels) => lines.push(...histogram(name, labels, distribution)));
+                family.series.forEach((distribution, labels) =>
+                    lines.push(...histogramLines(name, labels, distribution))
+                );
             }
             else {
-                family.series.forEach((value, labels) => lines.push(`${name}${braces(labels)} ${value}`));
+                family.series.forEach((value, labels) => lines.push(`${name}${formatLabels(labels)} ${value}`));
             }
         }
         return `${lines.join("\n")}\n`;
@@ -91,12 +93,12 @@
 
     private series(family: Family, name: string, labels: MetricLabels, value: number): string | undefined {
         const key = labelText(labels);
-        const full = !family.series.has(key) && family.series.size >= seriesLimit;
-        if (Number.isFinite(value) && !full) {
+        const seriesLimitReached = !family.series.has(key) && family.series.size >= seriesLimit;
+        if (Number.isFinite(value) && !seriesLimitReached) {
             return key;
         }
-        if (name !== droppedName) {
-            this.count(droppedName, { metric: name });
+        if (name !== droppedCounterName) {
+            this.count(droppedCounterName, { metric: name });
         }
         return undefined;
     }
@@ -107,37 +109,37 @@
         bitBucketSize: 32,
         autoResize: true,
         lowestDiscernibleValue: 1,
-        highestTrackableValue: 60_000 * scale,
+        highestTrackableValue: 60_000 * histogramScale,
         numberOfSignificantValueDigits: 2,
     }) as hdr.JsHistogram;
 }
 
-function histogram(name: string, labels: string, { counts, sum }: Distribution): string[] {
+function histogramLines(name: string, labels: string, { counts, sum }: Distribution): string[] {
     const lines: string[] = [];
-    let counted = 0;
-    let next = 0;
-    for (const bound of bounds) {
-        const last = Math.min(counts.countsArrayIndex(bound * scale), counts.countsArrayLength - 1);
-        for (; next <= last; next++) {
-            counted += counts.getCountAtIndex(next);
+    let cumulativeCount = 0;
+    let nextIndex = 0;
+    for (const bound of bucketBounds) {
+        const last = Math.min(counts.countsArrayIndex(bound * histogramScale), counts.countsArrayLength - 1);
+        for (; nextIndex <= last; nextIndex++) {
+            cumulativeCount += counts.getCountAtIndex(nextIndex);
         }
-        lines.push(`${name}_bucket${braces(labels, `le="${bound}"`)} ${counted}`);
+        lines.push(`${name}_bucket${formatLabels(labels, `le="${bound}"`)} ${cumulativeCount}`);
     }
-    lines.push(`${name}_bucket${braces(labels, "le=\"+Inf\"")} ${counts.totalCount}`);
-    lines.push(`${name}_sum${braces(labels)} ${sum}`);
-    lines.push(`${name}_count${braces(labels)} ${counts.totalCount}`);
+    lines.push(`${name}_bucket${formatLabels(labels, "le=\"+Inf\"")} ${counts.totalCount}`);
+    lines.push(`${name}_sum${formatLabels(labels)} ${sum}`);
+    lines.push(`${name}_count${formatLabels(labels)} ${counts.totalCount}`);
     return lines;
 }
 
 function labelText(labels: MetricLabels): string {
-    return Object.entries(labels).map(([name, value]) => `${name}="${escape(value)}"`).sort().join(",");
+    return Object.entries(labels).map(([name, value]) => `${name}="${escapeLabelValue(value)}"`).sort().join(",");
 }
 
-function braces(...labels: string[]): string {
+function formatLabels(...labels: string[]): string {
     const text = labels.filter(label => label !== "").join(",");
     return text === "" ? "" : `{${text}}`;
 }
 
-function escape(value: string): string {
+function escapeLabelValue(value: string): string {
     return value.replaceAll("\\", "\\\\").replaceAll("\"", "\\\"").replaceAll("\n", "\\n");
 }
