--- a/packages/basilpaddle/src/node/cli/commands/daemon.ts
+++ b/packages/basilpaddle/src/node/cli/commands/daemon.ts
@@ -1,5 +1,5 @@
 import {
-    type DaemonEnd,
+    type DaemonExit,
     resolveSettings,
     serveUntilStopped,
     startControl,
@@ -52,7 +52,7 @@
     }
 }
 
-function exitCodeOf(end: DaemonEnd): ExitCode {
+function exitCodeOf(end: DaemonExit): ExitCode {
     switch (end.kind) {
         case "stopped":
             return exitCodes.done;
--- a/packages/basilpaddle/src/node/daemon/routingOptions.ts
+++ b/packages/basilpaddle/src/node/daemon/routingOptions.ts
@@ -1,14 +1,14 @@
 import type { Network } from "../transport/index.js";
 import type { Clock, Logger } from "../utils/index.js";
 
-/** What gateways and directories need alike: their settings, and what the outside says there. */
+/** Options common to gateways and directories; `Wire` translates between them and those outside. */
 export type RoutingOptions<Settings, Wire> = {
     readonly settings: Settings;
-    /** Names of the directories to begin with; looked at anew since settings may change. */
+    /** Names of the seed directories. Called anew for each use, since the settings may change. */
     readonly seeds?: () => readonly string[];
     readonly wire: Wire;
     readonly clock: Clock;
     readonly logger: Logger;
-    /** Links to other daemons; over TCP unless given. */
+    /** Network for links to other daemons. @default TCP */
     readonly network?: Network;
 };
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/lifetime.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/daemonLifecycle.spec.ts
@@ -1,10 +1,10 @@
 import { expect } from "chai";
 import { EventEmitter } from "node:events";
 import { createSilentLogger } from "../../../utils/index.js";
-import { serveUntilStopped } from "../lifetime.js";
+import { serveUntilStopped } from "../daemonLifecycle.js";
 import { RunningDaemon, type ShutdownReport } from "../runningDaemon.js";
 
-/** A daemon with one request in progress, which ends by itself or is cut off by a second call. */
+/** A daemon with one request in progress, which completes on `finish()` or is aborted by a second call of `stop()`. */
 class FakeDaemon extends RunningDaemon {
     override readonly failure: Promise<string>;
     fail!: (cause: string) => void;
@@ -33,7 +33,7 @@
     }
 }
 
-describe("a daemon's lifetime", () => {
+describe("a daemon's lifecycle", () => {
     let daemon: FakeDaemon;
     let signals: EventEmitter;
     let ended: ReturnType<typeof serveUntilStopped>;
@@ -43,7 +43,7 @@
         ended = serveUntilStopped(daemon, createSilentLogger(), signals);
     });
 
-    it("ends well once what was in progress has ended", async () => {
+    it("ends as stopped once the requests in progress have completed", async () => {
         signals.emit("SIGTERM", "SIGTERM");
         expect(daemon.stops).to.equal(1);
         daemon.finish();
@@ -51,19 +51,19 @@
         expect(signals.eventNames()).to.deep.equal([]);
     });
 
-    it("ends sooner on a second signal and says what it cut off", async () => {
+    it("aborts requests in progress on a second signal and reports them", async () => {
         signals.emit("SIGTERM", "SIGTERM");
         signals.emit("SIGINT", "SIGINT");
         expect(await ended).to.deep.equal({ kind: "cutOff", cut: ["request-1"] });
     });
 
-    it("ends as failed on an uncaught error, without an orderly shutdown", async () => {
+    it("ends as failed on an uncaught error, without a graceful shutdown", async () => {
         signals.emit("uncaughtException", new Error("a fault"));
         expect(await ended).to.deep.equal({ kind: "failed", cause: "an uncaught error" });
         expect(daemon.stops).to.equal(0);
     });
 
-    it("ends as failed when the daemon can't go on", async () => {
+    it("ends as failed when the daemon reports a failure", async () => {
         daemon.fail("the disk failed");
         expect(await ended).to.deep.equal({ kind: "failed", cause: "the disk failed" });
     });
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/entryStart.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/entryStart.spec.ts
@@ -14,7 +14,7 @@
 
 const host = "127.0.0.1";
 
-/** An address whose port was free a moment ago. */
+/** Finds a free port by listening on it and closing it again. */
 async function freeAddress(): Promise<{ readonly host: string; readonly port: number; }> {
     const server = createServer();
     await new Promise<void>(resolve => server.listen(0, host, resolve));
@@ -27,7 +27,7 @@
     const end = Date.now() + 15_000;
     while (!(await holds())) {
         if (Date.now() > end) {
-            throw new Error(`waited in vain for ${what}`);
+            throw new Error(`timed out waiting for ${what}`);
         }
         await new Promise(resolve => setTimeout(resolve, 20));
     }
@@ -91,10 +91,9 @@
         return (await answer.text()).includes("shuttingDown");
     }
 
-    // Symptom: the scheduler cancels streams of a daemon that shuts down well. Sequence: the daemon is told to stop
-    // while a request is in progress, its session closes, an engine lists the attempt. Cause: the session was closed
-    // before the drain, and attempts without a session count as left behind.
-    it("keeps its session until nothing is in progress any more, and then closes it", async () => {
+    // Guards against a scheduler that cancels the streams of a daemon during its graceful shutdown. The session was closed
+    // before the drain, and an attempt that an engine lists without an open session counts as abandoned.
+    it("keeps its session until no request is in progress, and then closes it", async () => {
         const asking = http.request({
             host,
             port: callers.port,
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/metricsServer.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/metricsServer.spec.ts
@@ -4,19 +4,24 @@
 import { createSilentLogger, RecordedMetrics, SystemClock } from "../../../utils/index.js";
 import { MetricsServer } from "../metricsServer.js";
 
-describe("the server of metrics and held requests", () => {
-    let held: HeldRequests;
+describe("the server of metrics and quarantined requests", () => {
+    let quarantine: HeldRequests;
     let server: MetricsServer;
     let base: string;
 
     beforeEach(async () => {
         const clock = SystemClock.create();
         const logger = createSilentLogger();
-        held = HeldRequests.create({ rules: holdRulesSchema.parse({}), tell: () => undefined, clock, logger });
-        ["s1", "s2"].forEach(id => held.note("d", { server: id, phase: "early", age: 0 }));
+        quarantine = HeldRequests.create({
+            rules: holdRulesSchema.parse({}),
+            tell: () => undefined,
+            clock,
+            logger,
+        });
+        ["s1", "s2"].forEach(id => quarantine.note("d", { server: id, phase: "early", age: 0 }));
         const metrics = RecordedMetrics.create();
-        held.measure(metrics);
-        server = await MetricsServer.create({ host: "127.0.0.1", port: 0 }, metrics, held);
+        quarantine.measure(metrics);
+        server = await MetricsServer.create({ host: "127.0.0.1", port: 0 }, metrics, quarantine);
         base = `http://127.0.0.1:${server.port()}`;
     });
 
@@ -27,12 +32,12 @@
         return [answer.status, await answer.json()];
     }
 
-    it("serves metrics, and nothing where it knows nothing", async () => {
+    it("serves metrics, and answers 404 for unknown paths", async () => {
         expect(await (await fetch(`${base}/metrics`)).text()).to.contain("basilpaddle_requests_held_back 1");
         expect((await fetch(`${base}/elsewhere`)).status).to.equal(404);
     });
 
-    it("lists the requests that are held back, and releases one", async () => {
+    it("lists the quarantined requests, and releases one", async () => {
         const listed = async (): Promise<unknown[]> => {
             const answer = await fetch(`${base}/operator/v1/held?timeout=1000`);
             return (await answer.json() as { requests: unknown[]; }).requests;
@@ -44,10 +49,10 @@
         expect((await release(body))[1]).to.include({ wasSuspected: false });
     });
 
-    it("refuses a release that isn't in form", async () => {
+    it("rejects a malformed release with 400", async () => {
         for (const body of ["{", "{}", "{\"digest\":1,\"operator\":\"x\"}"]) {
             expect((await release(body))[0]).to.equal(400);
         }
-        expect(held.held()).to.have.length(1);
+        expect(quarantine.held()).to.have.length(1);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/settings.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/settings.spec.ts
@@ -41,25 +41,25 @@
         expect(Object.isFrozen(settings.controls[0])).to.equal(true);
     });
 
-    it("tells all findings together with their place", async () => {
+    it("returns all findings together with their place", async () => {
         const found = await findings({ ...control, peers: { host: "localhost", port: 99_999 }, colour: 1 });
         expect(found).to.match(/peers\.host \(line \d+, column \d+\)/);
         expect(found).to.match(/peers\.port/);
         expect(found).to.match(/colour/);
     });
 
-    it("refuses a file that is missing or isn't JSON", async () => {
+    it("rejects a file that is missing or isn't JSON", async () => {
         const missing = await resolveSettings(path.join(root, "none.json"));
         expect(missing.isLeft()).to.equal(true);
         expect(await findings("{\"role\": ")).to.match(/line 1, column 10: isn't well-formed JSON/);
     });
 
-    it("refuses timing under which two daemons could hold the same lease", async () => {
+    it("rejects timing under which two daemons could hold the same lease", async () => {
         const found = await findings({ ...control, timing: { viewLease: 3_000, sessionTimeout: 2_000 } });
         expect(found).to.match(/timing\.sessionTimeout .*would give away leases/);
     });
 
-    it("refuses a control daemon that its own list doesn't name, and names listed twice", async () => {
+    it("rejects a list of control daemons without this one, and duplicate names and addresses", async () => {
         const other = { name: "control-2", ...address(7102) };
         const found = await findings({ ...control, controls: [other, other] });
         expect(found).to.match(/controls .*doesn't list this control daemon/);
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/settingsFile.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/settingsFile.spec.ts
@@ -7,7 +7,7 @@
 import { readRoutingSettings } from "../routingSettings.js";
 import { SeedReload } from "../seedReload.js";
 import { resolveSettings } from "../settings.js";
-import { readWhenWhole } from "../settingsFile.js";
+import { readWhenComplete } from "../settingsFile.js";
 
 const gateway = {
     role: "gateway",
@@ -46,7 +46,7 @@
 
     const notice = ({ cause }: { readonly cause: string; }): void => void notices.push(cause);
 
-    /** Writes the file in steps, as a slow writer does; the last one makes it whole. */
+    /** Writes the file in steps, as a slow writer does; the last step completes it. */
     async function writeLater(text: string): Promise<void> {
         for (const part of [0.3, 0.6, 1]) {
             await new Promise(resolve => setTimeout(resolve, 120));
@@ -57,11 +57,11 @@
     const before: readonly (readonly [string, string | undefined])[] = [
         ["absent", undefined],
         ["empty", ""],
-        ["cut short", JSON.stringify(gateway).slice(0, 40)],
+        ["truncated", JSON.stringify(gateway).slice(0, 40)],
     ];
     for (const [state, text] of before) {
-        // Guards against a daemon that ends by itself since it started while its settings were being written.
-        it(`is waited for where it is ${state}`, async () => {
+        // Guards against a daemon that exits with findings because its settings were still being written when it started.
+        it(`is waited for while it is ${state}`, async () => {
             if (text !== undefined) {
                 await writeFile(file, text);
             }
@@ -74,25 +74,26 @@
         });
     }
 
-    it("is read at once where it is whole, right or wrong", async () => {
+    it("is read without waiting if it is complete, whether valid or not", async () => {
         await writeFile(file, "{}");
         expect((await readRoutingSettings(file, notice)).isLeft()).to.equal(true);
         expect(notices).to.deep.equal([]);
     });
 
-    it("is refused, with its place, once it stands still without being whole", async () => {
+    it("is rejected, with the place of the error, once it stays incomplete without changing", async () => {
         await writeFile(file, "{\"role\": ");
         const [read, missing] = await Promise.all([
             resolveSettings(file, notice),
-            readWhenWhole(path.join(folder, "none.json"), notice),
+            readWhenComplete(path.join(folder, "none.json"), notice),
         ]);
         expect(read.swap().orDefault([])[0]?.cause).to.contain("isn't well-formed JSON");
         expect(missing.swap().map(({ cause }) => cause).orDefault("")).to.contain("can't be read");
         expect(notices).to.have.length(2);
     });
 
-    // Guards against seeds that are never read: a file that is written twice within a tick of the file system's clock.
-    it("is read again by a daemon that runs, though the time of its last change is the same", async () => {
+    // Guards against changed seeds that are never read because the file was written twice within one tick of the file system's
+    // clock, which leaves its modification time the same.
+    it("is reread by a running daemon even if its modification time is unchanged", async () => {
         const at = new Date(1_700_000_000_000);
         const write = async (text: string): Promise<void> => {
             await writeFile(file, text);
--- a/packages/basilpaddle/src/node/daemon/start/assembledDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/start/assembledDaemon.ts
@@ -9,26 +9,26 @@
 } from "../../utils/index.js";
 import { RunningDaemon } from "./runningDaemon.js";
 
-/** A daemon put together from parts that it owns, on the host's own clocks and random numbers. */
+/** A daemon that owns its components, with the host's clocks and random numbers. */
 export abstract class AssembledDaemon extends RunningDaemon {
     override readonly failure: Promise<string>;
     protected readonly store = DisposableStore.create();
     protected readonly clock: Clock = SystemClock.create();
     protected readonly randomness: Randomness = SystemRandomness.create();
     protected readonly metrics = RecordedMetrics.create();
-    private settleFailure!: (cause: string) => void;
+    private resolveFailure!: (cause: string) => void;
 
     protected constructor(protected readonly logger: Logger) {
         super();
         this.failure = new Promise(resolve => {
-            this.settleFailure = resolve;
+            this.resolveFailure = resolve;
         });
     }
 
-    /** Opens every part; those that were opened are closed again if a later one fails. */
+    /** Opens all components. If one fails to open, those already open are closed and the error is rethrown. */
     async open(): Promise<void> {
         try {
-            await this.openParts();
+            await this.openComponents();
         }
         catch (error) {
             await this.store.dispose();
@@ -36,11 +36,11 @@
         }
     }
 
-    /** Opens the parts in their order, and adds each to the store as soon as it is open. */
-    protected abstract openParts(): Promise<void>;
+    /** Opens the components in order, and adds each to the store as soon as it is open. */
+    protected abstract openComponents(): Promise<void>;
 
-    /** Tells that the daemon can't go on by itself. The first cause counts. */
+    /** Reports that the daemon can't continue to run. Only the first cause is kept. */
     protected fail(cause: string): void {
-        this.settleFailure(cause);
+        this.resolveFailure(cause);
     }
 }
--- a/packages/basilpaddle/src/node/daemon/start/controlMetrics.ts
+++ b/packages/basilpaddle/src/node/daemon/start/controlMetrics.ts
@@ -1,16 +1,16 @@
 import type { RecordedMetrics } from "../../utils/index.js";
 import type { ControlDaemon } from "../control/index.js";
 
-/** Sets the gauges of a control daemon before each reading; the returned function takes the collector off. */
+/** Sets the gauges of a control daemon before each scrape. The returned function unregisters the collector. */
 export function collectControlMetrics(metrics: RecordedMetrics, daemon: ControlDaemon): () => void {
     return metrics.onCollect(() => {
         const status = daemon.status();
-        const standing = status.standing();
-        metrics.gauge("basilpaddle_control_leading", standing.leading ? 1 : 0);
-        metrics.gauge("basilpaddle_control_voting", standing.voting ? 1 : 0);
-        metrics.gauge("basilpaddle_control_term", standing.term);
-        metrics.gauge("basilpaddle_control_last_index", standing.lastIndex);
-        metrics.gauge("basilpaddle_control_committed_index", standing.committedIndex);
+        const replica = status.standing();
+        metrics.gauge("basilpaddle_control_leading", replica.leading ? 1 : 0);
+        metrics.gauge("basilpaddle_control_voting", replica.voting ? 1 : 0);
+        metrics.gauge("basilpaddle_control_term", replica.term);
+        metrics.gauge("basilpaddle_control_last_index", replica.lastIndex);
+        metrics.gauge("basilpaddle_control_committed_index", replica.committedIndex);
         const { records, answerBytes } = status.runUsage();
         metrics.gauge("basilpaddle_run_records", records);
         metrics.gauge("basilpaddle_run_answer_bytes", answerBytes);
@@ -21,8 +21,13 @@
         const sessions = status.sessions();
         metrics.gauge("basilpaddle_sessions", sessions.length);
         metrics.gauge("basilpaddle_leases", Object.keys(view.leases).length);
-        const heard = sessions.map(session => session.revision).filter(known => known !== undefined);
-        metrics.gauge("basilpaddle_revision_lag", Math.max(0, ...heard.map(known => revision - known)));
+        const confirmedRevisions = sessions.map(session => session.revision).filter(confirmed =>
+            confirmed !== undefined
+        );
+        metrics.gauge(
+            "basilpaddle_revision_lag",
+            Math.max(0, ...confirmedRevisions.map(confirmed => revision - confirmed)),
+        );
         for (const state of ["ready", "draining", "leaving", "gone"] as const) {
             const count = Object.values(view.backends).filter(backend => backend.state === state).length;
             metrics.gauge("basilpaddle_backends", count, { state });
--- a/packages/basilpaddle/src/node/daemon/start/controlStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/controlStart.ts
@@ -16,7 +16,7 @@
 import { collectControlMetrics } from "./controlMetrics.js";
 import type { RunningDaemon, ShutdownReport } from "./runningDaemon.js";
 
-/** Starts a control daemon by its settings. */
+/** Starts a control daemon with the given settings; rejects if one of its components can't be opened. */
 export async function startControl(settings: ControlSettings, logger: Logger): Promise<RunningDaemon> {
     const running = new RunningControl(settings, logger);
     await running.open();
@@ -38,7 +38,7 @@
         return this.stopping;
     }
 
-    protected override async openParts(): Promise<void> {
+    protected override async openComponents(): Promise<void> {
         const { settings, logger, clock, randomness } = this;
         this.openLinks();
         const daemon = await ControlDaemon.create({
@@ -46,8 +46,8 @@
             clock,
             randomness,
             logger,
-            onFailure: () => this.fail("the replica stopped: its disk failed, or a promise of the protocol was broken"),
-            otherRequests: body => this.answerOther(body),
+            onFailure: () => this.fail("the replica stopped after a disk failure or a violated protocol invariant"),
+            otherRequests: body => this.answerOperatorRequest(body),
         });
         this.daemon = daemon;
         const operations = ControlOperations.create({ name: settings.name, daemon, clock });
@@ -61,7 +61,7 @@
             held: daemon.held,
             daemon: () => this.status(),
         });
-        // Operators can look on while leadership is handed over, so their server is the last to go.
+        // The operators' server is closed last, so that operators can follow the handover of leadership.
         this.store.add(() => operators.close());
         this.store.add(() => daemon.close());
         logger.info("serving", { peers: daemon.port(), operators: operators.port() });
@@ -85,17 +85,17 @@
         return [own, ...others];
     }
 
-    private async answerOther(body: unknown): Promise<unknown> {
+    private async answerOperatorRequest(body: unknown): Promise<unknown> {
         const request = controlRequestSchema.safeParse(body);
         return request.success ? this.operations?.handle(request.data.request) : undefined;
     }
 
     private status(): DaemonStatus {
         const state = this.daemon?.state() ?? "starting";
-        const standing = this.daemon?.status().standing();
+        const replica = this.daemon?.status().standing();
         const reason = state !== "serving"
             ? state
-            : standing?.leader === undefined
+            : replica?.leader === undefined
             ? "no leader is known"
             : undefined;
         return {
--- a/packages/basilpaddle/src/node/daemon/start/entryStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryStart.ts
@@ -15,7 +15,7 @@
 import { collectEntryMetrics } from "./entryMetrics.js";
 import type { RunningDaemon, ShutdownReport } from "./runningDaemon.js";
 
-/** Starts an entry daemon by its settings. */
+/** Starts an entry daemon with the given settings; rejects if one of its components can't be opened. */
 export async function startEntry(settings: EntrySettings, logger: Logger): Promise<RunningDaemon> {
     const running = new RunningEntry(settings, logger);
     await running.open();
@@ -24,7 +24,7 @@
 
 class RunningEntry extends AssembledDaemon {
     private readonly network: TcpNetwork;
-    private readonly held: HeldRequests;
+    private readonly quarantine: HeldRequests;
     private control!: PeerControlClient;
     private placement: ScheduledPlacement | undefined;
     private daemon!: EntryDaemon;
@@ -33,7 +33,7 @@
     constructor(private readonly settings: EntrySettings, logger: Logger) {
         super(logger);
         this.network = TcpNetwork.create(logger);
-        this.held = HeldRequests.create({
+        this.quarantine = HeldRequests.create({
             rules: settings.holds,
             tell: records => this.control?.tellCrashes(records.map(({ digest }) => digest)),
             clock: this.clock,
@@ -53,12 +53,12 @@
 
     private async shutDown(): Promise<ShutdownReport> {
         const { cut, unconfirmedCancels, undecidedRuns } = await this.daemon.drain();
-        this.logger.info("nothing is in progress any more", { cut: cut.length, unconfirmedCancels, undecidedRuns });
+        this.logger.info("requests are drained; closing", { cut: cut.length, unconfirmedCancels, undecidedRuns });
         await this.store.dispose();
         return { cut };
     }
 
-    protected override async openParts(): Promise<void> {
+    protected override async openComponents(): Promise<void> {
         const { settings, logger, clock, randomness, metrics } = this;
         const operators = await this.openOperators();
         this.store.add(() => operators.close());
@@ -84,15 +84,16 @@
             randomness,
             logger,
             metrics,
-            held: this.held,
+            held: this.quarantine,
         });
         this.store.add(() => this.daemon.close());
-        // Closed before the placement: other daemons move to the next scheduler while this one can still tell them that it isn't theirs.
+        // Closed before the placement, so that this daemon can still answer others that it is no longer their scheduler while
+        // they switch to the next one.
         this.store.add(() => this.control.close());
-        // Closed before the session, by which the ends of its orders still go into the audit trail.
+        // Closed before the session, which still carries the outcomes of its orders to the audit trail.
         this.openOrders();
         this.store.add(collectEntryMetrics(metrics, this.control, this.placement, this.daemon));
-        this.store.add(metrics.onCollect(() => this.held.measure(metrics)));
+        this.store.add(metrics.onCollect(() => this.quarantine.measure(metrics)));
         logger.info("serving", {
             callers: this.daemon.callerPort(),
             backends: this.daemon.backendPort(),
@@ -123,7 +124,7 @@
             metrics,
             operations,
             daemon,
-            held: this.held,
+            held: this.quarantine,
         });
     }
 
@@ -145,7 +146,7 @@
             clock,
             randomness,
             logger,
-            held: this.held,
+            held: this.quarantine,
         });
         control.onReplaced(by => this.fail(`another process runs as ${settings.name} (incarnation ${by.incarnation})`));
         return control;
--- a/packages/basilpaddle/src/node/daemon/start/index.ts
+++ b/packages/basilpaddle/src/node/daemon/start/index.ts
@@ -1,6 +1,6 @@
 export * from "./controlStart.js";
+export * from "./daemonLifecycle.js";
 export * from "./entryStart.js";
-export * from "./lifetime.js";
 export * from "./routingSettings.js";
 export * from "./routingStart.js";
 export * from "./runningDaemon.js";
--- a/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
+++ b/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
@@ -6,30 +6,30 @@
 
 /** Path at which metrics are served. */
 const metricsPath = "/metrics";
-const jsonType = "application/json; charset=utf-8";
-const contentType = "text/plain; version=0.0.4; charset=utf-8";
-/** Milliseconds for a reader's request to arrive. */
-const receiveTimeout = 5_000;
+const jsonContentType = "application/json; charset=utf-8";
+const metricsContentType = "text/plain; version=0.0.4; charset=utf-8";
+/** Time within which a client's whole request has to arrive. */
+const requestTimeoutMilliseconds = 5_000;
 
-/** Serves metrics in the Prometheus text format, and operators' calls about requests that are held back. */
+/** Serves metrics in the Prometheus text format, and operators' calls about quarantined requests. */
 export class MetricsServer {
     private constructor(private readonly server: http.Server) {}
 
     static async create(
         address: { readonly host: string; readonly port: number; },
         metrics: RecordedMetrics,
-        held: HeldRequests,
+        quarantine: HeldRequests,
     ): Promise<MetricsServer> {
-        const server = http.createServer({ requestTimeout: receiveTimeout }, (request, response) => {
-            void answerHeld(held, request).then(reply => {
+        const server = http.createServer({ requestTimeout: requestTimeoutMilliseconds }, (request, response) => {
+            void answerHeld(quarantine, request).then(reply => {
                 if (reply !== undefined) {
-                    write(response, reply.status, jsonType, `${JSON.stringify(reply.body)}\n`);
+                    write(response, reply.status, jsonContentType, `${JSON.stringify(reply.body)}\n`);
                 }
                 else if (request.method === "GET" && request.url === metricsPath) {
-                    write(response, 200, contentType, metrics.text());
+                    write(response, 200, metricsContentType, metrics.text());
                 }
                 else {
-                    write(response, 404, contentType, "not found\n");
+                    write(response, 404, metricsContentType, "not found\n");
                 }
             });
         });
@@ -45,7 +45,7 @@
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Stops serving. */
+    /** Stops listening and closes all connections. */
     close(): void {
         this.server.close();
         this.server.closeAllConnections();
--- a/packages/basilpaddle/src/node/daemon/start/routingSettings.ts
+++ b/packages/basilpaddle/src/node/daemon/start/routingSettings.ts
@@ -1,17 +1,17 @@
 import { type Either, Left, Right } from "purify-ts";
 import { type Finding, findingsOf, type RoutingSettings, routingSettingsSchema } from "../../protocol/index.js";
-import { noticeOnStandardError, readWhenWhole, type WaitNotice } from "./settingsFile.js";
+import { printWaitNotice, readWhenComplete, type WaitNotice } from "./settingsFile.js";
 
-/** Reads the settings file of a gateway or a directory. Waits for a file that is being written. */
+/** Reads the settings file of a gateway or a directory. Waits for a file that is still being written. */
 export async function readRoutingSettings(
     file: string,
-    notice: WaitNotice = noticeOnStandardError,
+    notice: WaitNotice = printWaitNotice,
 ): Promise<Either<readonly Finding[], RoutingSettings>> {
-    const content = await readWhenWhole(file, notice);
+    const content = await readWhenComplete(file, notice);
     return content.mapLeft((finding): readonly Finding[] => [finding]).chain(text => parseRoutingSettings(file, text));
 }
 
-/** Checks the text of a settings file. */
+/** Parses and validates the text of a settings file of a gateway or a directory. */
 export function parseRoutingSettings(file: string, text: string): Either<readonly Finding[], RoutingSettings> {
     let content: unknown;
     try {
--- a/packages/basilpaddle/src/node/daemon/start/routingStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/routingStart.ts
@@ -8,7 +8,7 @@
 import type { RunningDaemon, ShutdownReport } from "./runningDaemon.js";
 import { SeedReload } from "./seedReload.js";
 
-/** Starts a gateway by its settings. */
+/** Starts a gateway with the given settings; `file` is where they were read, and is reread for changed seeds. */
 export async function startGateway(
     settings: GatewaySettings,
     file: string,
@@ -20,7 +20,7 @@
     return running;
 }
 
-/** Starts a directory by its settings. */
+/** Starts a directory with the given settings; `file` is where they were read, and is reread for changed seeds. */
 export async function startDirectory(
     settings: DirectorySettings,
     file: string,
@@ -32,12 +32,12 @@
     return running;
 }
 
-/** Serves metrics; a daemon whose port for them is taken serves its callers all the same. */
+/** Starts the metrics server. A failure, such as a port in use, is only logged, so that the daemon still serves its callers. */
 async function serveMetrics(
     store: DisposableStore,
     settings: RoutingSettings,
     metrics: RecordedMetrics,
-    held: HeldRequests,
+    quarantine: HeldRequests,
     logger: Logger,
 ): Promise<void> {
     try {
@@ -47,17 +47,17 @@
                 port: settings.metricsPort,
             },
             metrics,
-            held,
+            quarantine,
         );
         store.add(() => server.close());
-        logger.info("metrics are served", { port: server.port() });
+        logger.info("serving metrics", { port: server.port() });
     }
     catch (error) {
-        logger.error("metrics can't be served", { port: settings.metricsPort, error });
+        logger.error("failed to start the metrics server", { port: settings.metricsPort, error });
     }
 }
 
-/** What gateways and directories have in common as running daemons: seeds that are read again, and metrics. */
+/** Base class of running gateways and directories: reloads the seeds from the settings file, and serves metrics. */
 abstract class RunningRouting extends AssembledDaemon {
     private stopping: Promise<ShutdownReport> | undefined;
 
@@ -70,18 +70,18 @@
         return this.stopping;
     }
 
-    protected override async openParts(): Promise<void> {
+    protected override async openComponents(): Promise<void> {
         const { common, logger, metrics, store } = this;
         const reload = SeedReload.create(common, this.file, logger);
         store.add(() => reload.close());
-        const held = await this.openDaemon(() => reload.seeds());
-        await serveMetrics(store, common, metrics, held, logger);
+        const quarantine = await this.openDaemon(() => reload.seeds());
+        await serveMetrics(store, common, metrics, quarantine, logger);
     }
 
-    /** Opens the daemon itself; gives its copy of the requests that are held back. */
+    /** Opens the daemon itself; resolves with its copy of the quarantined requests. */
     protected abstract openDaemon(seeds: () => readonly string[]): Promise<HeldRequests>;
 
-    /** Shuts the daemon down in order. Gives the number of requests that were cut off. */
+    /** Shuts the daemon down gracefully; resolves with the number of requests that were aborted. */
     protected abstract closeDaemon(): Promise<number>;
 
     private async shutDown(): Promise<ShutdownReport> {
--- a/packages/basilpaddle/src/node/daemon/start/runningDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/start/runningDaemon.ts
@@ -1,17 +1,17 @@
-/** What a shutdown left behind. */
+/** Outcome of a shutdown. */
 export type ShutdownReport = {
-    /** Requests that were cut off, by identifier. */
+    /** Identifiers of the requests that were aborted. */
     readonly cut: readonly string[];
 };
 
-/** A daemon that was started and serves until it is told to stop. */
+/** A started daemon, which serves until it is stopped. */
 export abstract class RunningDaemon {
-    /** Settles, with the cause, when the daemon can't go on by itself. */
+    /** Resolves with the cause once the daemon can't continue to run. */
     abstract readonly failure: Promise<string>;
 
     /**
-     * Takes no new work, waits for what is in progress, hands over what it holds and stops. A second call ends what
-     * is in progress; both calls then tell what was cut off.
+     * Accepts no new work, waits for requests in progress, hands over its leases and leadership, and stops. A second call
+     * aborts requests in progress; both calls then resolve with the requests that were aborted.
      */
     abstract stop(): Promise<ShutdownReport>;
 }
--- a/packages/basilpaddle/src/node/daemon/start/seedReload.ts
+++ b/packages/basilpaddle/src/node/daemon/start/seedReload.ts
@@ -1,23 +1,23 @@
 import { type Finding, type RoutingSettings, seedNames } from "../../protocol/index.js";
 import type { Logger } from "../../utils/index.js";
 import { parseRoutingSettings } from "./routingSettings.js";
-import { readWhenWhole } from "./settingsFile.js";
+import { readWhenComplete } from "./settingsFile.js";
 
-/** Milliseconds between two looks whether the settings file has changed: it may without any signal. */
-const reloadInterval = 2_000;
+/** Interval at which the settings file is checked for changes, since it may change without a SIGHUP. */
+const reloadIntervalMilliseconds = 2_000;
 
-/** Keeps the seeds up to date with the settings file; whatever else changes takes a restart. */
+/** Keeps the seeds up to date with the settings file. Other changed settings need a restart. */
 export class SeedReload {
     private names: readonly string[];
     private text: string | undefined;
-    private looking: Promise<void> | undefined;
-    private isWhole = true;
+    private currentCheck: Promise<void> | undefined;
+    private isComplete = true;
     private readonly timer: NodeJS.Timeout;
-    private readonly onSignal = (): void => void this.look(true);
+    private readonly onSignal = (): void => void this.checkFile(true);
 
     private constructor(settings: RoutingSettings, private readonly file: string, private readonly logger: Logger) {
         this.names = seedNames(settings);
-        this.timer = setInterval(() => void this.look(false), reloadInterval);
+        this.timer = setInterval(() => void this.checkFile(false), reloadIntervalMilliseconds);
         this.timer.unref();
         process.on("SIGHUP", this.onSignal);
     }
@@ -35,27 +35,27 @@
         process.off("SIGHUP", this.onSignal);
     }
 
-    /** One look at a time; one that a signal asks for begins once the look before has ended. */
-    private async look(signalled: boolean): Promise<void> {
-        if (this.looking !== undefined && !signalled) {
+    /** Runs one check at a time. A check requested by a signal starts after the current one; a periodic check is skipped. */
+    private async checkFile(signalled: boolean): Promise<void> {
+        if (this.currentCheck !== undefined && !signalled) {
             return;
         }
-        const before = this.looking ?? Promise.resolve();
-        const looking = before.then(() => this.read(signalled));
-        this.looking = looking;
-        await looking;
-        if (this.looking === looking) {
-            this.looking = undefined;
+        const previous = this.currentCheck ?? Promise.resolve();
+        const check = previous.then(() => this.read(signalled));
+        this.currentCheck = check;
+        await check;
+        if (this.currentCheck === check) {
+            this.currentCheck = undefined;
         }
     }
 
-    /** Compares texts: two writings within one tick of the file system's clock bear the same time. */
+    /** Detects changes by the text: two writes within one tick of the file system's clock have the same modification time. */
     private async read(signalled: boolean): Promise<void> {
-        const content = await readWhenWhole(this.file, finding => {
-            if (this.isWhole) {
-                this.logger.info("changed settings aren't whole yet; looked at again", { finding });
+        const content = await readWhenComplete(this.file, finding => {
+            if (this.isComplete) {
+                this.logger.info("the changed settings file is incomplete; retrying", { finding });
             }
-            this.isWhole = false;
+            this.isComplete = false;
         });
         const text = content.orDefault("");
         if (!signalled && text === this.text) {
@@ -63,21 +63,21 @@
         }
         this.text = text;
         const read = content.mapLeft((finding): readonly Finding[] => [finding])
-            .chain(whole => parseRoutingSettings(this.file, whole));
+            .chain(complete => parseRoutingSettings(this.file, complete));
         read.caseOf<void>({
             Left: findings => {
-                this.logger.error("changed settings can't be read; the old ones stay", { findings });
+                this.logger.error("the changed settings are invalid; keeping the previous seeds", { findings });
             },
             Right: settings => {
-                this.isWhole = true;
-                this.take(seedNames(settings), signalled);
+                this.isComplete = true;
+                this.applySeeds(seedNames(settings), signalled);
             },
         });
     }
 
-    private take(names: readonly string[], signalled: boolean): void {
+    private applySeeds(names: readonly string[], signalled: boolean): void {
         if (signalled || names.join() !== this.names.join()) {
-            this.logger.info("settings were read again", { seeds: names, signalled });
+            this.logger.info("seeds were reloaded from the settings file", { seeds: names, signalled });
         }
         this.names = names;
     }
--- a/packages/basilpaddle/src/node/daemon/start/settings.ts
+++ b/packages/basilpaddle/src/node/daemon/start/settings.ts
@@ -2,20 +2,20 @@
 import { type Either, Left, Right } from "purify-ts";
 import { type Finding, type Settings, settingsSchema, type Timing } from "../../protocol/index.js";
 import { JsonText } from "../../utils/index.js";
-import { noticeOnStandardError, readWhenWhole, type WaitNotice } from "./settingsFile.js";
+import { printWaitNotice, readWhenComplete, type WaitNotice } from "./settingsFile.js";
 
 /**
- * Resolves a JSON settings file into a frozen object with all defaults, or tells all findings together. Waits for a file
- * that is being written.
+ * Resolves a JSON settings file into a frozen object with all defaults, or returns all findings together. Waits for a
+ * file that is still being written.
  */
 export async function resolveSettings(
     file: string,
-    notice: WaitNotice = noticeOnStandardError,
+    notice: WaitNotice = printWaitNotice,
 ): Promise<Either<readonly Finding[], Settings>> {
-    const content = await readWhenWhole(file, notice);
+    const content = await readWhenComplete(file, notice);
     return content
         .mapLeft((finding): readonly Finding[] => [finding])
-        .chain(text => JsonText.parse(text).mapLeft(faults => faults.map(fault => ({ file, ...fault }))))
+        .chain(text => JsonText.parse(text).mapLeft(problems => problems.map(problem => ({ file, ...problem }))))
         .chain(text => resolveText(file, text));
 }
 
@@ -26,26 +26,26 @@
     }
     const settings = parsed.data;
     const findings = [...controlFindings(settings), ...timingFindings(settings.timing)]
-        .map(found => ({ file, place: text.place(found.path), cause: found.cause, cure: found.cure }));
-    return findings.length > 0 ? Left(findings) : Right(freeze(inAbsolutePaths(settings, file)));
+        .map(problem => ({ file, place: text.place(problem.path), cause: problem.cause, cure: problem.cure }));
+    return findings.length > 0 ? Left(findings) : Right(deepFreeze(withAbsoluteDataFolder(settings, file)));
 }
 
-type Fault = { readonly path: readonly PropertyKey[]; readonly cause: string; readonly cure: string; };
+type SettingsProblem = { readonly path: readonly PropertyKey[]; readonly cause: string; readonly cure: string; };
 
-function controlFindings(settings: Settings): Fault[] {
-    const faults: Fault[] = [];
+function controlFindings(settings: Settings): SettingsProblem[] {
+    const problems: SettingsProblem[] = [];
     const names = settings.controls.map(control => control.name);
     const addresses = settings.controls.map(control => `${control.host}:${control.port}`);
     settings.controls.forEach((control, position) => {
         if (names.indexOf(control.name) !== position) {
-            faults.push({
+            problems.push({
                 path: ["controls", position, "name"],
                 cause: `control daemon ${control.name} is listed twice`,
                 cure: "give each control daemon a name of its own",
             });
         }
         if (addresses.indexOf(`${control.host}:${control.port}`) !== position) {
-            faults.push({
+            problems.push({
                 path: ["controls", position],
                 cause: `address ${control.host}:${control.port} is listed twice`,
                 cure: "give each control daemon an address of its own",
@@ -53,19 +53,19 @@
         }
     });
     if (settings.role === "control" && !names.includes(settings.name)) {
-        faults.push({
+        problems.push({
             path: ["controls"],
             cause: `doesn't list this control daemon, ${settings.name}`,
             cure: "list all control daemons, this one among them",
         });
     }
-    return faults;
+    return problems;
 }
 
-function timingFindings(timing: Timing): Fault[] {
-    const faults: Fault[] = [];
+function timingFindings(timing: Timing): SettingsProblem[] {
+    const problems: SettingsProblem[] = [];
     if (timing.viewInterval * 2 > timing.viewLease) {
-        faults.push({
+        problems.push({
             path: ["timing", "viewInterval"],
             cause:
                 `${timing.viewInterval} ms leaves no room for a lost question within a view lease of ${timing.viewLease} ms`,
@@ -73,7 +73,7 @@
         });
     }
     if (timing.sessionTimeout < timing.viewLease * (1 + timing.clockDrift)) {
-        faults.push({
+        problems.push({
             path: ["timing", "sessionTimeout"],
             cause:
                 `${timing.sessionTimeout} ms would give away leases that a daemon with a view lease of ${timing.viewLease} ms may still use`,
@@ -81,26 +81,26 @@
         });
     }
     if (timing.heartbeatInterval * 2 > timing.electionTimeout) {
-        faults.push({
+        problems.push({
             path: ["timing", "heartbeatInterval"],
             cause:
                 `${timing.heartbeatInterval} ms starts elections under a leader that is well, with an election timeout of ${timing.electionTimeout} ms`,
             cure: "set it to at most half of timing.electionTimeout",
         });
     }
-    return faults;
+    return problems;
 }
 
-function inAbsolutePaths(settings: Settings, file: string): Settings {
+function withAbsoluteDataFolder(settings: Settings, file: string): Settings {
     if (settings.role !== "control") {
         return settings;
     }
     return { ...settings, dataFolder: path.resolve(path.dirname(file), settings.dataFolder) };
 }
 
-function freeze<T>(value: T): T {
+function deepFreeze<T>(value: T): T {
     if (typeof value === "object" && Boolean(value)) {
-        Object.values(value as object).forEach(freeze);
+        Object.values(value as object).forEach(deepFreeze);
         Object.freeze(value);
     }
     return value;
--- a/packages/basilpaddle/src/node/daemon/start/settingsFile.ts
+++ b/packages/basilpaddle/src/node/daemon/start/settingsFile.ts
@@ -3,46 +3,48 @@
 import { type Finding, formatFinding } from "../../protocol/index.js";
 import { afterPoll, SystemClock } from "../../utils/index.js";
 
-/** Milliseconds between two looks at a file that isn't whole. */
-const lookInterval = 50;
-/** Milliseconds without a change after which nobody is taken to be writing the file. */
-const stillFor = 3_000;
-/** Milliseconds after which a file that goes on changing is given up too. */
-const longestWait = 10_000;
+/** Interval at which an incomplete file is read again. */
+const pollIntervalMilliseconds = 50;
+/** Time without a change after which the file is assumed not to be written any more. */
+const stableAfterMilliseconds = 3_000;
+/** Time after which waiting ends even if the file keeps changing. */
+const maximumWaitMilliseconds = 10_000;
 
-/** Is told once why a file isn't whole yet, before it is looked at again. */
+/** Called once with the reason why a file is incomplete, before the file is read again. */
 export type WaitNotice = (finding: Finding) => void;
 
-/** Tells a person at the terminal, or whoever collects this output, that the start waits for the file. */
-export function noticeOnStandardError(finding: Finding): void {
-    const wait = `it may be being written; looked at again until it has stood still for ${stillFor / 1_000} s`;
+/** Prints on standard error that the start waits for the file. */
+export function printWaitNotice(finding: Finding): void {
+    const wait = `it may still be being written; rereading it until it hasn't changed for ${
+        stableAfterMilliseconds / 1_000
+    } s`;
     process.stderr.write(`${formatFinding({ ...finding, cure: wait })}\n`);
 }
 
 /**
- * Reads the text of a JSON file as soon as it is whole. Whoever writes a file without renaming another one leaves a time in
- * which it is empty, cut short or absent, and a daemon that starts just then would end. Gives what there is, or why
- * there is nothing, once the file stands still.
+ * Reads the text of a JSON file once it is complete. A file that is written in place, rather than renamed into place, is
+ * empty, truncated or absent for a while, and a daemon that starts in that time would fail. Once the file has stopped
+ * changing, returns its text as it is, or why it can't be read.
  */
-export async function readWhenWhole(file: string, notice: WaitNotice): Promise<Either<Finding, string>> {
+export async function readWhenComplete(file: string, notice: WaitNotice): Promise<Either<Finding, string>> {
     const clock = SystemClock.create();
-    const since = clock.monotonic();
-    let found = await readText(file);
-    let changedAt = since;
-    for (let looks = 1; !isWhole(found); looks++) {
+    const startedAt = clock.monotonic();
+    let current = await readText(file);
+    let changedAt = startedAt;
+    for (let reads = 1; !isValidJson(current); reads++) {
         const now = clock.monotonic();
-        if (now - changedAt >= stillFor || now - since >= longestWait) {
-            return found;
+        if (now - changedAt >= stableAfterMilliseconds || now - startedAt >= maximumWaitMilliseconds) {
+            return current;
         }
-        if (looks === 1) {
-            notice(found.swap().orDefault({ file, place: "", cause: "isn't whole" }));
+        if (reads === 1) {
+            notice(current.swap().orDefault({ file, place: "", cause: "isn't complete JSON" }));
         }
-        await new Promise<void>(resolve => afterPoll(lookInterval, resolve));
+        await new Promise<void>(resolve => afterPoll(pollIntervalMilliseconds, resolve));
         const next = await readText(file);
-        changedAt = next.orDefault("") === found.orDefault("") ? changedAt : clock.monotonic();
-        found = next;
+        changedAt = next.orDefault("") === current.orDefault("") ? changedAt : clock.monotonic();
+        current = next;
     }
-    return found;
+    return current;
 }
 
 async function readText(file: string): Promise<Either<Finding, string>> {
@@ -59,7 +61,7 @@
     }
 }
 
-function isWhole(text: Either<Finding, string>): boolean {
+function isValidJson(text: Either<Finding, string>): boolean {
     try {
         JSON.parse(text.orDefault("").replace(/^\uFEFF/, ""));
         return true;
