--- a/packages/basilpaddle/src/node/daemon/operators/__tests__/operatorServer.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/__tests__/operatorServer.spec.ts
@@ -2,7 +2,7 @@
 import { Left, Right } from "purify-ts";
 import type { LinkFailure } from "../../../transport/index.js";
 import { createSilentLogger, RecordedMetrics, SystemClock } from "../../../utils/index.js";
-import { type ControlDoor, LeaderOperations } from "../leaderOperations.js";
+import { type ControlChannel, LeaderOperations } from "../leaderOperations.js";
 import { OperatorServer } from "../operatorServer.js";
 import type { ControlAnswer, DaemonStatus, OperatorAnswer, OperatorRequest } from "../operatorWire.js";
 
@@ -17,10 +17,10 @@
 
 type Answers = (request: OperatorRequest) => OperatorAnswer | ControlAnswer | LinkFailure["kind"];
 
-function door(name: string, answers: Answers, asked: string[] = []): ControlDoor {
+function fakeChannel(name: string, answers: Answers, asked: string[] = []): ControlChannel {
     return {
         name,
-        ask: request => {
+        send: request => {
             asked.push(name);
             const answer = answers(request);
             if (typeof answer === "string") {
@@ -32,7 +32,7 @@
 }
 
 function notLeader(leader?: string): ControlAnswer {
-    const answer: OperatorAnswer = { kind: "failure", code: "notLeader", message: "this one follows" };
+    const answer: OperatorAnswer = { kind: "failure", code: "notLeader", message: "this one is a follower" };
     return { kind: "operator", leading: false, leader, answer };
 }
 
@@ -44,12 +44,12 @@
     });
     afterEach(() => server?.close());
 
-    async function serve(...doors: ControlDoor[]): Promise<string> {
+    async function serve(...channels: ControlChannel[]): Promise<string> {
         server = await OperatorServer.create({
             address: { host: "127.0.0.1", port: 0 },
             logger: createSilentLogger(),
             metrics: RecordedMetrics.create(),
-            operations: LeaderOperations.create(doors, SystemClock.create()),
+            operations: LeaderOperations.create(channels, SystemClock.create()),
             daemon: () => daemon,
         });
         return `http://127.0.0.1:${server.port()}`;
@@ -63,7 +63,7 @@
         return { status: response.status, answer: await response.json() as OperatorAnswer };
     }
 
-    it("tells the balancer whether the daemon is ready, and why not", async () => {
+    it("reports to the load balancer whether the daemon is ready, and why not", async () => {
         const base = await serve();
         expect((await fetch(`${base}/healthz`)).status).to.equal(200);
         expect((await fetch(`${base}/readyz`)).status).to.equal(200);
@@ -73,12 +73,12 @@
         expect(await response.text()).to.equal("not ready: shutting down\n");
     });
 
-    it("merges the files itself and hands the change to the leader", async () => {
+    it("merges the files itself and forwards the change to the leader", async () => {
         const seen: OperatorRequest[] = [];
         const base = await serve(
-            door("control-1", () => notLeader("control-3")),
-            door("control-2", () => "refused"),
-            door("control-3", request => {
+            fakeChannel("control-1", () => notLeader("control-3")),
+            fakeChannel("control-2", () => "refused"),
+            fakeChannel("control-3", request => {
                 seen.push(request);
                 return accepted;
             }),
@@ -90,8 +90,8 @@
         expect(request?.kind === "apply" && request.change.declaration.pools["drafting"]?.queueLimit).to.equal(1_000);
     });
 
-    it("refuses bad bodies and files with findings, and goes on", async () => {
-        const base = await serve(door("control-1", () => accepted));
+    it("rejects malformed bodies and files with findings, and keeps serving", async () => {
+        const base = await serve(fakeChannel("control-1", () => accepted));
         expect((await post(`${base}/operator/v1/config`, "{")).status).to.equal(400);
         expect((await post(`${base}/operator/v1/config`, { ...change, operator: "" })).status).to.equal(400);
         const found = await post(`${base}/operator/v1/config`, { ...change, files: [{ name: "a.json", text: "{" }] });
@@ -103,10 +103,10 @@
         expect((await post(`${base}/operator/v1/config`, change)).status).to.equal(200);
     });
 
-    it("names the winner of a race", async () => {
+    it("names the winner of two conflicting changes", async () => {
         const winner = { operator: "bea", changeId: "c0" };
         const base = await serve(
-            door(
+            fakeChannel(
                 "control-1",
                 () => ({ kind: "applied", daemons: [], result: { kind: "conflict", revision: 4, winner } }),
             ),
@@ -116,26 +116,28 @@
         expect(answer.kind === "applied" && answer.result).to.deep.include({ winner });
     });
 
-    it("says that a change is undecided once one sending of it may have arrived", async () => {
-        // Symptom: a change that was called refused is in force.
-        // Sequence: the leader takes the change and dies before its answer; the others have no leader until the timeout.
-        // Cause: the last failure that was seen, `not leader`, stood for the whole search.
+    it("answers that a change is undecided once one attempt to send it may have arrived", async () => {
+        // Guards against a change that is reported as refused but is in force: the leader accepts it and crashes before it
+        // answers, the others have no leader until the timeout, and only the last failure, `notLeader`, is reported.
         let first = true;
         const base = await serve(
-            door("control-1", () => {
+            fakeChannel("control-1", () => {
                 const answer = first ? "lost" : "refused";
                 first = false;
                 return answer;
             }),
-            door("control-2", () => notLeader()),
+            fakeChannel("control-2", () => notLeader()),
         );
         const { status, answer } = await post(`${base}/operator/v1/config?timeout=300`, change);
         expect(status).to.equal(504);
         expect(answer).to.deep.include({ kind: "failure", code: "undecided" });
     });
 
-    it("says that nothing was changed when no control daemon took it", async () => {
-        const base = await serve(door("control-1", () => "refused"), door("control-2", () => notLeader()));
+    it("answers that nothing was changed if no control daemon received the change", async () => {
+        const base = await serve(
+            fakeChannel("control-1", () => "refused"),
+            fakeChannel("control-2", () => notLeader()),
+        );
         const { status, answer } = await post(`${base}/operator/v1/config?timeout=200`, change);
         expect(status).to.equal(503);
         expect(answer).to.deep.include({ kind: "failure", code: "unreachable" });
@@ -145,8 +147,8 @@
         const asked: string[] = [];
         const history: OperatorAnswer = { kind: "history", entries: [] };
         const base = await serve(
-            door("control-1", () => notLeader("control-2"), asked),
-            door("control-2", () => history, asked),
+            fakeChannel("control-1", () => notLeader("control-2"), asked),
+            fakeChannel("control-2", () => history, asked),
         );
         await fetch(`${base}/operator/v1/history`);
         const response = await fetch(`${base}/operator/v1/history`);
@@ -155,16 +157,15 @@
     });
 
     it("reads from a control daemon that doesn't lead only while none leads", async () => {
-        // Symptom: `config show` gives an old configuration after a newer one was accepted.
-        // Sequence: a control daemon is cut off; an operator asks an entry daemon, which asks that one first.
-        // Cause: the first answer was taken, whoever gave it.
+        // Guards against `config show` with an outdated configuration: an entry daemon first asked a control daemon that was
+        // partitioned from the others, and used its answer although it didn't lead.
         const old: OperatorAnswer = { kind: "history", entries: [] };
         const entry = { revision: 1, index: 3, at: 0, changeId: "c1", operator: "ana", note: "", files: [] };
         const current: OperatorAnswer = { kind: "history", entries: [entry] };
         let leads = true;
         const base = await serve(
-            door("control-1", () => ({ kind: "operator", leading: false, answer: old })),
-            door("control-2", () => leads ? current : "refused"),
+            fakeChannel("control-1", () => ({ kind: "operator", leading: false, answer: old })),
+            fakeChannel("control-2", () => leads ? current : "refused"),
         );
         const history = async (): Promise<unknown> => (await fetch(`${base}/operator/v1/history`)).json();
         expect(await history()).to.deep.equal(current);
--- a/packages/basilpaddle/src/node/daemon/operators/body.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/body.ts
@@ -1,22 +1,26 @@
 import type { IncomingMessage } from "node:http";
 
-/** Largest body of an operator's request, in bytes. A change has to fit into one frame between daemons with its merged form. */
-export const bodyLimit = 4 * 1024 * 1024;
+/** Maximum size of the body of an operator's request. A change and its merged form together must fit into one frame between daemons. */
+export const bodyLimitBytes = 4 * 1024 * 1024;
 
-/** A body that was read, or why it wasn't. */
+/** The parsed body, or the HTTP status and message of the refusal. */
 export type Body =
     | { readonly kind: "read"; readonly value: unknown; }
     | { readonly kind: "refused"; readonly status: 400 | 408 | 413; readonly message: string; };
 
-/** Reads a JSON body. */
+/** Reads and parses a JSON body of at most `bodyLimitBytes`. */
 export async function readBody(request: IncomingMessage): Promise<Body> {
     const chunks: Buffer[] = [];
     let bytes = 0;
     try {
         for await (const chunk of request as AsyncIterable<Buffer>) {
             bytes += chunk.length;
-            if (bytes > bodyLimit) {
-                return { kind: "refused", status: 413, message: `the body is over the limit of ${bodyLimit} bytes` };
+            if (bytes > bodyLimitBytes) {
+                return {
+                    kind: "refused",
+                    status: 413,
+                    message: `the body is over the limit of ${bodyLimitBytes} bytes`,
+                };
             }
             chunks.push(chunk);
         }
--- a/packages/basilpaddle/src/node/daemon/operators/controlOperations.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/controlOperations.ts
@@ -9,45 +9,45 @@
     type OperatorRequest,
 } from "./operatorWire.js";
 
-/** Milliseconds for the round by which a leader makes sure that it still leads. */
-const confirmTimeout = 500;
+/** Timeout of the round trip to a quorum by which a leader confirms that it still leads. */
+const leadershipTimeoutMilliseconds = 500;
 
-/** What carries out operators' requests at one control daemon. */
-export type ControlOperationsParts = {
+/** Options of `ControlOperations`: the control daemon at which requests are carried out, with its name and clock. */
+export type ControlOperationsOptions = {
     readonly name: string;
     readonly daemon: Pick<ControlDaemon, "status" | "propose">;
     readonly clock: Clock;
 };
 
-/** Carries out operators' requests at this control daemon alone. */
+/** Carries out operators' requests at this control daemon, without forwarding them. */
 export class ControlOperations {
-    private constructor(private readonly parts: ControlOperationsParts) {}
+    private constructor(private readonly options: ControlOperationsOptions) {}
 
-    static create(parts: ControlOperationsParts): ControlOperations {
-        return new ControlOperations(parts);
+    static create(options: ControlOperationsOptions): ControlOperations {
+        return new ControlOperations(options);
     }
 
-    /** Answers; a change only if this control daemon leads. */
+    /** Answers a request; changes are answered with `notLeader` unless this control daemon leads. */
     async handle(request: OperatorRequest): Promise<ControlAnswer> {
         const changing = request.kind === "apply" || request.kind === "drain";
         const leading = await this.leads();
         const { leader } = this.status().standing();
         const answer = changing && !leading
-            ? failure("notLeader", `${this.parts.name} doesn't lead`)
+            ? failure("notLeader", `${this.options.name} doesn't lead`)
             : await this.answer(request, leading);
         return { kind: "operator", leading, leader, answer };
     }
 
-    // A leader that was frozen doesn't know that it was replaced; its state would be shown as the newest.
+    // A leader whose process was suspended may not know that it was replaced, and would report its old state as current.
     private async leads(): Promise<boolean> {
-        return this.status().standing().leading && await this.status().confirmLeadership(confirmTimeout);
+        return this.status().standing().leading && await this.status().confirmLeadership(leadershipTimeoutMilliseconds);
     }
 
     private async answer(request: OperatorRequest, leading: boolean): Promise<OperatorAnswer> {
         const status = this.status();
         switch (request.kind) {
             case "status":
-                return { kind: "status", status: deploymentStatus(this.parts.name, status, leading) };
+                return { kind: "status", status: deploymentStatus(this.options.name, status, leading) };
             case "configuration":
                 return configurationAnswer(status);
             case "history":
@@ -62,19 +62,19 @@
     }
 
     private async apply(change: Change): Promise<OperatorAnswer> {
-        const command = { kind: "changeConfiguration", change, at: this.parts.clock.wall() } as const;
-        const proposal = await this.parts.daemon.propose(command);
+        const command = { kind: "changeConfiguration", change, at: this.options.clock.wall() } as const;
+        const proposal = await this.options.daemon.propose(command);
         switch (proposal.kind) {
             case "findings":
                 return { ...failure("findings", "the configuration has findings"), findings: [...proposal.findings] };
             case "notLeader":
-                return failure("notLeader", `${this.parts.name} doesn't lead`);
+                return failure("notLeader", `${this.options.name} doesn't lead`);
             case "undecided":
                 return failure("undecided", proposal.reason);
             case "result": {
                 const { result } = proposal;
-                const accepted = result.kind === "accepted" ? result.revision : Number.POSITIVE_INFINITY;
-                const daemons = this.status().sessions().filter(session => (session.revision ?? 0) >= accepted);
+                const acceptedRevision = result.kind === "accepted" ? result.revision : Number.POSITIVE_INFINITY;
+                const daemons = this.status().sessions().filter(session => (session.revision ?? 0) >= acceptedRevision);
                 return { kind: "applied", result, daemons: daemons.map(({ session }) => session.daemon).sort() };
             }
         }
@@ -86,19 +86,19 @@
             return failure("unknownBackend", `there is no backend server ${id} (see \`basilpaddle status\`)`);
         }
         const { incarnation } = backend.announcement;
-        const proposal = await this.parts.daemon.propose({
+        const proposal = await this.options.daemon.propose({
             kind: "markBackend",
             id,
             incarnation,
             mark: "leaving",
             by: operator,
-            at: this.parts.clock.wall(),
+            at: this.options.clock.wall(),
         });
         if (proposal.kind === "undecided") {
             return failure("undecided", proposal.reason);
         }
         if (proposal.kind !== "result") {
-            return failure("notLeader", `${this.parts.name} doesn't lead`);
+            return failure("notLeader", `${this.options.name} doesn't lead`);
         }
         return proposal.result.kind === "stale"
             ? failure("unknownBackend", `${id} has changed meanwhile: ${proposal.result.reason}`)
@@ -106,23 +106,23 @@
     }
 
     private status(): ControlStatus {
-        return this.parts.daemon.status();
+        return this.options.daemon.status();
     }
 }
 
 function deploymentStatus(name: string, status: ControlStatus, leading: boolean): DeploymentStatus {
-    const standing = status.standing();
+    const replica = status.standing();
     const { revision, inForceEverywhere, waitingFor } = status.configuration();
     return {
         answeredBy: name,
         leading,
-        leader: standing.leader,
-        term: standing.term,
-        voters: [...standing.voters],
-        learners: [...standing.learners],
-        committedIndex: standing.committedIndex,
+        leader: replica.leader,
+        term: replica.term,
+        voters: [...replica.voters],
+        learners: [...replica.learners],
+        committedIndex: replica.committedIndex,
         revision,
-        // Entry daemons are heard by all control daemons, but only a leader knows what has been accepted.
+        // Entry daemons send heartbeats to all control daemons, but only a leader knows which revision was accepted last.
         inForceEverywhere: leading && inForceEverywhere,
         waitingFor: [...waitingFor],
         sessions: status.sessions().map(({ session, failureDomain, revision, silence }) => ({
--- a/packages/basilpaddle/src/node/daemon/operators/leaderOperations.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/leaderOperations.ts
@@ -10,92 +10,95 @@
     type OperatorRequest,
 } from "./operatorWire.js";
 
-/** Milliseconds between two rounds over all control daemons while none of them leads. */
-const roundPause = 100;
-/** Milliseconds that one control daemon gets for a reading request before the next one is asked. */
-const readTimeout = 1_000;
+/** Pause between two rounds over all control daemons while none of them leads. */
+const roundIntervalMilliseconds = 100;
+/** Time that one control daemon gets for a read request before the next one is asked. */
+const readTimeoutMilliseconds = 1_000;
 
-/** One control daemon that can be asked: this process itself, or another one over its link. */
-export type ControlDoor = {
+/** Channel for requests to one control daemon: to this process itself, or to another one over its link. */
+export type ControlChannel = {
     readonly name: string;
-    readonly ask: (request: OperatorRequest, timeout: number) => Promise<Either<LinkFailure, ControlAnswer>>;
+    readonly send: (request: OperatorRequest, timeout: number) => Promise<Either<LinkFailure, ControlAnswer>>;
 };
 
-/** Finds the leader of the control daemons and lets it carry the request out. */
+/** Finds the leader of the control daemons and forwards the request to it. Read requests fall back to a follower's answer. */
 export class LeaderOperations extends Operations {
     private lastLeader: string | undefined;
 
-    private constructor(private readonly doors: readonly ControlDoor[], private readonly clock: Clock) {
+    private constructor(private readonly channels: readonly ControlChannel[], private readonly clock: Clock) {
         super();
     }
 
-    static create(doors: readonly ControlDoor[], clock: Clock): LeaderOperations {
-        return new LeaderOperations(doors, clock);
+    static create(channels: readonly ControlChannel[], clock: Clock): LeaderOperations {
+        return new LeaderOperations(channels, clock);
     }
 
     override async handle(request: OperatorRequest, timeout: number): Promise<OperatorAnswer> {
-        const search = new Search(request, this.clock.monotonic() + timeout);
+        const search = new LeaderSearch(request, this.clock.monotonic() + timeout);
         do {
-            const answer = await this.round(search);
+            const answer = await this.tryAllChannels(search);
             if (answer !== undefined) {
                 return answer;
             }
-            if (search.secondBest !== undefined && !isChange(request)) {
-                return search.secondBest;
+            if (search.fallbackAnswer !== undefined && !isChange(request)) {
+                return search.fallbackAnswer;
             }
-            await new Promise<void>(resolve => this.clock.after(roundPause, resolve));
-        } while (this.clock.monotonic() < search.until);
+            await new Promise<void>(resolve => this.clock.after(roundIntervalMilliseconds, resolve));
+        } while (this.clock.monotonic() < search.deadline);
         return search.failure();
     }
 
-    private async round(search: Search): Promise<OperatorAnswer | undefined> {
-        const open = new Map(this.doors.map(door => [door.name, door]));
-        let next = open.get(this.lastLeader ?? "") ?? this.doors[0];
+    private async tryAllChannels(search: LeaderSearch): Promise<OperatorAnswer | undefined> {
+        const untried = new Map(this.channels.map(channel => [channel.name, channel]));
+        let next = untried.get(this.lastLeader ?? "") ?? this.channels[0];
         while (next !== undefined) {
-            open.delete(next.name);
-            const answer = await this.ask(next, search);
-            const final = search.take(answer);
+            untried.delete(next.name);
+            const answer = await this.sendTo(next, search);
+            const final = search.handleReply(answer);
             if (final !== undefined) {
                 this.lastLeader = next.name;
                 return final;
             }
-            next = open.get(search.hint ?? "") ?? [...open.values()][0];
+            next = untried.get(search.leaderHint ?? "") ?? [...untried.values()][0];
         }
         return undefined;
     }
 
-    private ask(door: ControlDoor, search: Search): Promise<Either<LinkFailure, ControlAnswer>> {
-        const left = Math.max(1, search.until - this.clock.monotonic());
-        return door.ask(search.request, isChange(search.request) ? left : Math.min(left, readTimeout));
+    private sendTo(channel: ControlChannel, search: LeaderSearch): Promise<Either<LinkFailure, ControlAnswer>> {
+        const remaining = Math.max(1, search.deadline - this.clock.monotonic());
+        return channel.send(
+            search.request,
+            isChange(search.request) ? remaining : Math.min(remaining, readTimeoutMilliseconds),
+        );
     }
 }
 
-/** One request on its way to the leader, with what was learned so far. */
-class Search {
-    /** Who the last one asked believes to be the leader. */
-    hint: string | undefined;
-    /** An answer to a reading request by a control daemon that doesn't lead. */
-    secondBest: OperatorAnswer | undefined;
-    private delivered = false;
+/** State of the search for the leader that answers one request. */
+class LeaderSearch {
+    /** The leader according to the last control daemon that answered. */
+    leaderHint: string | undefined;
+    /** The first answer to a read request by a control daemon that doesn't lead. */
+    fallbackAnswer: OperatorAnswer | undefined;
+    private possiblyDelivered = false;
     private message = "no control daemon answered";
 
-    constructor(readonly request: OperatorRequest, readonly until: number) {}
+    constructor(readonly request: OperatorRequest, readonly deadline: number) {}
 
-    take(answer: Either<LinkFailure, ControlAnswer>): OperatorAnswer | undefined {
+    handleReply(answer: Either<LinkFailure, ControlAnswer>): OperatorAnswer | undefined {
         return answer.caseOf({
             Left: failure => {
-                this.delivered ||= failure.kind === "lost" || failure.kind === "timeout";
+                this.possiblyDelivered ||= failure.kind === "lost" || failure.kind === "timeout";
                 this.message = failure.message;
                 return undefined;
             },
-            Right: value => this.takeAnswer(value),
+            Right: value => this.handleAnswer(value),
         });
     }
 
-    // After a lost answer the change may or may not be held by a quorum: calling it refused would make an operator send
-    // it again as another one.
+    // After a lost answer the change may have reached a quorum. Reporting it as refused would make an operator send it again
+    // as a new change.
     failure(): OperatorFailure {
-        const undecided = this.delivered && isChange(this.request);
+        const undecided = this.possiblyDelivered && isChange(this.request);
         return {
             kind: "failure",
             code: undecided ? "undecided" : "unreachable",
@@ -105,17 +108,17 @@
         };
     }
 
-    private takeAnswer({ leading, leader, answer }: ControlAnswer): OperatorAnswer | undefined {
+    private handleAnswer({ leading, leader, answer }: ControlAnswer): OperatorAnswer | undefined {
         if (answer.kind === "failure" && (answer.code === "notLeader" || answer.code === "undecided")) {
-            // An undecided change is sent again: its identifier makes it the same one.
-            this.delivered ||= answer.code === "undecided";
-            this.hint = leader;
+            // An undecided change is sent again; its identifier makes this idempotent.
+            this.possiblyDelivered ||= answer.code === "undecided";
+            this.leaderHint = leader;
             this.message = answer.message;
             return undefined;
         }
         if (!leading && !isChange(this.request)) {
-            this.hint = leader;
-            this.secondBest ??= answer;
+            this.leaderHint = leader;
+            this.fallbackAnswer ??= answer;
             return undefined;
         }
         return answer;
@@ -126,18 +129,18 @@
     return request.kind === "apply" || request.kind === "drain";
 }
 
-/** A door to a control daemon over its link. */
-export function linkDoor(name: string, link: Link): ControlDoor {
+/** Creates the channel to another control daemon over its link. */
+export function createLinkChannel(name: string, link: Link): ControlChannel {
     return {
         name,
-        ask: async (request, timeout) => {
+        send: async (request, timeout) => {
             const answer = await link.request({ kind: "operator", request }, timeout);
-            return answer.map(value => readAnswer(name, value));
+            return answer.map(value => parseControlAnswer(name, value));
         },
     };
 }
 
-function readAnswer(name: string, value: unknown): ControlAnswer {
+function parseControlAnswer(name: string, value: unknown): ControlAnswer {
     const parsed = controlAnswerSchema.safeParse(value);
     return parsed.success ? parsed.data : {
         kind: "operator",
--- a/packages/basilpaddle/src/node/daemon/operators/operations.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/operations.ts
@@ -1,7 +1,7 @@
 import type { OperatorAnswer, OperatorRequest } from "./operatorWire.js";
 
-/** Carries out what operators ask. */
+/** Carries out operators' requests. */
 export abstract class Operations {
-    /** Answers within about the given milliseconds; never throws for a reason outside this process. */
+    /** Answers within about `timeout` milliseconds. Failures outside this process are answered, never thrown. */
     abstract handle(request: OperatorRequest, timeout: number): Promise<OperatorAnswer>;
 }
--- a/packages/basilpaddle/src/node/daemon/operators/operatorServer.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/operatorServer.ts
@@ -5,27 +5,27 @@
 import { mergeFiles } from "../../state/index.js";
 import type { Logger, RecordedMetrics } from "../../utils/index.js";
 import { readBody } from "./body.js";
-import { answerHeld } from "./heldCalls.js";
 import type { Operations } from "./operations.js";
 import { type DaemonStatus, type OperatorAnswer, operatorRequestSchema, postedChangeSchema } from "./operatorWire.js";
-
-/** Milliseconds for a request of an operator when it doesn't say another number. */
-export const defaultTimeout = 10_000;
-/** Most milliseconds that a request may ask for. */
-const longestTimeout = 120_000;
-/** Milliseconds for an operator's whole request to arrive. */
-const receiveTimeout = 30_000;
+import { answerQuarantineCall } from "./quarantineCalls.js";
+
+/** Timeout of an operator's request that names none. */
+export const defaultTimeoutMilliseconds = 10_000;
+/** Maximum timeout that a request may name. */
+const maximumTimeoutMilliseconds = 120_000;
+/** Time within which an operator's whole request has to arrive. */
+const requestTimeoutMilliseconds = 30_000;
 const prefix = "/operator/v1/";
 
-/** What an operators' server stands on. */
+/** Options of an operators' server. */
 export type OperatorServerOptions = {
     readonly address: Address;
     readonly logger: Logger;
     readonly metrics: RecordedMetrics;
     readonly operations: Operations;
-    /** This daemon's copy of the requests that are held back. @default it has none, and tells of none */
-    readonly held?: HeldRequests | undefined;
-    /** What this daemon says of itself now. */
+    /** This daemon's copy of the quarantined requests. @default none, and calls about them aren't served */
+    readonly quarantine?: HeldRequests | undefined;
+    /** Returns the current status of this daemon. */
     readonly daemon: () => DaemonStatus;
 };
 
@@ -41,7 +41,7 @@
     metrics: "text/plain; version=0.0.4; charset=utf-8",
 } as const;
 
-/** The HTTP interface of a daemon for operators and for the platform's balancer. */
+/** HTTP interface of a daemon for operators and for the platform's load balancer. */
 export class OperatorServer {
     private constructor(private readonly server: http.Server, private readonly options: OperatorServerOptions) {
         server.on("request", (request: http.IncomingMessage, response: http.ServerResponse) => {
@@ -49,9 +49,12 @@
         });
     }
 
-    /** Listens at once; with port 0 the system chooses one, which `port()` tells. */
+    /** Resolves once the server listens. With port 0 the system chooses one; see `port()`. */
     static async create(options: OperatorServerOptions): Promise<OperatorServer> {
-        const server = http.createServer({ requestTimeout: receiveTimeout, headersTimeout: receiveTimeout });
+        const server = http.createServer({
+            requestTimeout: requestTimeoutMilliseconds,
+            headersTimeout: requestTimeoutMilliseconds,
+        });
         const created = new OperatorServer(server, options);
         await new Promise<void>((resolve, reject) => {
             server.once("error", reject);
@@ -65,7 +68,7 @@
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Stops listening and ends every connection. */
+    /** Stops listening and closes all connections. */
     async close(): Promise<void> {
         const closed = new Promise<void>(resolve => this.server.close(() => resolve()));
         this.server.closeAllConnections();
@@ -78,7 +81,7 @@
             reply = await this.answer(request);
         }
         catch (error) {
-            this.options.logger.error("an operator's request failed", { error, url: request.url });
+            this.options.logger.error("failed to handle an operator's request", { error, url: request.url });
             reply = failure(500, "badRequest", "the daemon failed to answer; its log says why");
         }
         const body = reply.type === "json" ? `${JSON.stringify(reply.body)}\n` : String(reply.body);
@@ -91,14 +94,15 @@
     }
 
     private async answer(request: http.IncomingMessage): Promise<Reply> {
-        const held = this.options.held && await answerHeld(this.options.held, request);
-        if (held !== undefined) {
-            return { ...held, type: "json" };
+        const quarantineReply = this.options.quarantine
+            && await answerQuarantineCall(this.options.quarantine, request);
+        if (quarantineReply !== undefined) {
+            return { ...quarantineReply, type: "json" };
         }
         const url = new URL(request.url ?? "/", "http://operators");
-        const reading = request.method === "GET" || request.method === "HEAD";
-        if (reading) {
-            const own = this.ownReply(url.pathname);
+        const isRead = request.method === "GET" || request.method === "HEAD";
+        if (isRead) {
+            const own = this.localReply(url.pathname);
             if (own !== undefined) {
                 return own;
             }
@@ -107,18 +111,18 @@
             return failure(404, "notFound", `there is nothing at ${url.pathname}`);
         }
         const name = url.pathname.slice(prefix.length);
-        const timeout = timeoutOf(url.searchParams.get("timeout") ?? undefined);
-        if (reading) {
+        const timeout = parseTimeout(url.searchParams.get("timeout") ?? undefined);
+        if (isRead) {
             const query = Object.fromEntries(url.searchParams);
-            return this.ask(name === "config" ? "configuration" : name, query, timeout);
+            return this.handleRead(name === "config" ? "configuration" : name, query, timeout);
         }
         if (request.method === "POST") {
-            return this.post(name, request, timeout);
+            return this.handlePost(name, request, timeout);
         }
         return failure(405, "badRequest", `${request.method} isn't possible here`);
     }
 
-    private ownReply(pathname: string): Reply | undefined {
+    private localReply(pathname: string): Reply | undefined {
         switch (pathname) {
             case "/healthz":
                 return { status: 200, type: "text", body: "ok\n" };
@@ -134,7 +138,7 @@
         }
     }
 
-    private async ask(name: string, query: Record<string, string>, timeout: number): Promise<Reply> {
+    private async handleRead(name: string, query: Record<string, string>, timeout: number): Promise<Reply> {
         if (!["status", "configuration", "history", "audit"].includes(name)) {
             return failure(404, "notFound", `there is nothing at ${prefix}${name}`);
         }
@@ -144,11 +148,12 @@
         }
         const answer = await this.options.operations.handle(request.data, timeout);
         const reply = this.replyOf(answer);
-        // The asked daemon's own word also goes along with a failure: a daemon that is cut off can still be looked at.
+        // The status of this daemon is added to failures as well, so that a daemon without a connection to the control daemons
+        // can still be inspected.
         return name === "status" ? { ...reply, body: { ...answer, daemon: this.options.daemon() } } : reply;
     }
 
-    private async post(name: string, request: http.IncomingMessage, timeout: number): Promise<Reply> {
+    private async handlePost(name: string, request: http.IncomingMessage, timeout: number): Promise<Reply> {
         const body = await readBody(request);
         if (body.kind !== "read") {
             return failure(body.status, "badRequest", body.message);
@@ -161,7 +166,7 @@
         }
         const drain = operatorRequestSchema.safeParse({ ...body.value as object, kind: "drain" });
         if (!drain.success) {
-            return failure(400, "badRequest", drain.error.issues.map(describe).join("; "));
+            return failure(400, "badRequest", drain.error.issues.map(formatIssue).join("; "));
         }
         return this.replyOf(await this.options.operations.handle(drain.data, timeout));
     }
@@ -169,14 +174,14 @@
     private async apply(value: unknown, timeout: number): Promise<Reply> {
         const posted = postedChangeSchema.safeParse(value);
         if (!posted.success) {
-            return failure(400, "badRequest", posted.error.issues.map(describe).join("; "));
+            return failure(400, "badRequest", posted.error.issues.map(formatIssue).join("; "));
         }
         return mergeFiles(posted.data.files).caseOf<Promise<Reply> | Reply>({
             Left: findings => failure(422, "findings", "the files have findings", findings),
             Right: async declaration => {
                 const change = { ...posted.data, declaration };
                 const answer = await this.options.operations.handle({ kind: "apply", change }, timeout);
-                this.options.logger.info("an operator sent a change", {
+                this.options.logger.info("answered an operator's change", {
                     operator: change.operator,
                     changeId: change.changeId,
                     base: change.base,
@@ -223,11 +228,13 @@
     return { status, type: "json", body: { kind: "failure", code, message, findings } };
 }
 
-function describe(issue: { readonly path: readonly PropertyKey[]; readonly message: string; }): string {
+function formatIssue(issue: { readonly path: readonly PropertyKey[]; readonly message: string; }): string {
     return `${issue.path.map(String).join(".")}: ${issue.message}`;
 }
 
-function timeoutOf(text: string | undefined): number {
-    const asked = text === undefined ? defaultTimeout : Number(text);
-    return Number.isFinite(asked) && asked > 0 ? Math.min(asked, longestTimeout) : defaultTimeout;
+function parseTimeout(text: string | undefined): number {
+    const asked = text === undefined ? defaultTimeoutMilliseconds : Number(text);
+    return Number.isFinite(asked) && asked > 0
+        ? Math.min(asked, maximumTimeoutMilliseconds)
+        : defaultTimeoutMilliseconds;
 }
--- a/packages/basilpaddle/src/node/daemon/operators/operatorWire.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/operatorWire.ts
@@ -7,15 +7,15 @@
     viewSchema,
 } from "../../protocol/index.js";
 import { auditEntrySchema, auditTopics, historyEntrySchema } from "../../state/index.js";
-import { heldAnswerSchema, releasedAnswerSchema } from "./heldWire.js";
+import { quarantinedAnswerSchema, releasedAnswerSchema } from "./quarantineWire.js";
 
 const index = z.int().min(0);
 const limit = z.coerce.number().int().min(1).max(1_000).default(50);
 
-/** A change as an operator posts it; the daemon merges the files itself, so that history and declaration can't differ. */
+/** A change as posted by an operator. The daemon merges the files itself, so that the stored files and declaration can't differ. */
 export const postedChangeSchema = changeSchema.omit({ declaration: true });
 
-/** What an operator asks of the deployment. */
+/** A request of an operator to the deployment. */
 export const operatorRequestSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("status") }),
     z.object({ kind: z.literal("configuration") }),
@@ -27,22 +27,22 @@
         topic: z.enum(auditTopics).optional(),
     }),
     z.object({ kind: z.literal("apply"), change: changeSchema }),
-    /** Takes a backend server out: it gets no new work, as if it had said itself that it is leaving. */
+    /** Drains a backend server: it gets no new work, as if it had announced that it is leaving. */
     z.object({ kind: z.literal("drain"), backend: z.string().min(1).max(200), operator: z.string().min(1).max(200) }),
 ]);
 
-/** A session of an entry daemon, as the leader knows it. */
+/** A session of an entry daemon, as known to the control daemon that answers. */
 export const sessionStatusSchema = z.object({
     daemon: z.string(),
     incarnation: z.string(),
     failureDomain: z.string(),
-    /** Revision that it last confirmed as applied; left out where this control daemon hasn't heard from it. */
+    /** Revision that it last confirmed as applied; absent if this control daemon has received no heartbeat of it. */
     revision: index.optional(),
-    /** Milliseconds since it was last heard. */
+    /** Milliseconds since its last heartbeat. */
     silence: z.number().optional(),
 });
 
-/** What the control daemons know of the deployment. */
+/** State of the deployment, as known to the control daemon that answers. */
 export const statusSchema = z.object({
     /** The control daemon that answered. */
     answeredBy: z.string(),
@@ -52,16 +52,16 @@
     voters: z.array(z.string()),
     learners: z.array(z.string()),
     committedIndex: index,
-    /** The newest accepted revision, and whether it is in force on every daemon that may start work. */
+    /** The latest accepted revision, and whether it is in force on every daemon that may start work. */
     revision: index,
     inForceEverywhere: z.boolean(),
-    /** Daemons with an open session that haven't confirmed it. */
+    /** Daemons with an open session that haven't confirmed this revision. */
     waitingFor: z.array(z.string()),
     sessions: z.array(sessionStatusSchema),
     view: viewSchema,
 });
 
-/** Why an operator's request was not carried out. */
+/** Reasons why an operator's request was not carried out. */
 export const operatorFailureCodes = [
     "notLeader",
     "unreachable",
@@ -72,7 +72,7 @@
     "notFound",
 ] as const;
 
-/** What the daemon that was asked says of itself. */
+/** Status of the daemon that received the operator's request. */
 export const daemonStatusSchema = z.object({
     name: z.string(),
     role: z.enum(["control", "entry"]),
@@ -99,10 +99,10 @@
     z.object({
         kind: z.literal("applied"),
         result: commandResultSchema,
-        /** With `accepted`, which is answered once the change is in force: the entry daemons that confirmed it. */
+        /** Entry daemons that confirmed the change, if it was accepted; that is answered only once the change is in force. */
         daemons: z.array(z.string()),
     }),
-    heldAnswerSchema,
+    quarantinedAnswerSchema,
     releasedAnswerSchema,
     z.object({ kind: z.literal("drained"), backend: z.string(), incarnation: index }),
     z.object({
@@ -114,31 +114,31 @@
     }),
 ]);
 
-/** A request of an operator on its way between daemons. */
+/** A request of an operator, forwarded between daemons. */
 export const controlRequestSchema = z.object({ kind: z.literal("operator"), request: operatorRequestSchema });
-/** Its answer by one control daemon. */
+/** The answer of one control daemon to a forwarded request. */
 export const controlAnswerSchema = z.object({
     kind: z.literal("operator"),
-    /** Whether it led throughout a round trip to a quorum that began after the request came. */
+    /** Whether it led throughout a round trip to a quorum that began after the request arrived. */
     leading: z.boolean(),
-    /** Who leads, as far as it knows. */
+    /** The leader, as far as it knows. */
     leader: z.string().optional(),
     answer: operatorAnswerSchema,
 });
 
-/** A change as an operator posts it. */
+/** A change as posted by an operator. */
 export type PostedChange = z.infer<typeof postedChangeSchema>;
-/** What an operator asks of the deployment. */
+/** A request of an operator to the deployment. */
 export type OperatorRequest = z.infer<typeof operatorRequestSchema>;
 /** The answer to an operator. */
 export type OperatorAnswer = z.infer<typeof operatorAnswerSchema>;
 /** The answer of one control daemon to a request of an operator. */
 export type ControlAnswer = z.infer<typeof controlAnswerSchema>;
-/** Why a request was not carried out. */
+/** An answer that says why a request was not carried out. */
 export type OperatorFailure = Extract<OperatorAnswer, { kind: "failure"; }>;
-/** What the control daemons know of the deployment. */
+/** State of the deployment, as known to the control daemon that answers. */
 export type DeploymentStatus = z.infer<typeof statusSchema>;
-/** A session of an entry daemon, as the leader knows it. */
+/** A session of an entry daemon, as known to the control daemon that answers. */
 export type SessionStatus = z.infer<typeof sessionStatusSchema>;
-/** What the daemon that was asked says of itself. */
+/** Status of the daemon that received the operator's request. */
 export type DaemonStatus = z.infer<typeof daemonStatusSchema>;
--- a/packages/basilpaddle/src/node/daemon/operators/heldCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/quarantineCalls.ts
@@ -1,22 +1,25 @@
 import type { IncomingMessage } from "node:http";
 import type { HeldRequests } from "../../coordination/index.js";
 import { readBody } from "./body.js";
-import { releaseSchema } from "./heldWire.js";
+import { releaseSchema } from "./quarantineWire.js";
 
-const heldPath = "/operator/v1/held";
+const quarantinedRequestsPath = "/operator/v1/held";
 const releasePath = "/operator/v1/release";
 
-/** An answer to an operator. */
-export type HeldReply = { readonly status: number; readonly body: unknown; };
+/** HTTP status and JSON body of an answer to an operator. */
+export type QuarantineReply = { readonly status: number; readonly body: unknown; };
 
 /**
- * Answers operators' calls about requests that are held back: which they are, and that one may run again. Any daemon's
- * answer holds for all, since they tell each other. Undefined where the call is another one.
+ * Answers operators' calls that list the quarantined requests or release one. Any daemon can be asked, since daemons
+ * share these records with each other. Resolves with undefined for any other call.
  */
-export async function answerHeld(held: HeldRequests, request: IncomingMessage): Promise<HeldReply | undefined> {
+export async function answerQuarantineCall(
+    quarantine: HeldRequests,
+    request: IncomingMessage,
+): Promise<QuarantineReply | undefined> {
     const path = (request.url ?? "").split("?", 1)[0];
-    if (request.method === "GET" && path === heldPath) {
-        return { status: 200, body: { kind: "held", requests: held.held() } };
+    if (request.method === "GET" && path === quarantinedRequestsPath) {
+        return { status: 200, body: { kind: "held", requests: quarantine.held() } };
     }
     if (request.method !== "POST" || path !== releasePath) {
         return undefined;
@@ -31,5 +34,8 @@
         return { status: 400, body: { kind: "failure", code: "badRequest", message } };
     }
     const { digest, operator } = release.data;
-    return { status: 200, body: { kind: "released", digest, wasSuspected: held.release(digest, operator) } };
+    return {
+        status: 200,
+        body: { kind: "released", digest, wasSuspected: quarantine.release(digest, operator) },
+    };
 }
--- a/packages/basilpaddle/src/node/daemon/operators/heldWire.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/quarantineWire.ts
@@ -1,26 +1,26 @@
 import { z } from "zod";
 import { crashSchema } from "../../protocol/index.js";
 
-/** Requests that are held back since backend servers ended under them. */
-export const heldAnswerSchema = z.object({
+/** Requests that are quarantined because backend servers crashed while running them. */
+export const quarantinedAnswerSchema = z.object({
     kind: z.literal("held"),
     requests: z.array(z.object({
-        /** The request, as the lines of its attempts name their content. */
+        /** Digest of the request's content, as in the log field `content` of its attempts. */
         digest: z.string(),
-        /** Milliseconds until it may run again. */
+        /** Milliseconds until the quarantine ends. */
         left: z.number(),
         crashes: z.array(crashSchema),
     })),
 });
 
-/** What became of a release; `wasSuspected`: whether anything spoke against the request here. */
+/** Outcome of a release; `wasSuspected`: whether this daemon had crash records of the request. */
 export const releasedAnswerSchema = z.object({
     kind: z.literal("released"),
     digest: z.string(),
     wasSuspected: z.boolean(),
 });
 
-/** An operator's word that a request may run again. */
+/** An operator's release of a quarantined request. */
 export const releaseSchema = z.object({
     digest: z.string().min(1).max(200),
     operator: z.string().min(1).max(200),
--- a/packages/basilpaddle/src/node/daemon/start/controlStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/controlStart.ts
@@ -4,12 +4,12 @@
 import type { Logger } from "../../utils/index.js";
 import { ControlDaemon } from "../control/index.js";
 import {
-    type ControlDoor,
+    type ControlChannel,
     ControlOperations,
     controlRequestSchema,
+    createLinkChannel,
     type DaemonStatus,
     LeaderOperations,
-    linkDoor,
     OperatorServer,
 } from "../operators/index.js";
 import { AssembledDaemon } from "./assembledDaemon.js";
@@ -57,8 +57,8 @@
             address: settings.operators,
             logger,
             metrics: this.metrics,
-            operations: LeaderOperations.create(this.doors(operations), clock),
-            held: daemon.held,
+            operations: LeaderOperations.create(this.channels(operations), clock),
+            quarantine: daemon.held,
             daemon: () => this.status(),
         });
         // The operators' server is closed last, so that operators can follow the handover of leadership.
@@ -76,11 +76,11 @@
         }
     }
 
-    private doors(operations: ControlOperations): ControlDoor[] {
-        const others = [...this.links].map(([name, link]) => linkDoor(name, link));
-        const own: ControlDoor = {
+    private channels(operations: ControlOperations): ControlChannel[] {
+        const others = [...this.links].map(([name, link]) => createLinkChannel(name, link));
+        const own: ControlChannel = {
             name: this.settings.name,
-            ask: async request => Right(await operations.handle(request)),
+            send: async request => Right(await operations.handle(request)),
         };
         return [own, ...others];
     }
--- a/packages/basilpaddle/src/node/daemon/start/entryStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryStart.ts
@@ -10,7 +10,7 @@
 import { type LinkContext, TcpNetwork, TcpServer } from "../../transport/index.js";
 import type { Logger } from "../../utils/index.js";
 import { EntryDaemon } from "../entry/index.js";
-import { type DaemonStatus, LeaderOperations, linkDoor, OperatorServer } from "../operators/index.js";
+import { createLinkChannel, type DaemonStatus, LeaderOperations, OperatorServer } from "../operators/index.js";
 import { AssembledDaemon } from "./assembledDaemon.js";
 import { collectEntryMetrics } from "./entryMetrics.js";
 import type { RunningDaemon, ShutdownReport } from "./runningDaemon.js";
@@ -111,12 +111,12 @@
 
     private openOperators(): Promise<OperatorServer> {
         const { settings, logger, metrics, clock } = this;
-        const doors = settings.controls.map(control => {
+        const channels = settings.controls.map(control => {
             const link = this.network.link(control);
             this.store.add(() => link.close());
-            return linkDoor(control.name, link);
+            return createLinkChannel(control.name, link);
         });
-        const operations = LeaderOperations.create(doors, clock);
+        const operations = LeaderOperations.create(channels, clock);
         const daemon = (): DaemonStatus => this.status();
         return OperatorServer.create({
             address: settings.operators,
@@ -124,7 +124,7 @@
             metrics,
             operations,
             daemon,
-            held: this.quarantine,
+            quarantine: this.quarantine,
         });
     }
 
--- a/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
+++ b/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from "node:net";
 import type { HeldRequests } from "../../coordination/index.js";
 import type { RecordedMetrics } from "../../utils/index.js";
-import { answerHeld } from "../operators/heldCalls.js";
+import { answerQuarantineCall } from "../operators/quarantineCalls.js";
 
 /** Path at which metrics are served. */
 const metricsPath = "/metrics";
@@ -21,7 +21,7 @@
         quarantine: HeldRequests,
     ): Promise<MetricsServer> {
         const server = http.createServer({ requestTimeout: requestTimeoutMilliseconds }, (request, response) => {
-            void answerHeld(quarantine, request).then(reply => {
+            void answerQuarantineCall(quarantine, request).then(reply => {
                 if (reply !== undefined) {
                     write(response, reply.status, jsonContentType, `${JSON.stringify(reply.body)}\n`);
                 }
