--- a/packages/basilpaddle/src/node/cli/__tests__/commandLine.spec.ts
+++ b/packages/basilpaddle/src/node/cli/__tests__/commandLine.spec.ts
@@ -8,11 +8,11 @@
 import { exitCodes } from "../exitCode.js";
 import { runCommandLine } from "../main.js";
 
-const right = {
+const validConfiguration = {
     pools: { drafting: { models: [{ name: "m", version: "1" }], copies: { prefill: 1, decode: 1 } } },
 };
 
-/** What the fake daemon answers to one request; `cut` breaks the connection after the request came. */
+/** The fake daemon's answer to one request; `cut` closes the connection once the request has arrived. */
 type Answer = { readonly status: number; readonly body: unknown; } | "cut";
 
 describe("the command line", () => {
@@ -26,7 +26,7 @@
 
     beforeEach(async () => {
         root = await mkdtemp(path.join(tmpdir(), "basilpaddle-cli-"));
-        await writeFile(path.join(root, "10-drafting.json"), JSON.stringify(right));
+        await writeFile(path.join(root, "10-drafting.json"), JSON.stringify(validConfiguration));
         server = http.createServer((request, response) => {
             const chunks: Buffer[] = [];
             request.on("data", (chunk: Buffer) => chunks.push(chunk));
@@ -51,12 +51,12 @@
 
     async function run(...argv: string[]): Promise<number> {
         printed = "";
-        const take = (text: string | Uint8Array): boolean => {
+        const capture = (text: string | Uint8Array): boolean => {
             printed += String(text);
             return true;
         };
-        process.stdout.write = take as typeof process.stdout.write;
-        process.stderr.write = take as typeof process.stderr.write;
+        process.stdout.write = capture as typeof process.stdout.write;
+        process.stderr.write = capture as typeof process.stderr.write;
         try {
             return await runCommandLine(argv);
         }
@@ -75,7 +75,7 @@
     const apply = (...more: string[]): Promise<number> =>
         run("config", "apply", root, "--operator", "ana", "--at", at, ...more);
 
-    it("shows help with the exit codes, and tells a wrong command", async () => {
+    it("shows help with the exit codes, and rejects invalid command lines", async () => {
         expect(await run("--help")).to.equal(exitCodes.done);
         expect(printed).to.include("Exit codes:").and.to.include("config");
         expect(await run()).to.equal(exitCodes.findings);
@@ -87,7 +87,7 @@
         expect(printed).to.include("host:port");
     });
 
-    it("checks a folder without any daemon", async () => {
+    it("checks a folder without contacting a daemon", async () => {
         expect(await run("config", "check", root)).to.equal(exitCodes.done);
         await writeFile(path.join(root, "20-more.json"), "{\"pools\": {\"drafting\": {}}}");
         expect(await run("config", "check", root, "--json")).to.equal(exitCodes.findings);
@@ -113,9 +113,8 @@
     });
 
     it("sends the same change again after a lost answer", async () => {
-        // Symptom: one `config apply` makes two revisions, and the second undoes another operator's change.
-        // Sequence: the change is accepted, the answer is lost, the command sends it again under another identifier.
-        // Cause: the identifier was made anew for each sending.
+        // Guards against one `config apply` that creates two revisions, the second of which undoes another operator's change:
+        // the change is accepted, the answer is lost, and the command sends it again under a newly generated identifier.
         const seen: unknown[] = [];
         answers = (method, _, body) => {
             if (method === "GET") {
@@ -131,7 +130,7 @@
         expect(await apply()).to.equal(exitCodes.undecided);
     });
 
-    it("knows its own change again when the whole command is repeated", () => {
+    it("recognises its own change when the whole command is repeated", () => {
         const content = { operator: "ana", note: "", files: [{ name: "a.json", text: "{}" }] };
         const changeId = changeIdentifier({ ...content, base: 4 });
         expect(defaultBase({ revision: 5, changeId }, content)).to.equal(4);
@@ -139,7 +138,7 @@
         expect(defaultBase({ revision: 0, changeId: "" }, content)).to.equal(0);
     });
 
-    it("ends with an exit code for each outcome", async () => {
+    it("has an exit code for each outcome", async () => {
         const winner = { operator: "bea", changeId: "c9" };
         answers = () => applied(409, { result: { kind: "conflict", revision: 5, winner }, daemons: [] });
         expect(await apply("--base", "4")).to.equal(exitCodes.conflict);
--- a/packages/basilpaddle/src/node/cli/__tests__/explanation.spec.ts
+++ b/packages/basilpaddle/src/node/cli/__tests__/explanation.spec.ts
@@ -14,7 +14,7 @@
 });
 
 describe("the explanation of a request from logs", () => {
-    it("tells its end, its way, and what bears on it, in order of time", () => {
+    it("contains its end and the related log lines, in order of time", () => {
         const { lines } = readLogLines([
             `${ended}\n${line(5_000, "gateway-1", "a directory isn't reached any more")}`,
             line(4_000, "directory-1", "a backend server leaves", { id: "d-2" }),
@@ -32,7 +32,7 @@
         ]);
     });
 
-    it("leaves out other requests, other daemons' matters and what was long before", () => {
+    it("omits other requests, unrelated lines of other daemons and lines from long before", () => {
         const { lines } = readLogLines([
             ended,
             line(5_300, "gateway-1", "request", { request: "other", milliseconds: 3 }),
@@ -43,7 +43,7 @@
         expect(explain(lines, "r")[0]!.beliefs).to.deep.equal([]);
     });
 
-    it("shows what spoke against a request that was held back, however long before and under whichever attempt", () => {
+    it("shows the crashes that quarantined a request, however long before and under whichever attempt", () => {
         const { lines } = readLogLines([
             line(-3_600_000, "gateway-2", "a backend server ended under a request", { request: "other", content: "c" }),
             line(-3_500_000, "gateway-1", "a request is held back", { content: "c" }),
@@ -53,12 +53,12 @@
         expect(explain(lines, "r")[0]!.beliefs.map(({ daemon }) => daemon)).to.deep.equal(["gateway-2", "gateway-1"]);
     });
 
-    it("reads lines behind a collector's own prefix, and counts what isn't a line", () => {
+    it("reads lines behind a collector's prefix, and counts what isn't a log line", () => {
         const { lines, unread } = readLogLines([`host-7 12.5 ${ended}\nError: torn\n{"at":"20`]);
         expect([lines.length, unread]).to.deep.equal([1, 2]);
     });
 
-    it("tells nothing of a request that no line names", () => {
+    it("is empty for a request that no line names", () => {
         expect(explain(readLogLines([ended]).lines, "unknown")).to.deep.equal([]);
     });
 });
--- a/packages/basilpaddle/src/node/cli/__tests__/lossAccount.spec.ts
+++ b/packages/basilpaddle/src/node/cli/__tests__/lossSummary.spec.ts
@@ -1,22 +1,22 @@
 import { expect } from "chai";
 import { readLogLines } from "../explanation.js";
-import { accountOf, type LossAccount } from "../lossAccount.js";
+import { type LossSummary, summariseLosses } from "../lossSummary.js";
 
 const options = { streamTarget: 900, plainTarget: 200, slice: 2_000 };
 
-function account(...requests: readonly object[]): LossAccount {
+function summarise(...requests: readonly object[]): LossSummary {
     const texts = requests.map((facts, number) => {
         const at = new Date(1_700_000_000_000 + number).toISOString();
         return JSON.stringify({ at, level: "INFO", daemon: "g", message: "request", request: `${number}`, ...facts });
     });
-    return accountOf(readLogLines(texts).lines, options);
+    return summariseLosses(readLogLines(texts).lines, options);
 }
 
 const stream = (milliseconds: number, ...path: string[]): object => ({ end: "answered", milliseconds, path });
 
-describe("the account of what requests lost", () => {
-    it("finds what took most of the time to a late first event", () => {
-        const { losses, whole } = account(
+describe("the summary of late and unserved requests", () => {
+    it("finds the phase that took most of the time to a late first event", () => {
+        const { losses, whole } = summarise(
             stream(3_000, "placed leader 5", "read p done 120", "first 150", "run d done 2800"),
             stream(3_000, "placed leader 800", "read p done 120", "first 950", "run d done 2000"),
             stream(
@@ -38,8 +38,8 @@
         ]);
     });
 
-    it("tells pauses, plain answers that are late, and what was never answered", () => {
-        const { losses } = account(
+    it("lists pauses, late plain answers, and requests that were never answered", () => {
+        const { losses } = summarise(
             stream(3_000, "placed leader 5", "read p done 120", "first 150", "pause 512", "run d done 2800"),
             { end: "answered", milliseconds: 400, path: ["s answered 390"] },
             { end: "refused", cause: "the first event would come in 1234 ms", milliseconds: 5, path: ["refused 5"] },
@@ -57,17 +57,22 @@
         expect(losses.find(({ cause }) => cause.includes("RESET"))?.servers).to.deep.equal([{ id: "d", count: 1 }]);
     });
 
-    it("names requests that were held back as one cause", () => {
+    it("counts quarantined requests under one cause", () => {
         const cause = "backend servers ended under this request; it is held back";
-        const held = { end: "refused", cause, milliseconds: 1, path: ["heldBack (i-a 900 early, i-b 300 early)"] };
-        const { losses } = account(held, held);
-        expect(losses.map(({ count, cause: told, servers }) => [count, told, servers])).to.deep.equal([
+        const quarantined = {
+            end: "refused",
+            cause,
+            milliseconds: 1,
+            path: ["heldBack (i-a 900 early, i-b 300 early)"],
+        };
+        const { losses } = summarise(quarantined, quarantined);
+        expect(losses.map(({ count, cause: found, servers }) => [count, found, servers])).to.deep.equal([
             [2, `refused: ${cause}`, [{ id: "none", count: 2 }]],
         ]);
     });
 
-    it("counts prompts that were read in vain", () => {
-        const { promptsRead, readInVain } = account(
+    it("counts wasted prefills", () => {
+        const { promptsRead, readInVain } = summarise(
             stream(
                 900,
                 "read p done 100",
@@ -80,7 +85,7 @@
         expect([promptsRead, readInVain]).to.deep.equal([3, 2]);
     });
 
-    it("passes over lines that aren't in form", () => {
-        expect(account({ end: "answered", milliseconds: "soon" }).requests).to.equal(0);
+    it("skips malformed lines", () => {
+        expect(summarise({ end: "answered", milliseconds: "soon" }).requests).to.equal(0);
     });
 });
--- a/packages/basilpaddle/src/node/cli/commands/audit.ts
+++ b/packages/basilpaddle/src/node/cli/commands/audit.ts
@@ -1,5 +1,5 @@
 import type { ExitCode } from "../exitCode.js";
-import { type OperatorArguments, show, withClient } from "../operatorCommand.js";
+import { type OperatorArguments, showAnswer, withClient } from "../operatorCommand.js";
 import { table } from "../output.js";
 
 /** Arguments of `audit`. */
@@ -9,24 +9,29 @@
     readonly topic: string | undefined;
 };
 
-/** Shows who did what, when and with which outcome, the newest first. */
+/** Shows the audit trail, newest entries first. */
 export function run({ limit, before, topic, ...given }: AuditArguments): Promise<ExitCode> {
     return withClient(
         given,
         async context =>
-            show(context, "audit", await context.client.read("audit", { limit, before, topic }), ({ entries }) =>
-                table(
-                    ["index", "at", "who", "action", "subject", "revision", "outcome", "note"],
-                    entries.map(entry => [
-                        entry.index,
-                        new Date(entry.at).toISOString(),
-                        entry.who,
-                        entry.action,
-                        entry.subject,
-                        entry.revision,
-                        entry.outcome,
-                        entry.note ?? "",
-                    ]),
-                )),
+            showAnswer(
+                context,
+                "audit",
+                await context.client.read("audit", { limit, before, topic }),
+                ({ entries }) =>
+                    table(
+                        ["index", "at", "who", "action", "subject", "revision", "outcome", "note"],
+                        entries.map(entry => [
+                            entry.index,
+                            new Date(entry.at).toISOString(),
+                            entry.who,
+                            entry.action,
+                            entry.subject,
+                            entry.revision,
+                            entry.outcome,
+                            entry.note ?? "",
+                        ]),
+                    ),
+            ),
     );
 }
--- a/packages/basilpaddle/src/node/cli/commands/configApply.ts
+++ b/packages/basilpaddle/src/node/cli/commands/configApply.ts
@@ -2,7 +2,7 @@
 import { type Configuration, loadConfiguration } from "../../state/index.js";
 import { changeIdentifier, defaultBase } from "../changeIdentifier.js";
 import { type ExitCode, exitCodes } from "../exitCode.js";
-import { type OperatorArguments, type OperatorContext, unexpected, withClient } from "../operatorCommand.js";
+import { type OperatorArguments, type OperatorContext, reportUnexpected, withClient } from "../operatorCommand.js";
 import { Output } from "../output.js";
 
 /** Arguments of `config apply`. */
@@ -29,31 +29,31 @@
 async function apply(context: OperatorContext, given: ApplyArguments, configuration: Configuration): Promise<ExitCode> {
     const { operator, note } = given;
     const files = [...configuration.files];
-    const base = given.base ?? await findBase(context, { operator, note, files });
+    const base = given.base ?? await readBase(context, { operator, note, files });
     if (typeof base !== "number") {
         return base.exitCode;
     }
     const changeId = given.changeId ?? changeIdentifier({ operator, base, note, files });
     const change: PostedChange = { changeId, operator, base, note, files };
-    // A lost answer leaves open whether the change was accepted; the same identifier makes the second sending the same change.
+    // After a lost answer the change may have been accepted; its identifier makes sending it again idempotent.
     const first = await context.client.apply(change);
-    const lost = first.swap().toMaybe().extract()?.kind === "lost";
-    const answer = lost ? await context.client.apply(change) : first;
+    const wasLost = first.swap().toMaybe().extract()?.kind === "lost";
+    const answer = wasLost ? await context.client.apply(change) : first;
     return answer.caseOf<ExitCode>({
         Left: failure => {
             context.output.problem({
-                kind: lost ? "undecided" : failure.kind,
-                message: lost
+                kind: wasLost ? "undecided" : failure.kind,
+                message: wasLost
                     ? `${failure.message}; it isn't known whether change ${changeId} was accepted: run the same command again`
                     : failure.message,
             });
-            return lost ? exitCodes.undecided : exitCodes.unreachable;
+            return wasLost ? exitCodes.undecided : exitCodes.unreachable;
         },
-        Right: value => report(context, value, changeId),
+        Right: value => reportResult(context, value, changeId),
     });
 }
 
-async function findBase(
+async function readBase(
     { client, output }: OperatorContext,
     content: Pick<PostedChange, "operator" | "note" | "files">,
 ): Promise<number | { readonly exitCode: ExitCode; }> {
@@ -66,13 +66,13 @@
         Right: value =>
             value.kind === "configuration"
                 ? defaultBase(value, content)
-                : { exitCode: unexpected(output, value) },
+                : { exitCode: reportUnexpected(output, value) },
     });
 }
 
-function report({ output }: OperatorContext, answer: OperatorAnswer, changeId: string): ExitCode {
+function reportResult({ output }: OperatorContext, answer: OperatorAnswer, changeId: string): ExitCode {
     if (answer.kind !== "applied") {
-        return unexpected(output, answer);
+        return reportUnexpected(output, answer);
     }
     const { result, daemons } = answer;
     switch (result.kind) {
--- a/packages/basilpaddle/src/node/cli/commands/configCheck.ts
+++ b/packages/basilpaddle/src/node/cli/commands/configCheck.ts
@@ -2,7 +2,7 @@
 import { type ExitCode, exitCodes } from "../exitCode.js";
 import { Output } from "../output.js";
 
-/** Checks a configuration folder without asking any daemon. */
+/** Checks a configuration folder without contacting a daemon. */
 export async function run(given: { readonly dir: string; readonly json: boolean; }): Promise<ExitCode> {
     const output = Output.create(given.json);
     const loaded = await loadConfiguration(given.dir);
@@ -14,18 +14,18 @@
         Right: ({ declaration, files, ignored }) => {
             const names = files.map(file => file.name);
             output.result({ kind: "checked", files: names, ignored, declaration }, () => [
-                `${names.length} files are right: ${names.join(", ")}`,
-                ...(ignored.length > 0 ? [`passed over: ${ignored.join(", ")}`] : []),
-                `pools: ${listOf(declaration.pools)}`,
-                `services: ${listOf(declaration.services)}`,
+                `${names.length} files are valid: ${names.join(", ")}`,
+                ...(ignored.length > 0 ? [`ignored: ${ignored.join(", ")}`] : []),
+                `pools: ${joinNames(declaration.pools)}`,
+                `services: ${joinNames(declaration.services)}`,
                 `routes: ${declaration.routes.map(route => route.name).join(", ") || "none"}`,
-                `organisations: ${listOf(declaration.organisations)}`,
+                `organisations: ${joinNames(declaration.organisations)}`,
             ]);
             return exitCodes.done;
         },
     });
 }
 
-function listOf(entries: Readonly<Record<string, unknown>>): string {
+function joinNames(entries: Readonly<Record<string, unknown>>): string {
     return Object.keys(entries).join(", ") || "none";
 }
--- a/packages/basilpaddle/src/node/cli/commands/configHistory.ts
+++ b/packages/basilpaddle/src/node/cli/commands/configHistory.ts
@@ -1,13 +1,13 @@
 import type { ExitCode } from "../exitCode.js";
-import { type OperatorArguments, show, withClient } from "../operatorCommand.js";
+import { type OperatorArguments, showAnswer, withClient } from "../operatorCommand.js";
 import { table } from "../output.js";
 
-/** Lists the accepted changes, the newest first. */
+/** Lists the accepted changes, newest first. */
 export function run(given: OperatorArguments & { readonly limit: number; }): Promise<ExitCode> {
     return withClient(
         given,
         async context =>
-            show(
+            showAnswer(
                 context,
                 "history",
                 await context.client.read("history", { limit: given.limit }),
--- a/packages/basilpaddle/src/node/cli/commands/daemon.ts
+++ b/packages/basilpaddle/src/node/cli/commands/daemon.ts
@@ -10,7 +10,7 @@
 import { type ExitCode, exitCodes } from "../exitCode.js";
 import { Output } from "../output.js";
 
-/** Runs a daemon until it is told to stop. */
+/** Runs a daemon until it is stopped or fails. */
 export async function run(role: Settings["role"], given: { readonly settings: string; }): Promise<ExitCode> {
     const resolved = await resolveSettings(given.settings);
     return resolved.caseOf<Promise<ExitCode> | ExitCode>({
@@ -37,7 +37,7 @@
     }
     const code = exitCodeOf(await serveUntilStopped(daemon, logger));
     logger.info("ended", { exitCode: code });
-    // Whatever still waits, such as a connection to a host that is gone, must not keep an ended daemon alive.
+    // Pending work, such as a connection attempt to an unreachable host, must not keep the process of a stopped daemon alive.
     setImmediate(() => process.exit(code));
     return code;
 }
--- a/packages/basilpaddle/src/node/cli/commands/drain.ts
+++ b/packages/basilpaddle/src/node/cli/commands/drain.ts
@@ -1,15 +1,15 @@
 import type { ExitCode } from "../exitCode.js";
-import { type OperatorArguments, show, withClient } from "../operatorCommand.js";
+import { type OperatorArguments, showAnswer, withClient } from "../operatorCommand.js";
 
-/** Takes a backend server out. */
+/** Drains a backend server. */
 export function run(
     given: OperatorArguments & { readonly name: string; readonly operator: string; },
 ): Promise<ExitCode> {
     return withClient(
         given,
         async context =>
-            show(context, "drained", await context.client.drain(given.name, given.operator), answer => [
-                `${answer.backend} (incarnation ${answer.incarnation}) gets no new work; what it runs goes to its end`,
+            showAnswer(context, "drained", await context.client.drain(given.name, given.operator), answer => [
+                `${answer.backend} (incarnation ${answer.incarnation}) gets no new work; its running requests are completed`,
             ]),
     );
 }
--- a/packages/basilpaddle/src/node/cli/commands/explain.ts
+++ b/packages/basilpaddle/src/node/cli/commands/explain.ts
@@ -3,7 +3,7 @@
 import { readLogFiles } from "../logFiles.js";
 import { Output } from "../output.js";
 
-/** Tells from log files how a request ended and what was believed around it. */
+/** Explains from log files how a request ended, with the related log lines. */
 export async function run(
     given: { readonly request: string; readonly files: readonly string[]; readonly json: boolean; },
 ): Promise<ExitCode> {
@@ -19,17 +19,17 @@
         output.problem({ kind: "unknown", message });
         return exitCodes.refused;
     }
-    output.result({ kind: "explained", attempts, unread }, () => attempts.flatMap(written));
+    output.result({ kind: "explained", attempts, unread }, () => attempts.flatMap(formatAttempt));
     return exitCodes.done;
 }
 
-function written(attempt: Explanation): string[] {
+function formatAttempt(attempt: Explanation): string[] {
     const { request, gateway, arrivedAt, milliseconds, end, cause, path, beliefs } = attempt;
     return [
-        `${request} came to ${gateway} at ${arrivedAt} and ended after ${milliseconds} ms: ${end} (${cause})`,
-        "decided on the way:",
+        `${request} arrived at ${gateway} at ${arrivedAt} and ended after ${milliseconds} ms: ${end} (${cause})`,
+        "steps:",
         ...path.map(step => `  ${step}`),
-        "believed around that time (milliseconds from its arrival):",
+        "related log lines (milliseconds since its arrival):",
         ...beliefs.map(({ after, daemon, message, facts }) => {
             return `  ${String(after).padStart(7)} ${daemon}: ${message} ${JSON.stringify(facts)}`;
         }),
--- a/packages/basilpaddle/src/node/cli/commands/held.ts
+++ b/packages/basilpaddle/src/node/cli/commands/held.ts
@@ -1,15 +1,15 @@
 import type { ExitCode } from "../exitCode.js";
-import { type OperatorArguments, show, withClient } from "../operatorCommand.js";
+import { type OperatorArguments, showAnswer, withClient } from "../operatorCommand.js";
 import { table } from "../output.js";
 
 const millisecondsInSecond = 1_000;
 
-/** Shows which requests are held back since backend servers ended under them. */
+/** Lists the requests that are quarantined because backend servers crashed while running them. */
 export function run(given: OperatorArguments): Promise<ExitCode> {
     return withClient(
         given,
         async context =>
-            show(context, "held", await context.client.read("held"), ({ requests }) => {
+            showAnswer(context, "held", await context.client.read("held"), ({ requests }) => {
                 const rows = requests.map(({ digest, left, crashes }) => [
                     digest,
                     `${Math.round(left / millisecondsInSecond)} s`,
@@ -18,8 +18,8 @@
                     ),
                 ]);
                 return rows.length === 0
-                    ? ["no request is held back"]
-                    : table(["request", "for", "backend servers that ended under it"], rows);
+                    ? ["no request is quarantined"]
+                    : table(["request", "time left", "backend servers that crashed while running it"], rows);
             }),
     );
 }
--- a/packages/basilpaddle/src/node/cli/commands/init.ts
+++ b/packages/basilpaddle/src/node/cli/commands/init.ts
@@ -11,7 +11,7 @@
     readonly json: boolean;
 };
 
-/** Prepares the empty data folder of a control daemon that a new deployment starts with. */
+/** Initialises the empty data folder of a control daemon of a new deployment. */
 export async function run(given: InitArguments): Promise<ExitCode> {
     const output = Output.create(given.json);
     const resolved = await resolveSettings(given.settings);
@@ -20,11 +20,11 @@
             output.findings(findings);
             return exitCodes.findings;
         },
-        Right: settings => initialiseFor(settings, given, output),
+        Right: settings => initialise(settings, given, output),
     });
 }
 
-async function initialiseFor(settings: Settings, given: InitArguments, output: Output): Promise<ExitCode> {
+async function initialise(settings: Settings, given: InitArguments, output: Output): Promise<ExitCode> {
     if (settings.role !== "control") {
         const cause = `is for the role ${settings.role}; only a control daemon has a data folder`;
         output.findings([{ file: given.settings, place: "role", cause }]);
--- a/packages/basilpaddle/src/node/cli/commands/losses.ts
+++ b/packages/basilpaddle/src/node/cli/commands/losses.ts
@@ -1,9 +1,9 @@
 import { type ExitCode, exitCodes } from "../exitCode.js";
 import { readLogFiles } from "../logFiles.js";
-import { accountOf, type LossAccount, type LossOptions } from "../lossAccount.js";
+import { type LossOptions, type LossSummary, summariseLosses } from "../lossSummary.js";
 import { Output, table } from "../output.js";
 
-/** Tells from log files where requests lost time or failed, by cause. */
+/** Summarises from log files, by cause, which requests were late or failed. */
 export async function run(
     given: LossOptions & { readonly files: readonly string[]; readonly json: boolean; },
 ): Promise<ExitCode> {
@@ -13,22 +13,22 @@
         return exitCodes.failed;
     }
     const { lines, unread } = read;
-    const account = accountOf(lines, given);
-    output.result({ kind: "losses", ...account, unread }, () => written(account));
+    const summary = summariseLosses(lines, given);
+    output.result({ kind: "losses", ...summary, unread }, () => formatSummary(summary));
     return exitCodes.done;
 }
 
-function written(account: LossAccount): string[] {
-    const { requests, whole, losses, promptsRead, readInVain } = account;
+function formatSummary(summary: LossSummary): string[] {
+    const { requests, whole, losses, promptsRead, readInVain } = summary;
     const rows = losses.map(({ kind, cause, count, servers, moments }) => [
         count,
         kind,
         cause,
         servers.map(server => `${server.id} ${server.count}`).join(", "),
-        moments.map(({ from, count: times }) => `${from.slice(11, 19)} ${times}`).join(", "),
+        moments.map(({ from, count: momentCount }) => `${from.slice(11, 19)} ${momentCount}`).join(", "),
     ]);
     return [
-        `${requests} requests ended, ${whole} of them answered in time; ${readInVain} of ${promptsRead} prompts were read in vain`,
-        ...table(["count", "kind", "cause", "asked last", "most often in the time from"], rows),
+        `${requests} requests ended, ${whole} of them answered in time; ${readInVain} of ${promptsRead} prefills were wasted`,
+        ...table(["count", "kind", "cause", "last backend servers", "most frequent time slices from"], rows),
     ];
 }
--- a/packages/basilpaddle/src/node/cli/commands/metrics.ts
+++ b/packages/basilpaddle/src/node/cli/commands/metrics.ts
@@ -1,7 +1,7 @@
 import { type ExitCode, exitCodes } from "../exitCode.js";
 import { type OperatorArguments, withClient } from "../operatorCommand.js";
 
-/** Prints the metrics of the daemon that is asked. */
+/** Prints the metrics of the queried daemon. */
 export function run(given: OperatorArguments): Promise<ExitCode> {
     return withClient(given, async ({ client, output }) => {
         const text = await client.metrics();
@@ -11,14 +11,14 @@
                 return exitCodes.unreachable;
             },
             Right: metrics => {
-                output.result({ kind: "metrics", samples: samplesOf(metrics) }, () => [metrics.trimEnd()]);
+                output.result({ kind: "metrics", samples: parseSamples(metrics) }, () => [metrics.trimEnd()]);
                 return exitCodes.done;
             },
         });
     });
 }
 
-function samplesOf(text: string): { readonly series: string; readonly value: number; }[] {
+function parseSamples(text: string): { readonly series: string; readonly value: number; }[] {
     return text.split("\n").filter(line => line !== "" && !line.startsWith("#")).map(line => {
         const end = line.lastIndexOf(" ");
         return { series: line.slice(0, end), value: Number(line.slice(end + 1)) };
--- a/packages/basilpaddle/src/node/cli/commands/release.ts
+++ b/packages/basilpaddle/src/node/cli/commands/release.ts
@@ -1,17 +1,17 @@
 import type { ExitCode } from "../exitCode.js";
-import { type OperatorArguments, show, withClient } from "../operatorCommand.js";
+import { type OperatorArguments, showAnswer, withClient } from "../operatorCommand.js";
 
-/** Lets a request run again that is held back. */
+/** Releases a request from quarantine. */
 export function run(
     given: OperatorArguments & { readonly request: string; readonly operator: string; },
 ): Promise<ExitCode> {
     return withClient(
         given,
         async context =>
-            show(context, "released", await context.client.release(given.request, given.operator), answer => [
+            showAnswer(context, "released", await context.client.release(given.request, given.operator), answer => [
                 answer.wasSuspected
-                    ? `${answer.digest} may run again, at every daemon within a second or so`
-                    : `nothing was held against ${answer.digest} at this daemon`,
+                    ? `${answer.digest} is released; all daemons allow it again within about a second`
+                    : `this daemon has no crash records of ${answer.digest}`,
             ]),
     );
 }
--- a/packages/basilpaddle/src/node/cli/commands/status.ts
+++ b/packages/basilpaddle/src/node/cli/commands/status.ts
@@ -1,15 +1,15 @@
 import type { DaemonStatus, DeploymentStatus } from "../../daemon/operators/index.js";
 import type { Pool } from "../../protocol/index.js";
 import type { ExitCode } from "../exitCode.js";
-import { type OperatorArguments, show, withClient } from "../operatorCommand.js";
+import { type OperatorArguments, showAnswer, withClient } from "../operatorCommand.js";
 import { table } from "../output.js";
 
-/** Shows daemons, leases, pools and backend servers, and what is in force where. */
+/** Shows daemons, leases, pools and backend servers, and which revision is in force where. */
 export function run(given: OperatorArguments): Promise<ExitCode> {
     return withClient(
         given,
         async context =>
-            show(context, "status", await context.client.read("status"), ({ status, daemon }) => [
+            showAnswer(context, "status", await context.client.read("status"), ({ status, daemon }) => [
                 ...daemonLines(daemon),
                 ...controlLines(status),
                 ...sessionLines(status),
@@ -25,13 +25,13 @@
         return [];
     }
     const ready = daemon.ready ? "ready" : `not ready: ${daemon.reason ?? "starting"}`;
-    return [`asked: ${daemon.name} (${daemon.role}, ${daemon.failureDomain}), ${ready}, revision ${daemon.revision}`];
+    return [`queried: ${daemon.name} (${daemon.role}, ${daemon.failureDomain}), ${ready}, revision ${daemon.revision}`];
 }
 
 function controlLines(status: DeploymentStatus): string[] {
     return [
         `control: leader ${status.leader ?? "none"}, term ${status.term}, answered by ${status.answeredBy}`
-        + (status.leading ? "" : " (which doesn't lead: this may be old)"),
+        + (status.leading ? "" : " (which isn't the leader: this may be outdated)"),
         `  voters ${status.voters.join(", ")}`
         + (status.learners.length > 0 ? `; learners ${status.learners.join(", ")}` : ""),
         `configuration: revision ${status.revision}, `
@@ -46,7 +46,7 @@
         "",
         "entry daemons",
         ...table(
-            ["name", "failure domain", "revision", "last heard", "incarnation"],
+            ["name", "failure domain", "revision", "last heartbeat", "incarnation"],
             sessions.map(session => [
                 session.daemon,
                 session.failureDomain,
@@ -79,14 +79,14 @@
             pools.map(([name, pool]) => [
                 name,
                 pool.models.map(model => `${model.name}@${model.version}`).join(", "),
-                copies(view, name, pool, "prefill"),
-                copies(view, name, pool, "decode"),
+                formatCopies(view, name, pool, "prefill"),
+                formatCopies(view, name, pool, "decode"),
             ]),
         ),
     ];
 }
 
-function copies(view: DeploymentStatus["view"], name: string, pool: Pool, role: "prefill" | "decode"): string {
+function formatCopies(view: DeploymentStatus["view"], name: string, pool: Pool, role: "prefill" | "decode"): string {
     const ready = Object.values(view.backends).filter(({ announcement, state }) =>
         announcement.pool === name && announcement.role === role && state === "ready"
     );
--- a/packages/basilpaddle/src/node/cli/daemonCommands.ts
+++ b/packages/basilpaddle/src/node/cli/daemonCommands.ts
@@ -1,25 +1,25 @@
 import type { Argv } from "yargs";
-import type { Ending } from "./exitCode.js";
+import type { ExitCodeCallback } from "./exitCode.js";
 import { withJson } from "./operatorOptions.js";
 
-/** Adds the commands that run a daemon or prepare it. */
-export function addDaemonCommands(parser: Argv, end: Ending): void {
+/** Adds the commands that run a daemon or initialise its data folder. */
+export function addDaemonCommands(parser: Argv, setExitCode: ExitCodeCallback): void {
     parser
         .command(
             "entry",
-            "Run an entry daemon until it is told to stop",
+            "Run an entry daemon until it is stopped",
             nested => withSettings(nested).epilogue(signals),
-            async given => end(await (await import("./commands/daemon.js")).run("entry", given)),
+            async given => setExitCode(await (await import("./commands/daemon.js")).run("entry", given)),
         )
         .command(
             "control",
-            "Run a control daemon until it is told to stop",
+            "Run a control daemon until it is stopped",
             nested => withSettings(nested).epilogue(signals),
-            async given => end(await (await import("./commands/daemon.js")).run("control", given)),
+            async given => setExitCode(await (await import("./commands/daemon.js")).run("control", given)),
         )
         .command(
             "init",
-            "Prepare the empty data folder of a control daemon that a new deployment starts with",
+            "Initialise the empty data folder of a control daemon of a new deployment",
             nested =>
                 withJson(withSettings(nested))
                     .option("cluster", {
@@ -28,15 +28,15 @@
                         describe: "name of the deployment, the same for each of its control daemons",
                     })
                     .epilogue(
-                        "Once for each control daemon, before the first start. A daemon whose data folder was lost "
-                            + "is started without it, and joins anew.",
+                        "Run it once for each control daemon, before its first start. A daemon that has lost its data folder "
+                            + "is started without running it again, and rejoins the deployment.",
                     ),
-            async given => end(await (await import("./commands/init.js")).run(given)),
+            async given => setExitCode(await (await import("./commands/init.js")).run(given)),
         );
 }
 
-const signals = "SIGTERM or SIGINT shuts down: no new work, and what is in progress goes to its end. "
-    + "A second one ends what is in progress and says what it cut off.";
+const signals = "SIGTERM or SIGINT shuts down gracefully: no new work is accepted, requests in progress are completed. "
+    + "A second signal aborts requests in progress and reports them.";
 
 function withSettings<T>(parser: Argv<T>) {
     return parser.option("settings", { type: "string", demandOption: true, describe: "the JSON settings file" });
--- a/packages/basilpaddle/src/node/cli/exitCode.ts
+++ b/packages/basilpaddle/src/node/cli/exitCode.ts
@@ -1,8 +1,8 @@
-/** How a command ended. */
+/** Exit codes of the commands. */
 export const exitCodes = {
-    /** All that was asked for was done. */
+    /** The command succeeded. */
     done: 0,
-    /** Something failed that the command doesn't know how to name. */
+    /** Any failure without an exit code of its own. */
     failed: 1,
     /** The command line, the settings or the configuration have findings; nothing was sent. */
     findings: 2,
@@ -10,27 +10,27 @@
     conflict: 3,
     /** The daemon or the control daemons couldn't be reached; nothing was changed. */
     unreachable: 4,
-    /** The answer was lost: the change may or may not be accepted. The same command again is the same change. */
+    /** The answer was lost, so the change may or may not be accepted. Repeating the same command is idempotent. */
     undecided: 5,
-    /** The daemon refused: it doesn't know what was named. */
+    /** The daemon refused: the named object doesn't exist. */
     refused: 6,
-    /** A daemon was told a second time to stop, and cut requests off. */
+    /** A daemon received a second stop signal and aborted requests. */
     cutOff: 7,
 } as const;
 
-/** How a command ended. */
+/** Exit code of a command. */
 export type ExitCode = (typeof exitCodes)[keyof typeof exitCodes];
 
-/** Takes down how a command ended. */
-export type Ending = (code: ExitCode) => void;
+/** Sets the exit code of the command that ran. */
+export type ExitCodeCallback = (code: ExitCode) => void;
 
-/** The exit codes as the help lists them. */
+/** The list of exit codes in the help. */
 export const exitCodeHelp = `Exit codes:
   0  done
-  1  failed for another reason
+  1  failed for any other reason
   2  findings in the command line, the settings or the configuration; nothing was sent
   3  conflict: another operator's change came first; nothing was changed
   4  no daemon could be reached; nothing was changed
-  5  undecided: the answer was lost; the same command again is the same change
-  6  refused: the deployment doesn't know what was named
-  7  a daemon was told twice to stop and cut requests off`;
+  5  undecided: the answer was lost; repeating the same command is idempotent
+  6  refused: the deployment doesn't know the named object
+  7  a daemon received a second stop signal and aborted requests`;
--- a/packages/basilpaddle/src/node/cli/explanation.ts
+++ b/packages/basilpaddle/src/node/cli/explanation.ts
@@ -1,12 +1,12 @@
 import { z } from "zod";
 
-/** Milliseconds before a request's arrival in which what its gateway, or others of its engines, came to believe is shown. */
-const beliefsBefore = 10_000;
-/** Milliseconds after its end: a directory may learn of an engine's end a little later than the request. */
-const beliefsAfter = 1_000;
-/** Text of the line in which a gateway says how a request ended. */
+/** Time before a request's arrival from which log lines of its gateway, or about its backend servers, are shown. */
+const relatedBeforeMilliseconds = 10_000;
+/** Time after its end until which they are shown: a directory may notice an engine's end a little later than the request. */
+const relatedAfterMilliseconds = 1_000;
+/** Message of the log line in which a gateway reports how a request ended. */
 const requestMessage = "request";
-/** Texts of the lines that tell of one request and of nothing else. */
+/** Messages of log lines that are only about one request. */
 const requestMessages: ReadonlySet<string> = new Set([requestMessage, "request turned away"]);
 
 const lineSchema = z.looseObject({ at: z.iso.datetime(), daemon: z.string(), message: z.string() });
@@ -21,17 +21,17 @@
 /** One line of a daemon's log. */
 export type LogLine = z.infer<typeof lineSchema>;
 
-/** One line that bears on a request. */
-export type ExplainedLine = {
-    /** Milliseconds from the request's arrival at its gateway. */
+/** One log line that is related to a request. */
+export type RelatedLine = {
+    /** Milliseconds since the request's arrival at its gateway; negative before it. */
     readonly after: number;
     readonly daemon: string;
     readonly message: string;
-    /** Everything else that the line says. */
+    /** All other fields of the line. */
     readonly facts: Readonly<Record<string, unknown>>;
 };
 
-/** One attempt of a request, with what bears on it. */
+/** One attempt of a request, with its related log lines. */
 export type Explanation = {
     readonly request: string;
     readonly gateway: string;
@@ -39,21 +39,21 @@
     readonly milliseconds: number;
     readonly end: string;
     readonly cause: string;
-    /** What was decided on the way, in order. */
+    /** The steps of the attempt, in order. */
     readonly path: readonly string[];
-    /** What its gateway and its backend servers' hearers came to believe around that time, in order. */
-    readonly beliefs: readonly ExplainedLine[];
+    /** Log lines of its gateway around that time, of any daemon about its backend servers, and about the same content, in order. */
+    readonly beliefs: readonly RelatedLine[];
 };
 
-/** Reads log lines; what isn't one (a stack trace, a line cut by a crash) is counted and passed over. */
+/** Parses log lines. Lines in another form, such as stack traces or a line truncated by a crash, are skipped and counted. */
 export function readLogLines(
     texts: readonly string[],
 ): { readonly lines: readonly LogLine[]; readonly unread: number; } {
     const lines: LogLine[] = [];
     let unread = 0;
-    for (const text of texts.flatMap(whole => whole.split("\n")).filter(line => line.trim() !== "")) {
-        // A collector may have put its own time or a host's name before the line.
-        const parsed = lineSchema.safeParse(jsonFrom(text.slice(Math.max(0, text.indexOf("{")))));
+    for (const text of texts.flatMap(content => content.split("\n")).filter(line => line.trim() !== "")) {
+        // A log collector may have put its own time or a host's name in front of the line.
+        const parsed = lineSchema.safeParse(parseJson(text.slice(Math.max(0, text.indexOf("{")))));
         if (parsed.success) {
             lines.push(parsed.data);
         }
@@ -65,27 +65,27 @@
     return { lines, unread };
 }
 
-/** Explains every end of the request that the lines tell of. */
+/** Explains each attempt of the request whose end is logged in the lines. */
 export function explain(lines: readonly LogLine[], request: string): Explanation[] {
     return lines
         .filter(line => line.message === requestMessage && line.request === request)
-        .map(line => explainOne(lines, line));
+        .map(line => explainAttempt(lines, line));
 }
 
-function explainOne(lines: readonly LogLine[], line: LogLine): Explanation {
+function explainAttempt(lines: readonly LogLine[], line: LogLine): Explanation {
     const { request, end = "open", cause = "", milliseconds, path } = requestSchema.parse(line);
     const endedAt = Date.parse(line.at);
     const arrivedAt = endedAt - milliseconds;
-    const servers = serversOf(path);
-    const bears = (other: LogLine): boolean => {
+    const servers = serversInPath(path);
+    const isRelated = (other: LogLine): boolean => {
         const at = Date.parse(other.at);
-        const near = at >= arrivedAt - beliefsBefore && at <= endedAt + beliefsAfter;
+        const near = at >= arrivedAt - relatedBeforeMilliseconds && at <= endedAt + relatedAfterMilliseconds;
         const isOwn = other.daemon === line.daemon;
-        // What speaks against a request may have come about hours before, under another of its attempts.
+        // Crashes that quarantine a request may have happened hours before, during other attempts.
         const isSame = line.content !== undefined && other.content === line.content;
-        return !requestMessages.has(other.message) && (isSame || near && (isOwn || namesOne(other, servers)));
+        return !requestMessages.has(other.message) && (isSame || near && (isOwn || namesAnyServer(other, servers)));
     };
-    const beliefs = lines.filter(bears).map(({ at, daemon, message, ...facts }) => {
+    const beliefs = lines.filter(isRelated).map(({ at, daemon, message, ...facts }) => {
         return { after: Date.parse(at) - arrivedAt, daemon, message, facts };
     });
     const arrived = new Date(arrivedAt).toISOString();
@@ -93,22 +93,22 @@
 }
 
 /** Backend servers that a path names: `read ID ...` and `run ID ...` of streams, `ID outcome ...` of plain requests. */
-function serversOf(path: readonly string[]): ReadonlySet<string> {
-    const own = new Set(["placed", "first", "refused", "heldBack", "pause"]);
-    const names = path.map(step => step.split(" ")).filter(([first = ""]) => !own.has(first));
+function serversInPath(path: readonly string[]): ReadonlySet<string> {
+    const stepsWithoutServer = new Set(["placed", "first", "refused", "heldBack", "pause"]);
+    const names = path.map(step => step.split(" ")).filter(([first = ""]) => !stepsWithoutServer.has(first));
     return new Set(names.map(([first = "", second = ""]) => first === "read" || first === "run" ? second : first));
 }
 
-function namesOne(line: LogLine, servers: ReadonlySet<string>): boolean {
+function namesAnyServer(line: LogLine, servers: ReadonlySet<string>): boolean {
     return ["id", "engine", "expected", "instance"].some(field => servers.has(String(line[field])));
 }
 
-function jsonFrom(text: string): unknown {
+function parseJson(text: string): unknown {
     try {
         return JSON.parse(text);
     }
     catch {
-        // Not a log line: the caller counts it.
+        // Not a log line; the caller counts it.
         return undefined;
     }
 }
--- a/packages/basilpaddle/src/node/cli/logFiles.ts
+++ b/packages/basilpaddle/src/node/cli/logFiles.ts
@@ -2,7 +2,10 @@
 import { type LogLine, readLogLines } from "./explanation.js";
 import type { Output } from "./output.js";
 
-/** The lines of log files, and how many of theirs aren't log lines; undefined where a file can't be read, which is told. */
+/**
+ * Reads log files; `unread` is the number of their lines that aren't log lines. Resolves with undefined if a file can't be
+ * read, after writing the problem to `output`.
+ */
 export async function readLogFiles(
     files: readonly string[],
     output: Output,
--- a/packages/basilpaddle/src/node/cli/lossAccount.ts
+++ b/packages/basilpaddle/src/node/cli/lossSummary.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import type { LogLine } from "./explanation.js";
 
-/** Text of the line in which a gateway says how a request ended. */
+/** Message of the log line in which a gateway reports how a request ended. */
 const requestMessage = "request";
 
 const requestSchema = z.looseObject({
@@ -12,52 +12,52 @@
 });
 type RequestLine = z.infer<typeof requestSchema>;
 
-/** One step of a request's way, as its gateway logs it. */
-type Step = {
+/** One step in the path of a request, as logged by its gateway. */
+type PathStep = {
     readonly kind: "placed" | "refused" | "read" | "run" | "first" | "pause" | "heldBack" | "other";
-    /** Who placed it, or the backend server. */
+    /** By whom the request was placed, or the backend server. */
     readonly by: string;
     readonly outcome: string;
     readonly milliseconds: number;
     readonly cause: string;
 };
 
-/** Requests that lost their worth, or a part of it, in the same way. */
+/** Requests that were late or unserved for the same cause. */
 export type Loss = {
-    /** Whether the caller still got a whole answer. */
+    /** `late`: answered, but too late or with a pause. `unserved`: not answered. */
     readonly kind: "late" | "unserved";
     readonly cause: string;
     readonly count: number;
-    /** Backend servers that were asked last, most often first. */
+    /** Backend servers of the last calls, most frequent first. */
     readonly servers: readonly { readonly id: string; readonly count: number; }[];
-    /** Slices of time in which it came about, with counts. */
+    /** Time slices in which these requests arrived, most frequent first. */
     readonly moments: readonly { readonly from: string; readonly count: number; }[];
 };
 
-/** Where requests lost time or failed, by cause. */
-export type LossAccount = {
+/** Summary of late and unserved requests, by cause. */
+export type LossSummary = {
     readonly requests: number;
     readonly whole: number;
     readonly losses: readonly Loss[];
-    /** Prompts that were read, and of these the ones whose result no run took to its end. */
+    /** Completed prefills, and how many of them were wasted because no answer was completed with their result. */
     readonly promptsRead: number;
     readonly readInVain: number;
 };
 
-/** How losses are told apart. */
+/** Thresholds for late requests, and the length of time slices. */
 export type LossOptions = {
-    /** Milliseconds to the first event, or to a plain answer, beyond which it is late. */
+    /** Milliseconds to the first event of a stream, or to a plain answer, after which a request is late. */
     readonly streamTarget: number;
     readonly plainTarget: number;
-    /** Milliseconds of one moment. */
+    /** Length of one time slice in milliseconds. */
     readonly slice: number;
 };
 
-/** Backend servers and moments named for each cause. */
-const mostNamed = 4;
+/** Maximum number of backend servers and time slices listed for each cause. */
+const maximumListed = 4;
 
-/** Adds up what the lines tell of requests. */
-export function accountOf(lines: readonly LogLine[], options: LossOptions): LossAccount {
+/** Summarises the ends of requests in the log lines. */
+export function summariseLosses(lines: readonly LogLine[], options: LossOptions): LossSummary {
     const found = new Map<
         string,
         { readonly kind: Loss["kind"]; readonly servers: string[]; readonly moments: string[]; }
@@ -72,11 +72,11 @@
             continue;
         }
         requests += 1;
-        const steps = parsed.data.path.map(stepOf);
+        const steps = parsed.data.path.map(parseStep);
         const reads = steps.filter(({ kind, outcome }) => kind === "read" && outcome === "done").length;
         promptsRead += reads;
         readInVain += reads - Math.min(reads, parsed.data.end === "answered" ? 1 : 0);
-        const loss = lossOf(parsed.data, steps, options);
+        const loss = classifyLoss(parsed.data, steps, options);
         if (loss === undefined) {
             whole += 1;
             continue;
@@ -87,28 +87,28 @@
         entry.servers.push(
             steps.findLast(({ kind }) => kind === "run" || kind === "read" || kind === "other")?.by ?? "none",
         );
-        entry.moments.push(sliceOf(Date.parse(line.at) - parsed.data.milliseconds, options.slice));
+        entry.moments.push(sliceStart(Date.parse(line.at) - parsed.data.milliseconds, options.slice));
     }
     const losses = [...found].map(([key, { kind, servers, moments }]): Loss => ({
         kind,
         cause: key.slice(kind.length + 1),
         count: servers.length,
-        servers: counted(servers).slice(0, mostNamed).map(([id, count]) => ({ id, count })),
-        moments: counted(moments).slice(0, mostNamed).map(([from, count]) => ({ from, count })),
+        servers: countValues(servers).slice(0, maximumListed).map(([id, count]) => ({ id, count })),
+        moments: countValues(moments).slice(0, maximumListed).map(([from, count]) => ({ from, count })),
     }));
     losses.sort((one, other) => other.count - one.count);
     return { requests, whole, losses, promptsRead, readInVain };
 }
 
-function lossOf(
+function classifyLoss(
     request: RequestLine,
-    steps: readonly Step[],
+    steps: readonly PathStep[],
     options: LossOptions,
 ): { readonly kind: Loss["kind"]; readonly cause: string; } | undefined {
     if (request.end !== "answered") {
         const cause = request.end === "callerGone"
-            ? `its caller left while ${stageOf(steps)}`
-            : generalised(request.cause);
+            ? `its caller left while ${stageWhenCallerLeft(steps)}`
+            : withoutNumbers(request.cause);
         return { kind: "unserved", cause: `${request.end}: ${cause}` };
     }
     const first = steps.find(({ kind }) => kind === "first");
@@ -117,15 +117,15 @@
     }
     const took = first?.milliseconds ?? request.milliseconds;
     const target = first === undefined ? options.plainTarget : options.streamTarget;
-    return took > target ? { kind: "late", cause: longestBefore(steps) } : undefined;
+    return took > target ? { kind: "late", cause: slowestPhase(steps) } : undefined;
 }
 
-/** What took most of the time to the first event. */
-function longestBefore(steps: readonly Step[]): string {
+/** The phase that took most of the time to the first event. */
+function slowestPhase(steps: readonly PathStep[]): string {
     const times = new Map<string, number>();
     const firstAt = steps.findIndex(({ kind }) => kind === "first");
     for (const step of firstAt < 0 ? steps : steps.slice(0, firstAt)) {
-        const name = nameOf(step);
+        const name = phaseOf(step);
         times.set(name, (times.get(name) ?? 0) + step.milliseconds);
     }
     const first = steps[firstAt];
@@ -136,7 +136,7 @@
     return [...times].sort(([, one], [, other]) => other - one)[0]?.[0] ?? "the backend server";
 }
 
-function nameOf({ kind, outcome }: Step): string {
+function phaseOf({ kind, outcome }: PathStep): string {
     switch (kind) {
         case "placed":
         case "refused":
@@ -150,8 +150,8 @@
     }
 }
 
-/** What a request was at when its caller left. */
-function stageOf(steps: readonly Step[]): string {
+/** The stage in which a request was when its caller disconnected. */
+function stageWhenCallerLeft(steps: readonly PathStep[]): string {
     const last = steps.at(-1);
     if (last === undefined || last.kind === "placed" || last.kind === "refused") {
         return "it waited for a place";
@@ -162,8 +162,8 @@
     return last.kind === "read" ? "its prompt was read" : "it waited for its answer";
 }
 
-/** Reads a step: `placed BY MS`, `refused MS`, `first MS`, `pause MS`, `read ID OUTCOME MS`, `heldBack (SERVER AGE, ...)`, `run ID OUTCOME MS (CAUSE)`, `ID OUTCOME MS`. */
-function stepOf(text: string): Step {
+/** Parses a step: `placed BY MS`, `refused MS`, `first MS`, `pause MS`, `read ID OUTCOME MS`, `heldBack (SERVER AGE, ...)`, `run ID OUTCOME MS (CAUSE)`, `ID OUTCOME MS`. */
+function parseStep(text: string): PathStep {
     const [words = "", cause = ""] = text.split(/ \((.*)\)$/s);
     const [first = "", second = "", third = "", fourth = ""] = words.split(" ");
     switch (first) {
@@ -183,16 +183,16 @@
     }
 }
 
-/** A cause without its figures, so that like ones are counted together. */
-function generalised(cause: string): string {
+/** Replaces the numbers in a cause, so that causes that differ only in numbers are counted together. */
+function withoutNumbers(cause: string): string {
     return cause.replace(/\d+(\.\d+)?/g, "N");
 }
 
-function sliceOf(at: number, slice: number): string {
+function sliceStart(at: number, slice: number): string {
     return new Date(Math.floor(at / slice) * slice).toISOString();
 }
 
-function counted(values: readonly string[]): [string, number][] {
+function countValues(values: readonly string[]): [string, number][] {
     const counts = new Map<string, number>();
     values.forEach(value => counts.set(value, (counts.get(value) ?? 0) + 1));
     return [...counts].sort(([, one], [, other]) => other - one);
--- a/packages/basilpaddle/src/node/cli/main.ts
+++ b/packages/basilpaddle/src/node/cli/main.ts
@@ -1,22 +1,22 @@
 import yargs, { type Argv } from "yargs";
 import { addConfigCommands } from "./configCommands.js";
 import { addDaemonCommands } from "./daemonCommands.js";
-import { type Ending, type ExitCode, exitCodeHelp, exitCodes } from "./exitCode.js";
+import { type ExitCode, type ExitCodeCallback, exitCodeHelp, exitCodes } from "./exitCode.js";
 import { addLogCommands } from "./logCommands.js";
 import { addOperatorCommands } from "./operatorCommands.js";
 
 class UsageError extends Error {}
 
-/** Runs the command line; the exit code of the process says how it went. */
+/** Runs the command line and sets the exit code of the process. */
 export async function main(argv: readonly string[]): Promise<void> {
     const code = await runCommandLine(argv);
     process.exitCode = code;
 }
 
-/** Runs the command line and returns the exit code. Each command's code is loaded only when it is called. */
+/** Runs the command line and resolves with the exit code. The code of each command is loaded only when it is called. */
 export async function runCommandLine(argv: readonly string[]): Promise<ExitCode> {
     let code: ExitCode = exitCodes.done;
-    const end: Ending = ended => {
+    const setExitCode: ExitCodeCallback = ended => {
         code = ended;
     };
     const parser = yargs([...argv])
@@ -33,16 +33,16 @@
         .epilogue(exitCodeHelp)
         .exitProcess(false)
         .fail((message, error, shown) => {
-            // A command that failed while it ran comes without a message; everything else is wrong in the command line.
+            // An error thrown by a running command comes without a message; everything else is a mistake in the command line.
             if (typeof message !== "string") {
                 throw error;
             }
             shown.showHelp("error");
             process.stderr.write(`\n${message}\n`);
-            // Without an error thrown here, yargs would go on and run the command.
+            // Unless an error is thrown here, yargs continues and runs the command.
             throw new UsageError(message);
         });
-    addCommands(parser, end);
+    addCommands(parser, setExitCode);
     try {
         await parser.parseAsync();
     }
@@ -56,9 +56,9 @@
     return code;
 }
 
-function addCommands(parser: Argv, end: Ending): void {
-    addDaemonCommands(parser, end);
-    addConfigCommands(parser, end);
-    addOperatorCommands(parser, end);
-    addLogCommands(parser, end);
+function addCommands(parser: Argv, setExitCode: ExitCodeCallback): void {
+    addDaemonCommands(parser, setExitCode);
+    addConfigCommands(parser, setExitCode);
+    addOperatorCommands(parser, setExitCode);
+    addLogCommands(parser, setExitCode);
 }
--- a/packages/basilpaddle/src/node/cli/operatorClient.ts
+++ b/packages/basilpaddle/src/node/cli/operatorClient.ts
@@ -2,47 +2,47 @@
 import { Agent, request } from "undici";
 import { type OperatorAnswer, operatorAnswerSchema, type PostedChange } from "../daemon/operators/index.js";
 
-/** Milliseconds that a daemon gets beyond the time that it was asked to take. */
-const answerMargin = 2_000;
+/** Time that the client waits for an answer beyond the timeout given to the daemon. */
+const answerMarginMilliseconds = 2_000;
 
-/** Why a daemon's operators' interface gave no answer. */
+/** Why there is no answer from the operators' interface of a daemon. */
 export type ClientFailure = {
     /** `unreachable`: nothing was sent. `lost`: the request may have been carried out. */
     readonly kind: "unreachable" | "lost";
     readonly message: string;
 };
 
-/** Talks to the operators' interface of one daemon. */
+/** Client of the operators' interface of one daemon. */
 export class OperatorClient {
     private readonly agent = new Agent({ connect: { timeout: 2_000 } });
 
-    private constructor(private readonly at: string, private readonly timeout: number) {}
+    private constructor(private readonly address: string, private readonly timeout: number) {}
 
-    /** Takes the address as `host:port` and the milliseconds that a request may take. */
-    static create(at: string, timeout: number): OperatorClient {
-        return new OperatorClient(at, timeout);
+    /** Creates a client for the address `host:port`; `timeout` is the limit of each request in milliseconds. */
+    static create(address: string, timeout: number): OperatorClient {
+        return new OperatorClient(address, timeout);
     }
 
-    /** Reads something. */
+    /** Reads the resource `name` of the operators' interface. */
     read(name: string, query: Readonly<Record<string, string | number | undefined>> = {}): ClientAnswer {
         const given = Object.entries(query).filter(([, value]) => value !== undefined);
         const search = new URLSearchParams(Object.fromEntries(given.map(([key, value]) => [key, String(value)])));
-        return this.answerOf("GET", `/operator/v1/${name}`, search, undefined);
+        return this.requestAnswer("GET", `/operator/v1/${name}`, search, undefined);
     }
 
     /** Sends a change of the configuration. */
     apply(change: PostedChange): ClientAnswer {
-        return this.answerOf("POST", "/operator/v1/config", new URLSearchParams(), change);
+        return this.requestAnswer("POST", "/operator/v1/config", new URLSearchParams(), change);
     }
 
-    /** Takes a backend server out. */
+    /** Drains a backend server. */
     drain(backend: string, operator: string): ClientAnswer {
-        return this.answerOf("POST", "/operator/v1/drain", new URLSearchParams(), { backend, operator });
+        return this.requestAnswer("POST", "/operator/v1/drain", new URLSearchParams(), { backend, operator });
     }
 
-    /** Lets a request run again that is held back. */
+    /** Releases a request from quarantine. */
     release(digest: string, operator: string): ClientAnswer {
-        return this.answerOf("POST", "/operator/v1/release", new URLSearchParams(), { digest, operator });
+        return this.requestAnswer("POST", "/operator/v1/release", new URLSearchParams(), { digest, operator });
     }
 
     /** Reads the metrics as text. */
@@ -50,12 +50,17 @@
         return this.send("GET", "/metrics", new URLSearchParams(), undefined);
     }
 
-    /** Closes the connections. */
+    /** Closes all connections. */
     async close(): Promise<void> {
         await this.agent.destroy();
     }
 
-    private async answerOf(method: "GET" | "POST", path: string, search: URLSearchParams, body: unknown): ClientAnswer {
+    private async requestAnswer(
+        method: "GET" | "POST",
+        path: string,
+        search: URLSearchParams,
+        body: unknown,
+    ): ClientAnswer {
         const text = await this.send(method, path, search, body);
         return text.chain(received => parseAnswer(received));
     }
@@ -68,11 +73,11 @@
     ): Promise<Either<ClientFailure, string>> {
         search.set("timeout", String(this.timeout));
         try {
-            const response = await request(`http://${this.at}${path}?${search.toString()}`, {
+            const response = await request(`http://${this.address}${path}?${search.toString()}`, {
                 method,
                 dispatcher: this.agent,
-                headersTimeout: this.timeout + answerMargin,
-                bodyTimeout: this.timeout + answerMargin,
+                headersTimeout: this.timeout + answerMarginMilliseconds,
+                bodyTimeout: this.timeout + answerMarginMilliseconds,
                 headers: body === undefined ? {} : { "content-type": "application/json" },
                 body: body === undefined ? undefined : JSON.stringify(body),
             });
@@ -80,8 +85,8 @@
         }
         catch (error) {
             const { code, message } = error as NodeJS.ErrnoException;
-            const unsent = code === "ECONNREFUSED" || code === "UND_ERR_CONNECT_TIMEOUT" || code === "ERR_INVALID_URL";
-            return Left({ kind: unsent ? "unreachable" : "lost", message: `${this.at}: ${message}` });
+            const notSent = code === "ECONNREFUSED" || code === "UND_ERR_CONNECT_TIMEOUT" || code === "ERR_INVALID_URL";
+            return Left({ kind: notSent ? "unreachable" : "lost", message: `${this.address}: ${message}` });
         }
     }
 }
--- a/packages/basilpaddle/src/node/cli/operatorCommand.ts
+++ b/packages/basilpaddle/src/node/cli/operatorCommand.ts
@@ -4,20 +4,20 @@
 import { type ClientFailure, OperatorClient } from "./operatorClient.js";
 import { Output } from "./output.js";
 
-/** What every command that asks a daemon is given. */
+/** Arguments common to all commands that query a daemon. */
 export type OperatorArguments = {
     readonly at: string;
     readonly timeout: number;
     readonly json: boolean;
 };
 
-/** What a command works with. */
+/** Client and output of a command. */
 export type OperatorContext = {
     readonly client: OperatorClient;
     readonly output: Output;
 };
 
-/** Runs a command against a daemon's operators' interface. */
+/** Runs a command with a client of a daemon's operators' interface, which is closed afterwards. */
 export async function withClient(
     given: OperatorArguments,
     run: (context: OperatorContext) => Promise<ExitCode>,
@@ -31,8 +31,8 @@
     }
 }
 
-/** Reads something and shows it, or tells why it couldn't be read. */
-export async function show<K extends OperatorAnswer["kind"]>(
+/** Prints an answer of the given kind, or why there is none, and returns the exit code. */
+export async function showAnswer<K extends OperatorAnswer["kind"]>(
     { output }: OperatorContext,
     kind: K,
     answer: Either<ClientFailure, OperatorAnswer>,
@@ -45,17 +45,17 @@
         },
         Right: value => {
             if (value.kind === kind) {
-                const wanted = value as Extract<OperatorAnswer, { kind: K; }>;
-                output.result(wanted, () => lines(wanted));
+                const expected = value as Extract<OperatorAnswer, { kind: K; }>;
+                output.result(expected, () => lines(expected));
                 return exitCodes.done;
             }
-            return unexpected(output, value);
+            return reportUnexpected(output, value);
         },
     });
 }
 
-/** Tells of an answer that isn't the one asked for. */
-export function unexpected(output: Output, answer: OperatorAnswer): ExitCode {
+/** Reports a failure, or an answer of another kind than expected, and returns the exit code. */
+export function reportUnexpected(output: Output, answer: OperatorAnswer): ExitCode {
     if (answer.kind !== "failure") {
         output.problem({ kind: "failure", message: `the daemon gave an answer of kind ${answer.kind}` });
         return exitCodes.failed;
--- a/packages/basilpaddle/src/node/cli/operatorCommands.ts
+++ b/packages/basilpaddle/src/node/cli/operatorCommands.ts
@@ -1,59 +1,59 @@
 import type { Argv } from "yargs";
-import type { Ending } from "./exitCode.js";
+import type { ExitCodeCallback } from "./exitCode.js";
 import { withOperatorName, withOperatorOptions } from "./operatorOptions.js";
 
-/** Adds the commands that look at a deployment or drain a part of it. */
-export function addOperatorCommands(parser: Argv, end: Ending): void {
+/** Adds the commands that inspect a deployment, drain backend servers and release quarantined requests. */
+export function addOperatorCommands(parser: Argv, setExitCode: ExitCodeCallback): void {
     parser
         .command(
             "status",
-            "Show daemons, leases, pools and backend servers, and what is in force where",
+            "Show daemons, leases, pools and backend servers, and which revision is in force where",
             withOperatorOptions,
-            async given => end(await (await import("./commands/status.js")).run(given)),
+            async given => setExitCode(await (await import("./commands/status.js")).run(given)),
         )
         .command(
             "drain <name>",
-            "Take a backend server out: no new work, what it runs goes to its end",
+            "Drain a backend server: it gets no new work, its running requests are completed",
             nested =>
                 withOperatorName(withOperatorOptions(nested))
                     .positional("name", { type: "string", demandOption: true, describe: "the backend server" })
                     .epilogue("A daemon is drained by SIGTERM to its process."),
-            async given => end(await (await import("./commands/drain.js")).run(given)),
+            async given => setExitCode(await (await import("./commands/drain.js")).run(given)),
         )
         .command(
             "audit",
-            "Show who did what, when and with which outcome, the newest first",
+            "Show the audit trail: who did what, when and with which outcome, newest first",
             nested =>
                 withOperatorOptions(nested)
-                    .option("limit", { type: "number", default: 50, describe: "most entries" })
+                    .option("limit", { type: "number", default: 50, describe: "maximum number of entries" })
                     .option("before", { type: "number", describe: "only entries older than this index" })
                     .option("topic", {
                         choices: ["configuration", "membership", "order"] as const,
                         describe: "only entries of this topic",
                     }),
-            async given => end(await (await import("./commands/audit.js")).run(given)),
+            async given => setExitCode(await (await import("./commands/audit.js")).run(given)),
         )
         .command(
             "held",
-            "Show which requests are held back since backend servers ended under them",
+            "List the requests that are quarantined because backend servers crashed while running them",
             withOperatorOptions,
-            async given => end(await (await import("./commands/held.js")).run(given)),
+            async given => setExitCode(await (await import("./commands/held.js")).run(given)),
         )
         .command(
             "release <request>",
-            "Let a request run again that is held back",
+            "Release a request from quarantine, so that it may run again",
             nested =>
                 withOperatorName(withOperatorOptions(nested)).positional("request", {
                     type: "string",
                     demandOption: true,
-                    describe: "the request, as `held` and the field `content` of logs name it",
+                    describe: "digest of the request, as shown by `held` and in the log field `content`",
                 }),
-            async given => end(await (await import("./commands/release.js")).run(given)),
+            async given => setExitCode(await (await import("./commands/release.js")).run(given)),
         )
         .command(
             "metrics",
-            "Print the metrics of the daemon that is asked",
+            "Print the metrics of the queried daemon",
             withOperatorOptions,
-            async given => end(await (await import("./commands/metrics.js")).run(given)),
+            async given => setExitCode(await (await import("./commands/metrics.js")).run(given)),
         );
 }
--- a/packages/basilpaddle/src/node/cli/output.ts
+++ b/packages/basilpaddle/src/node/cli/output.ts
@@ -1,6 +1,6 @@
 import { type Finding, formatFinding } from "../protocol/index.js";
 
-/** Where a command writes. */
+/** Output of a command, as text for a person or as JSON for a program. */
 export class Output {
     private constructor(private readonly json: boolean) {}
 
@@ -8,13 +8,13 @@
         return new Output(json);
     }
 
-    /** Writes the outcome: as JSON for a program, or the lines for a person. */
+    /** Writes the result to standard output, as JSON with `--json`, otherwise as lines of text. */
     result(value: unknown, lines: () => readonly string[]): void {
         const text = this.json ? JSON.stringify(value, undefined, 2) : lines().join("\n");
         process.stdout.write(`${text}\n`);
     }
 
-    /** Writes what went wrong. With `--json` it goes to standard output, where the program reads. */
+    /** Writes a problem: to standard error as text, or with `--json` to standard output, where the program reads. */
     problem(value: { readonly kind: string; readonly message: string; }): void {
         if (this.json) {
             process.stdout.write(`${JSON.stringify(value, undefined, 2)}\n`);
@@ -23,7 +23,7 @@
         process.stderr.write(`${value.message}\n`);
     }
 
-    /** Writes findings, one a line. */
+    /** Writes findings: one per line to standard error, or with `--json` as one value to standard output. */
     findings(findings: readonly Finding[]): void {
         if (this.json) {
             process.stdout.write(`${JSON.stringify({ kind: "findings", findings }, undefined, 2)}\n`);
@@ -34,7 +34,7 @@
     }
 }
 
-/** Lays rows out in columns under their headings. */
+/** Formats rows as text in aligned columns under their headings. */
 export function table(headings: readonly string[], rows: readonly (readonly (string | number)[])[]): string[] {
     const all = [headings, ...rows.map(row => row.map(String))];
     const widths = headings.map((_, column) => Math.max(...all.map(row => String(row[column] ?? "").length)));
