--- a/soak/__tests__/soak.spec.ts
+++ b/soak/__tests__/soak.spec.ts
@@ -9,16 +9,16 @@
 const shortSeeds = [1, 4];
 const shortSeconds = 6;
 
-/** Keeps all logs of a run that broke an invariant: it may not break again. */
-async function keepLogs({ seed, logs }: SoakReport): Promise<string> {
+/** Saves all logs of a run that violated an invariant, since the failure may not be reproducible. */
+async function writeLogs({ seed, logs }: SoakReport): Promise<string> {
     const folder = await mkdtemp(path.join(tmpdir(), `soak-failed-${seed}-`));
     await Promise.all([...logs].map(([name, log]) => writeFile(path.join(folder, `${name}.log`), log)));
     return folder;
 }
 
 async function expectNoViolation(report: SoakReport): Promise<void> {
-    const kept = report.violations.length === 0 ? [] : [`logs: ${await keepLogs(report)}`];
-    expect(report.violations, [...report.faults, ...kept].join("\n")).to.deep.equal([]);
+    const savedLogs = report.violations.length === 0 ? [] : [`logs: ${await writeLogs(report)}`];
+    expect(report.violations, [...report.faults, ...savedLogs].join("\n")).to.deep.equal([]);
 }
 
 describe("the fault soak", function() {
@@ -32,7 +32,7 @@
         });
     }
 
-    it("keeps every invariant while requests come that end their backend servers, one to engines, one to plain servers", async () => {
+    it("keeps every invariant while poison requests crash engines and plain servers", async () => {
         const faults = [0.2, 0.8].map((pick, index) => {
             return { kind: "deadlyRequests", at: 500 + 900 * index, lasts: 500, pick } as const;
         });
--- a/soak/backend.ts
+++ b/soak/backend.ts
@@ -13,61 +13,59 @@
 } from "../platform/src/standins/wire.js";
 import { Relay } from "../playground/harness/relay.js";
 import type { Invariants } from "./invariants.js";
-import { eventCount, eventText, isDeadly, plainText } from "./texts.js";
+import { eventCount, eventText, isPoison, plainText } from "./texts.js";
 
-/** Milliseconds to read a prompt, to answer a plain request, and between two events. */
-const readTime = 30;
-const plainTime = 15;
-const eventTime = 40;
-/** Milliseconds that a prompt's KV cache is kept. */
-export const handleLife = 500;
-/** Milliseconds between two heartbeats. */
-const heartbeatInterval = 600;
-/** Milliseconds for a directory to acknowledge one, before the next is asked. */
-const heartbeatPatience = 1_000;
+/** Simulated processing times: prefill of a prompt, a plain request, and the interval between two streamed events. */
+const prefillMilliseconds = 30;
+const plainAnswerMilliseconds = 15;
+const eventIntervalMilliseconds = 40;
+/** Milliseconds for which the KV cache of a prompt is kept. */
+export const handleLifetimeMilliseconds = 500;
+const heartbeatIntervalMilliseconds = 600;
+/** Time for a directory to acknowledge a heartbeat before the next directory is tried. */
+const heartbeatTimeoutMilliseconds = 1_000;
 /**
- * Milliseconds that a backend server goes on after its leaving was acknowledged: well beyond the time after which new
- * work counts as a violation, or a gateway that sends it some would go unnoticed.
+ * Time for which a backend server keeps serving after a directory acknowledged that it is draining. It is well above the
+ * limit after which new work is a violation; otherwise a gateway that keeps sending work would go undetected.
  */
-const drainTime = 7_000;
-/** Milliseconds that a change of stage takes. */
-const stageTime = 1_000;
+const drainMilliseconds = 7_000;
+const stageSwitchMilliseconds = 1_000;
 const plainSlots = 12;
 
-/** What a stand-in is made of. */
+/** Options of a simulated backend server. */
 export type BackendOptions = {
     readonly id: string;
     readonly service: "plain" | "pool";
     readonly stage: "prefill" | "decode" | undefined;
     readonly failureDomain: string;
     readonly host: string;
-    /** Addresses where directories take heartbeats, in the order of asking. */
+    /** Addresses at which directories accept heartbeats, in the order in which they are tried. */
     readonly directories: () => readonly string[];
     readonly invariants: Invariants;
-    /** Prompts' KV caches of all engines of the run, by handle: engines fetch them from each other. */
+    /** Attempts whose prompts' KV caches are kept, by handle; shared by all engines, which fetch caches from each other. */
     readonly caches: Map<string, string>;
-    /** Called when it begins to run a request that it doesn't survive. */
-    readonly onDeadly: (backend: Backend) => void;
+    /** Called when it starts to run a poison request, which must crash it. */
+    readonly onPoisonRequest: (backend: Backend) => void;
 };
 
-/** A backend server behind a relay: an engine of the pool or a plain server. It notes what runs on it. */
+/** A simulated backend server behind a relay: an engine of the pool or a plain server. It records each run of a request. */
 export class Backend {
-    /** How many times longer it takes for its work. */
-    slowness = 1;
-    /** Whether prompts' KV caches lapse as soon as they are made. */
-    lapses = false;
-    /** Whether it breaks connections off after it has run what came on them. */
-    losesAnswers = false;
-    /** What waits for its time here; woken when this backend server ends. */
-    private readonly resting = new Map<NodeJS.Timeout, () => void>();
+    /** Factor by which processing times are multiplied. */
+    slowdownFactor = 1;
+    /** Whether KV cache handles expire as soon as they are issued. */
+    expiresHandles = false;
+    /** Whether it resets a connection after it has run the request that arrived on it. */
+    dropsResponses = false;
+    /** Pending delays and their resolve functions; all are resolved early when this backend server crashes. */
+    private readonly pendingDelays = new Map<NodeJS.Timeout, () => void>();
     private stage: "prefill" | "decode" | undefined;
     private state: "ready" | "draining" = "ready";
     private sequence = 0;
     private readonly startedAt = Date.now();
     private running = 0;
-    private gone = false;
+    private hasCrashed = false;
     private lastFence = 0;
-    private made = 0;
+    private createdHandles = 0;
 
     private constructor(
         private readonly options: BackendOptions,
@@ -78,7 +76,7 @@
         server.on("request", (request, response) => void this.receive(request, response));
     }
 
-    /** Starts one, which announces itself from now on. */
+    /** Starts a backend server, which begins to send heartbeats. */
     static async create(options: BackendOptions): Promise<Backend> {
         const server = http.createServer({ keepAliveTimeout: 20_000 });
         await new Promise<void>(resolve => server.listen(0, options.host, resolve));
@@ -86,7 +84,7 @@
         const { port } = server.address() as AddressInfo;
         const backend = new Backend(options, server, relay);
         relay.to({ host: options.host, port });
-        void backend.announce();
+        void backend.sendHeartbeats();
         return backend;
     }
 
@@ -98,56 +96,56 @@
         return this.options.service;
     }
 
-    /** The stage that it began with. */
-    get firstStage(): "prefill" | "decode" | undefined {
+    /** The stage before any order to change it. */
+    get initialStage(): "prefill" | "decode" | undefined {
         return this.options.stage;
     }
 
-    isLeaving(): boolean {
+    isDraining(): boolean {
         return this.state === "draining";
     }
 
-    /** Says that it leaves, goes on for a while, and ends. */
+    /** Announces that it is draining, keeps serving for `drainMilliseconds`, and announces that it has left. */
     async drain(): Promise<void> {
         this.state = "draining";
-        while (!this.gone && !await this.beat()) {
-            await this.rest(heartbeatInterval / 4);
+        while (!this.hasCrashed && !await this.sendHeartbeat()) {
+            await this.delay(heartbeatIntervalMilliseconds / 4);
         }
-        if (this.gone) {
+        if (this.hasCrashed) {
             return;
         }
-        this.options.invariants.leaves(this.id, performance.now());
-        await this.rest(drainTime);
+        this.options.invariants.drainAcknowledged(this.id, performance.now());
+        await this.delay(drainMilliseconds);
         const { path, body } = leaveCall(this.id, this.startedAt);
-        await this.tell(path, body);
+        await this.postToDirectories(path, body);
     }
 
-    /** Ends at once: connections break, and nothing listens any more. */
+    /** Closes the server and resets all its connections immediately. */
     crash(): void {
-        if (this.gone) {
+        if (this.hasCrashed) {
             return;
         }
-        this.gone = true;
-        this.resting.forEach((wake, timer) => {
+        this.hasCrashed = true;
+        this.pendingDelays.forEach((resolve, timer) => {
             clearTimeout(timer);
-            wake();
+            resolve();
         });
-        this.resting.clear();
+        this.pendingDelays.clear();
         this.relay.reset();
         this.relay.close();
         this.server.close();
         this.server.closeAllConnections();
     }
 
-    private async announce(): Promise<void> {
-        while (!this.gone && this.state === "ready") {
-            await this.beat();
-            await this.rest(heartbeatInterval);
+    private async sendHeartbeats(): Promise<void> {
+        while (!this.hasCrashed && this.state === "ready") {
+            await this.sendHeartbeat();
+            await this.delay(heartbeatIntervalMilliseconds);
         }
     }
 
-    /** Sends one heartbeat; gives whether a directory acknowledged it. */
-    private beat(): Promise<boolean> {
+    /** Sends one heartbeat; returns whether a directory acknowledged it. */
+    private sendHeartbeat(): Promise<boolean> {
         this.sequence += 1;
         const { service, failureDomain } = this.options;
         const { host, port } = this.relay.address;
@@ -160,13 +158,13 @@
             sequence: this.sequence,
             startedAt: this.startedAt,
         });
-        return this.tell(path, body);
+        return this.postToDirectories(path, body);
     }
 
-    private async tell(path: string, body: string): Promise<boolean> {
+    private async postToDirectories(path: string, body: string): Promise<boolean> {
         for (const directory of this.options.directories()) {
             try {
-                const signal = AbortSignal.timeout(heartbeatPatience);
+                const signal = AbortSignal.timeout(heartbeatTimeoutMilliseconds);
                 const answer = await fetch(`http://${directory}${path}`, { method: "POST", body, signal });
                 await answer.text();
                 if (answer.ok) {
@@ -174,7 +172,7 @@
                 }
             }
             catch {
-                // This directory is down or cut off; the next one is asked.
+                // This directory is down or unreachable; the next one is tried.
             }
         }
         return false;
@@ -183,22 +181,22 @@
     private async receive(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
         const chunks: Buffer[] = [];
         request.on("data", (chunk: Buffer) => chunks.push(chunk));
-        const whole = await new Promise<boolean>(resolve => {
+        const isComplete = await new Promise<boolean>(resolve => {
             request.once("end", () => resolve(true));
             request.once("close", () => resolve(false));
         });
-        if (!whole) {
+        if (!isComplete) {
             return;
         }
         const { method = "GET", url = "/" } = request;
         const body = Buffer.concat(chunks).toString();
         const order = receivedOrder(method, url, body);
-        const freed = freedHandle(method, url);
+        const freedCache = freedHandle(method, url);
         if (order !== undefined) {
-            this.obey(order, response);
+            this.applyOrder(order, response);
         }
-        else if (freed !== undefined) {
-            this.options.caches.delete(freed);
+        else if (freedCache !== undefined) {
+            this.options.caches.delete(freedCache);
             response.end();
         }
         else {
@@ -206,15 +204,15 @@
         }
     }
 
-    private obey(order: NonNullable<ReturnType<typeof receivedOrder>>, response: http.ServerResponse): void {
+    private applyOrder(order: NonNullable<ReturnType<typeof receivedOrder>>, response: http.ServerResponse): void {
         if (order.fence < this.lastFence) {
             response.writeHead(412).end();
             return;
         }
         this.lastFence = order.fence;
-        this.options.invariants.ordered(order.holder, order.fence);
+        this.options.invariants.orderAccepted(order.holder, order.fence);
         this.stage = undefined;
-        void this.rest(stageTime).then(() => {
+        void this.delay(stageSwitchMilliseconds).then(() => {
             this.stage = order.stage;
         });
         response.writeHead(202).end();
@@ -225,33 +223,33 @@
         if (instance !== undefined && instance !== this.id) {
             response.writeHead(421, notRunHeaders(attempt)).end();
         }
-        else if (isDeadly(body) && !received.prefillOnly) {
-            this.options.invariants.ran(attempt, this.id, performance.now())(performance.now());
-            this.options.invariants.endedUnder(body, this.id, performance.now());
-            this.options.onDeadly(this);
+        else if (isPoison(body) && !received.prefillOnly) {
+            this.options.invariants.runStarted(attempt, this.id, performance.now())(performance.now());
+            this.options.invariants.backendCrashed(body, this.id, performance.now());
+            this.options.onPoisonRequest(this);
         }
         else if (this.service === "plain") {
             await this.answerPlain(received, response);
         }
         else if (received.prefillOnly) {
-            await this.read(received, response);
+            await this.prefill(received, response);
         }
         else {
-            await this.stream(received, response);
+            await this.decode(received, response);
         }
     }
 
-    private async read({ attempt }: ReceivedRequest, response: http.ServerResponse): Promise<void> {
+    private async prefill({ attempt }: ReceivedRequest, response: http.ServerResponse): Promise<void> {
         if (this.stage !== "prefill") {
             response.writeHead(421, notRunHeaders(attempt)).end();
             return;
         }
-        await this.rest(readTime * this.slowness);
-        this.made += 1;
-        const handle = `${this.id}-${this.made}`;
-        if (!this.lapses) {
+        await this.delay(prefillMilliseconds * this.slowdownFactor);
+        this.createdHandles += 1;
+        const handle = `${this.id}-${this.createdHandles}`;
+        if (!this.expiresHandles) {
             this.options.caches.set(handle, attempt);
-            void this.rest(handleLife).then(() => this.options.caches.delete(handle));
+            void this.delay(handleLifetimeMilliseconds).then(() => this.options.caches.delete(handle));
         }
         response.end(readAnswer(handle));
     }
@@ -261,9 +259,9 @@
             response.writeHead(503, notRunHeaders(attempt)).end();
             return;
         }
-        await this.work(attempt, response, async () => {
-            await this.rest(plainTime * this.slowness);
-            if (this.losesAnswers) {
+        await this.runRequest(attempt, response, async () => {
+            await this.delay(plainAnswerMilliseconds * this.slowdownFactor);
+            if (this.dropsResponses) {
                 response.socket?.resetAndDestroy();
                 return;
             }
@@ -272,25 +270,28 @@
         });
     }
 
-    private async stream(received: ReceivedRequest, response: http.ServerResponse): Promise<void> {
+    private async decode(received: ReceivedRequest, response: http.ServerResponse): Promise<void> {
         const { attempt, handle, resumeAfter = 0 } = received;
-        const known = handle === undefined || this.options.caches.get(handle) !== undefined;
-        if (this.stage !== "decode" || !known) {
+        const hasCache = handle === undefined || this.options.caches.get(handle) !== undefined;
+        if (this.stage !== "decode" || !hasCache) {
             response.writeHead(this.stage === "decode" ? 503 : 421, notRunHeaders(attempt)).end();
             return;
         }
         if (handle !== undefined && this.options.caches.get(handle) !== attempt) {
-            this.options.invariants.violate("its own whole answer", `${attempt} goes on from the KV cache of another`);
+            this.options.invariants.violate(
+                "its own whole answer",
+                `${attempt} resumed from the KV cache of another request`,
+            );
         }
         this.options.caches.delete(handle ?? "");
-        await this.work(attempt, response, async () => {
+        await this.runRequest(attempt, response, async () => {
             const headers = answerHeaders(attempt, this.id, this.id);
             response.writeHead(200, { ...headers, "Content-Type": "text/event-stream" });
             for (let number = resumeAfter + 1; number <= eventCount(attempt) && !response.destroyed; number++) {
                 response.write(eventText(attempt, number));
-                await this.rest(eventTime * this.slowness);
+                await this.delay(eventIntervalMilliseconds * this.slowdownFactor);
             }
-            if (this.losesAnswers) {
+            if (this.dropsResponses) {
                 response.socket?.resetAndDestroy();
                 return;
             }
@@ -298,29 +299,33 @@
         });
     }
 
-    /** Works on a request as long as its caller is there. */
-    private async work(attempt: string, response: http.ServerResponse, act: () => Promise<void>): Promise<void> {
+    /** Runs a request and records the run, which ends when the response or its connection is closed. */
+    private async runRequest(
+        attempt: string,
+        response: http.ServerResponse,
+        handler: () => Promise<void>,
+    ): Promise<void> {
         this.running += 1;
-        const ended = this.options.invariants.ran(attempt, this.id, performance.now());
+        const ended = this.options.invariants.runStarted(attempt, this.id, performance.now());
         response.once("close", () => ended(performance.now()));
         try {
-            await act();
+            await handler();
         }
         finally {
             this.running -= 1;
         }
     }
 
-    private rest(milliseconds: number): Promise<void> {
-        if (this.gone) {
+    private delay(milliseconds: number): Promise<void> {
+        if (this.hasCrashed) {
             return Promise.resolve();
         }
         return new Promise(resolve => {
             const timer = setTimeout(() => {
-                this.resting.delete(timer);
+                this.pendingDelays.delete(timer);
                 resolve();
             }, milliseconds);
-            this.resting.set(timer, resolve);
+            this.pendingDelays.set(timer, resolve);
         });
     }
 }
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -6,37 +6,37 @@
 import type { Member } from "./member.js";
 import { plainText, streamText } from "./texts.js";
 
-/** Host that the routes name. */
+/** Host that all routes match. */
 export const routeHost = "soak.example";
-/** Milliseconds that a route gives a request; long enough for an answer, short enough for a run to see it pass. */
-export const routeTimeout = 6_000;
-/** Paths of the routes that every configuration has. */
+/** Request timeout of the routes: long enough for a response, and short enough to expire within a run. */
+export const routeTimeoutMilliseconds = 6_000;
+/** Path prefixes of the routes that every configuration contains. */
 export const routePrefixes: Readonly<Record<RouteKind, string>> = {
     safe: "/safe/",
     unsafe: "/unsafe/",
     resumable: "/resumable/",
     once: "/once/",
 };
-const kinds: readonly RouteKind[] = ["safe", "unsafe", "resumable", "once"];
-/** Milliseconds that a caller waits for its whole answer: longer than its deadline, so that a late one is seen. */
-const patience = 12_000;
-const deadline = 5_000;
-/** Part of the callers that leave before their answer, and the milliseconds within which they do. */
-const leavingPart = 0.12;
-const leavesWithin = 900;
-/** Part of the callers that come on a connection of their own; the others share kept ones. */
-const freshPart = 0.3;
-const keptConnections = 4;
-const readinessInterval = 300;
+const routeKinds: readonly RouteKind[] = ["safe", "unsafe", "resumable", "once"];
+/** Time that a caller waits for the complete response: longer than its deadline, so that late responses are observed. */
+const answerTimeoutMilliseconds = 12_000;
+const deadlineMilliseconds = 5_000;
+/** Share of the callers that may disconnect before the response, and the longest time after which they do. */
+const abandonProbability = 0.12;
+const maximumAbandonMilliseconds = 900;
+/** Share of the requests that open a new connection; the others use kept-alive connections. */
+const newConnectionProbability = 0.3;
+const maximumIdleConnections = 4;
+const readinessIntervalMilliseconds = 300;
 
-/** Callers of all gateways: each request goes to a gateway that the balancer would choose. */
+/** Callers of all gateways: each request goes to a gateway that a load balancer would choose. */
 export class Callers {
     private readonly agents = new Map<string, http.Agent>();
-    private readonly open = new Set<Promise<void>>();
+    private readonly openRequests = new Set<Promise<void>>();
     private rotation: readonly Member[] = [];
-    private made = 0;
-    private timer: NodeJS.Timeout | undefined;
-    private look: NodeJS.Timeout | undefined;
+    private createdRequests = 0;
+    private sendTimer: NodeJS.Timeout | undefined;
+    private readinessTimer: NodeJS.Timeout | undefined;
 
     private constructor(
         private readonly deployment: SoakDeployment,
@@ -48,62 +48,64 @@
         return new Callers(deployment, invariants, random);
     }
 
-    /** Sends so many requests a second from now on. */
+    /** Starts to send requests at a fixed rate. */
     start(perSecond: number): void {
         this.rotation = [...this.deployment.gateways];
-        this.look = setInterval(() => void this.chooseGateways(), readinessInterval);
-        this.timer = setInterval(() => this.sendOne(), 1_000 / perSecond);
+        this.readinessTimer = setInterval(() => void this.chooseGateways(), readinessIntervalMilliseconds);
+        this.sendTimer = setInterval(() => this.sendOne(), 1_000 / perSecond);
     }
 
-    /** Sends no more, and waits for what is open. */
+    /** Stops sending and waits for the open requests. */
     async stop(): Promise<void> {
-        clearInterval(this.timer);
-        clearInterval(this.look);
-        await Promise.all(this.open);
+        clearInterval(this.sendTimer);
+        clearInterval(this.readinessTimer);
+        await Promise.all(this.openRequests);
         this.agents.forEach(agent => agent.destroy());
     }
 
-    /** Sends one request to one gateway, and waits for its end. */
+    /** Sends one request to one gateway, and waits for its outcome. */
     async ask(
         gateway: Member,
         kind: RouteKind,
         path = `${routePrefixes[kind]}x`,
         body?: string,
     ): Promise<SoakRequest> {
-        this.made += 1;
-        const attempt = `a${this.made}`;
-        const request = this.invariants.sent(attempt, kind, gateway.name, performance.now());
+        this.createdRequests += 1;
+        const attempt = `a${this.createdRequests}`;
+        const request = this.invariants.requestSent(attempt, kind, gateway.name, performance.now());
         const end = await this.exchange(gateway, request, path, undefined, body);
-        this.invariants.ended(request, end, performance.now());
+        this.invariants.requestEnded(request, end, performance.now());
         return request;
     }
 
     private async chooseGateways(): Promise<void> {
         const { gateways } = this.deployment;
         const ready = await Promise.all(gateways.map(gateway => this.deployment.isReady(gateway)));
-        const chosen = gateways.filter((_, index) => ready[index]);
-        // With none ready, the balancer uses all that are left.
-        this.rotation = chosen.length > 0 ? chosen : [...gateways];
+        const readyGateways = gateways.filter((_, index) => ready[index]);
+        // Like a load balancer without a ready target, falls back to all gateways.
+        this.rotation = readyGateways.length > 0 ? readyGateways : [...gateways];
     }
 
     private sendOne(): void {
         const gateway = this.rotation[this.random.integer(0, this.rotation.length - 1)]!;
-        const kind = kinds[this.random.integer(0, kinds.length - 1)]!;
-        const leaves = this.random.fraction() < leavingPart ? this.random.integer(1, leavesWithin) : undefined;
-        this.made += 1;
-        const request = this.invariants.sent(`a${this.made}`, kind, gateway.name, performance.now());
-        const done = this.exchange(gateway, request, `${routePrefixes[kind]}x`, leaves).then(end => {
-            this.invariants.ended(request, end, performance.now());
-            this.open.delete(done);
+        const kind = routeKinds[this.random.integer(0, routeKinds.length - 1)]!;
+        const abandonAfter = this.random.fraction() < abandonProbability
+            ? this.random.integer(1, maximumAbandonMilliseconds)
+            : undefined;
+        this.createdRequests += 1;
+        const request = this.invariants.requestSent(`a${this.createdRequests}`, kind, gateway.name, performance.now());
+        const done = this.exchange(gateway, request, `${routePrefixes[kind]}x`, abandonAfter).then(end => {
+            this.invariants.requestEnded(request, end, performance.now());
+            this.openRequests.delete(done);
         });
-        this.open.add(done);
+        this.openRequests.add(done);
     }
 
     private exchange(
         gateway: Member,
         request: SoakRequest,
         path: string,
-        leavesAfter: number | undefined,
+        abandonAfterMilliseconds: number | undefined,
         body = `body of ${request.attempt}`,
     ): Promise<CallerEnd> {
         const { attempt, kind } = request;
@@ -113,24 +115,33 @@
                 timers.forEach(timer => clearTimeout(timer));
                 resolve(end);
             };
-            const sent = http.request({
-                ...this.deployment.callersOf(gateway),
+            const clientRequest = http.request({
+                ...this.deployment.callerAddressOf(gateway),
                 path,
                 method: kind === "safe" ? "GET" : "POST",
-                agent: this.random.fraction() < freshPart ? false : this.agent(gateway),
-                headers: { Host: routeHost, ...callerHeaders(attempt, deadline) },
+                agent: this.random.fraction() < newConnectionProbability ? false : this.agent(gateway),
+                headers: { Host: routeHost, ...callerHeaders(attempt, deadlineMilliseconds) },
             });
-            const leave = (end: CallerEnd): void => {
+            const disconnect = (end: CallerEnd): void => {
                 settle(end);
-                sent.destroy();
+                clientRequest.destroy();
             };
-            timers.push(setTimeout(() => leave({ kind: "cut", cause: `no end within ${patience} ms` }), patience));
-            if (leavesAfter !== undefined) {
-                timers.push(setTimeout(() => leave({ kind: "left" }), leavesAfter));
+            timers.push(
+                setTimeout(
+                    () =>
+                        disconnect({
+                            kind: "cut",
+                            cause: `no complete response within ${answerTimeoutMilliseconds} ms`,
+                        }),
+                    answerTimeoutMilliseconds,
+                ),
+            );
+            if (abandonAfterMilliseconds !== undefined) {
+                timers.push(setTimeout(() => disconnect({ kind: "left" }), abandonAfterMilliseconds));
             }
-            sent.on("response", response => void wholeAnswer(response, request).then(settle));
-            sent.on("error", error => settle({ kind: "cut", cause: error.message }));
-            sent.end(kind === "safe" ? undefined : body);
+            clientRequest.on("response", response => void readAnswer(response, request).then(settle));
+            clientRequest.on("error", error => settle({ kind: "cut", cause: error.message }));
+            clientRequest.end(kind === "safe" ? undefined : body);
         });
     }
 
@@ -139,8 +150,8 @@
         if (agent === undefined) {
             agent = new http.Agent({
                 keepAlive: true,
-                maxSockets: keptConnections * 10,
-                maxFreeSockets: keptConnections,
+                maxSockets: maximumIdleConnections * 10,
+                maxFreeSockets: maximumIdleConnections,
             });
             this.agents.set(gateway.name, agent);
         }
@@ -148,8 +159,8 @@
     }
 }
 
-/** Reads an answer to its end and holds it against the request. */
-function wholeAnswer(response: http.IncomingMessage, { attempt, kind }: SoakRequest): Promise<CallerEnd> {
+/** Reads a response to its end and compares its body with the one expected for the request. */
+function readAnswer(response: http.IncomingMessage, { attempt, kind }: SoakRequest): Promise<CallerEnd> {
     return new Promise(resolve => {
         let body = "";
         response.on("data", chunk => {
@@ -163,7 +174,7 @@
             resolve(
                 complete
                     ? { kind: "answered", status, sealed, right: body === expected }
-                    : { kind: "cut", cause: `the answer broke off after ${body.length} bytes` },
+                    : { kind: "cut", cause: `the response was cut off after ${body.length} bytes` },
             );
         });
     });
--- a/soak/deployment.ts
+++ b/soak/deployment.ts
@@ -10,31 +10,31 @@
 import type { SoakPlan } from "./plan.js";
 
 const failureDomains = ["a", "b", "c"];
-/** Last numbers of hosts: what others know a daemon by, and, so many further, where it really listens. */
-const firstDirectory = 1;
-const firstGateway = 21;
-const behindRelay = 100;
-const backendHost = 250;
-const heartbeat = 600;
-/** Milliseconds in which the balancer's stand-in takes a gateway out that isn't ready. */
-const readinessPatience = 800;
-const readyLimit = 30_000;
-/** Milliseconds until another backend server comes for one that ended under a request. */
-const replaceAfter = 1_500;
+/** Host numbers: daemons are known by their relay's host, and listen on the host that is `bindHostOffset` higher. */
+const directoryHostBase = 1;
+const gatewayHostBase = 21;
+const bindHostOffset = 100;
+const backendHostNumber = 250;
+const heartbeatMilliseconds = 600;
+/** Timeout of the simulated load balancer's readiness check; a gateway that doesn't answer in time isn't ready. */
+const readinessTimeoutMilliseconds = 800;
+const readyTimeoutMilliseconds = 30_000;
+/** Delay before a replacement is started for a backend server that crashed while running a request. */
+const replacementDelayMilliseconds = 1_500;
 
 type Ports = { readonly peer: number; readonly calls: number; readonly callers: number; readonly readiness: number; };
 
-/** A deployment of real processes on loopback, with a relay before each address, and stand-ins for backend servers. */
+/** A deployment of real processes on loopback with a relay in front of each address, and simulated backend servers. */
 export class SoakDeployment {
     readonly directories: Member[] = [];
     readonly gateways: Member[] = [];
-    /** Directories that were replaced by others: they stay down, and their logs count all the same. */
+    /** Directories that were replaced: they stay down, but their logs are still checked. */
     readonly replaced: Member[] = [];
     readonly backends: Backend[] = [];
     private readonly caches = new Map<string, string>();
     private closed = false;
-    private madeBackends = 0;
-    private madeDirectories = 0;
+    private createdBackends = 0;
+    private createdDirectories = 0;
 
     private constructor(
         private readonly plan: SoakPlan,
@@ -44,11 +44,11 @@
         private readonly ports: Ports,
     ) {}
 
-    /** Starts every process and waits until each gateway is ready; `configure` sends the first configuration. */
+    /** Reserves addresses and ports and writes the settings files; processes are started by `start`. */
     static async create(plan: SoakPlan, invariants: Invariants): Promise<SoakDeployment> {
         const folder = await mkdtemp(path.join(tmpdir(), "soak-"));
         const addresses = Addresses.create();
-        const host = addresses.host(backendHost);
+        const host = addresses.host(backendHostNumber);
         const ports: number[] = [];
         while (ports.length < 4) {
             const { port } = await addresses.free(host);
@@ -58,7 +58,7 @@
         }
         const [peer, calls, callers, readiness] = ports as [number, number, number, number];
         const deployment = new SoakDeployment(plan, invariants, addresses, folder, { peer, calls, callers, readiness });
-        await deployment.write();
+        await deployment.createMembers();
         return deployment;
     }
 
@@ -66,7 +66,7 @@
         return [...this.directories, ...this.gateways];
     }
 
-    /** Starts all processes and backend servers. */
+    /** Starts all daemon processes and backend servers. */
     async start(): Promise<void> {
         this.members().forEach(member => member.start());
         const { engines, plainServers } = this.plan;
@@ -78,63 +78,63 @@
         }
     }
 
-    /** Waits until every gateway says that it is ready. */
-    async ready(): Promise<void> {
+    /** Waits until the readiness check of every gateway succeeds. */
+    async waitUntilReady(): Promise<void> {
         for (const gateway of this.gateways) {
-            await until(`${gateway.name} ready`, () => this.isReady(gateway), readyLimit);
+            await until(`${gateway.name} ready`, () => this.isReady(gateway), readyTimeoutMilliseconds);
         }
     }
 
-    /** Whether the balancer would send new callers to a gateway. */
+    /** Whether the load balancer would route new callers to a gateway. */
     async isReady(gateway: Member): Promise<boolean> {
         if (!gateway.isAwake()) {
             return false;
         }
         try {
             const url = `http://${gateway.bindHost}:${this.ports.readiness}${operatorPaths.ready}`;
-            const answer = await fetch(url, { signal: AbortSignal.timeout(readinessPatience) });
+            const answer = await fetch(url, { signal: AbortSignal.timeout(readinessTimeoutMilliseconds) });
             await answer.text();
             return answer.status === 200;
         }
         catch {
-            // It is starting or ending.
+            // The process is starting or shutting down.
             return false;
         }
     }
 
-    /** Where callers reach a gateway, over its relay. */
-    callersOf(gateway: Member): { readonly host: string; readonly port: number; } {
+    /** Address at which callers reach a gateway, through its relay. */
+    callerAddressOf(gateway: Member): { readonly host: string; readonly port: number; } {
         return { host: gateway.host, port: this.ports.callers };
     }
 
-    /** Where operators and backend servers reach the directories, over their relays. */
+    /** Addresses at which operators and backend servers reach the directories, through their relays. */
     callAddresses(): readonly string[] {
         return this.directories.map(({ host }) => `${host}:${this.ports.calls}`);
     }
 
-    /** Starts a backend server, under a name of its own unless it comes back under one. */
+    /** Starts a backend server with a new name, or with `name` if it is a new incarnation of an earlier one. */
     async addBackend(
         service: "plain" | "pool",
         stage: "prefill" | "decode" | undefined,
         name?: string,
     ): Promise<Backend> {
-        this.madeBackends += 1;
+        this.createdBackends += 1;
         const backend = await Backend.create({
-            id: name ?? `${service}-${this.madeBackends}`,
+            id: name ?? `${service}-${this.createdBackends}`,
             service,
             stage,
-            failureDomain: failureDomains[this.madeBackends % failureDomains.length]!,
-            host: this.addresses.host(backendHost),
+            failureDomain: failureDomains[this.createdBackends % failureDomains.length]!,
+            host: this.addresses.host(backendHostNumber),
             directories: () => this.callAddresses(),
             invariants: this.invariants,
             caches: this.caches,
-            onDeadly: ended => void this.replaceBackend(ended),
+            onPoisonRequest: crashed => void this.replaceBackend(crashed),
         });
         this.backends.push(backend);
         return backend;
     }
 
-    /** Ends a backend server for good. */
+    /** Crashes a backend server without a replacement. */
     removeBackend(backend: Backend): void {
         const position = this.backends.indexOf(backend);
         if (position >= 0) {
@@ -143,27 +143,27 @@
         backend.crash();
     }
 
-    /** A backend server ends, and another one takes its place a little later. */
+    /** Crashes a backend server and starts another one after a delay. */
     private async replaceBackend(backend: Backend): Promise<void> {
         this.removeBackend(backend);
-        await pause(replaceAfter);
+        await pause(replacementDelayMilliseconds);
         if (!this.closed) {
-            await this.addBackend(backend.service, backend.firstStage);
+            await this.addBackend(backend.service, backend.initialStage);
         }
     }
 
-    /** Adds a directory at a new address with an empty disk; it isn't started yet. */
+    /** Adds a directory at a new address with an empty disk, without starting it. */
     addDirectory(firstStart: boolean): Promise<Member> {
-        this.madeDirectories += 1;
-        return this.directory(this.madeDirectories, firstStart);
+        this.createdDirectories += 1;
+        return this.createDirectory(this.createdDirectories, firstStart);
     }
 
-    /** Addresses of up to three directories, as settings name them. */
+    /** Addresses of up to three directories, for the `seeds` setting. */
     seeds(): readonly string[] {
         return this.callAddresses().slice(0, 3);
     }
 
-    /** Ends every process that this deployment started, and removes its folder. */
+    /** Kills every process that this deployment started, and removes its folder. */
     async close(): Promise<void> {
         this.closed = true;
         this.backends.forEach(backend => backend.crash());
@@ -171,22 +171,22 @@
         await rm(this.folder, { recursive: true, force: true });
     }
 
-    private async write(): Promise<void> {
+    private async createMembers(): Promise<void> {
         for (let index = 0; index < this.plan.directories; index++) {
             await this.addDirectory(true);
         }
         for (const directory of this.directories) {
-            await directory.write({ seeds: this.seeds() });
+            await directory.writeSettings({ seeds: this.seeds() });
         }
         for (let index = 0; index < this.plan.gateways; index++) {
-            this.gateways.push(await this.gateway(index));
+            this.gateways.push(await this.createGateway(index));
         }
     }
 
-    private async directory(number: number, firstStart: boolean): Promise<Member> {
+    private async createDirectory(number: number, firstStart: boolean): Promise<Member> {
         const name = `directory-${number}`;
         const { peer, calls } = this.ports;
-        const common = this.common(name, firstDirectory + number, number);
+        const common = this.commonSettings(name, directoryHostBase + number, number);
         const member = await Member.create(
             {
                 ...common,
@@ -195,7 +195,7 @@
                 dataFolder: path.join(this.folder, `data-${name}`),
                 firstStart,
                 tolerated: 1,
-                heartbeat,
+                heartbeat: heartbeatMilliseconds,
                 orderLease: 1_000,
             },
             { peers: peer, calls },
@@ -205,9 +205,9 @@
         return member;
     }
 
-    private gateway(index: number): Promise<Member> {
+    private createGateway(index: number): Promise<Member> {
         const { callers, readiness } = this.ports;
-        const common = this.common(`gateway-${index + 1}`, firstGateway + index, index);
+        const common = this.commonSettings(`gateway-${index + 1}`, gatewayHostBase + index, index);
         return Member.create(
             {
                 ...common,
@@ -221,12 +221,12 @@
         );
     }
 
-    private common(name: string, last: number, index: number) {
+    private commonSettings(name: string, last: number, index: number) {
         return {
             name,
             failureDomain: failureDomains[index % failureDomains.length]!,
             host: this.addresses.host(last),
-            bindHost: this.addresses.host(last + behindRelay),
+            bindHost: this.addresses.host(last + bindHostOffset),
             peerPort: this.ports.peer,
             metricsPort: 0,
             seeds: this.seeds(),
--- a/soak/faults.ts
+++ b/soak/faults.ts
@@ -6,27 +6,27 @@
 import type { Member } from "./member.js";
 import type { Operator } from "./operator.js";
 import { type Fault, type FaultKind, plannedKinds } from "./plan.js";
-import { deadlyBody } from "./texts.js";
+import { poisonBody } from "./texts.js";
 
-/** Longest time in milliseconds that all directories are down at once. */
-const longestOutage = 2_000;
-/** Milliseconds that a directory with an empty disk has to take over what the others hold, before a disk may be lost again. */
-const catchUp = 7_000;
-/** How many times longer a slow backend server takes. */
-const slowness = 6;
-/** Milliseconds that slow links hold bytes back. */
-const linkDelay = 120;
-/** Milliseconds between two arrivals of a deadly request, and for which it comes beyond a fault's length: past the third crash. */
-const deadlyInterval = 250;
-const deadlyTime = 6_000;
-/** Milliseconds after a stop before the process is started again. */
-const restartAfter = 300;
+/** Longest time for which all directories are down together. */
+const maximumOutageMilliseconds = 2_000;
+/** Time that a directory with an empty disk gets to replicate the state of the others before a disk may be lost again. */
+const catchUpMilliseconds = 7_000;
+/** Factor by which the processing times of a slow backend server are multiplied. */
+const backendSlowdownFactor = 6;
+/** Delay that slow links add. */
+const linkDelayMilliseconds = 120;
+/** Interval between two copies of a poison request, and the time it is sent beyond the fault's duration: past the third crash. */
+const poisonIntervalMilliseconds = 250;
+const poisonExtraMilliseconds = 6_000;
+/** Delay between a stop and the next start of a process. */
+const restartDelayMilliseconds = 300;
 
-/** Carries faults out, each at its time and beside the others, and puts everything right again. */
+/** Injects faults at their planned times, concurrently where they overlap, and reverts each of them afterwards. */
 export class FaultRunner {
-    /** When the last disk was lost, and when a directory was last unwell since then. */
+    /** When the last disk was lost, and when the last fault of a directory or of the links between daemons ended. */
     private diskLostAt: number | undefined;
-    private directoriesWellSince = 0;
+    private directoriesHealthySince = 0;
     private readonly running = new Set<Promise<void>>();
 
     private constructor(
@@ -47,139 +47,144 @@
         return new FaultRunner(deployment, operator, invariants, callers, report);
     }
 
-    /** Begins each fault at its time; settles when all of them are over. */
+    /** Starts each fault at its time; resolves when all of them have ended. */
     async play(faults: readonly Fault[]): Promise<void> {
         const start = performance.now();
         for (const fault of faults) {
             await pause(Math.max(0, start + fault.at - performance.now()));
-            const done = this.one(fault).finally(() => this.running.delete(done));
+            const done = this.carryOut(fault).finally(() => this.running.delete(done));
             this.running.add(done);
         }
         await Promise.all(this.running);
     }
 
-    private async one(fault: Fault): Promise<void> {
+    private async carryOut(fault: Fault): Promise<void> {
         const { kind } = fault;
         const end = plannedKinds.has(kind) ? undefined : this.invariants.disturb(kind, performance.now());
         try {
-            await this.act(fault);
+            await this.perform(fault);
         }
         finally {
             const now = performance.now();
             end?.(now);
             if (kind.includes("irector") || kind === "killAll" || kind === "slowLinks" || kind === "resetPeers") {
-                this.directoriesWellSince = now;
+                this.directoriesHealthySince = now;
             }
         }
     }
 
-    private act(fault: Fault): Promise<void> {
+    private perform(fault: Fault): Promise<void> {
         const { deployment, operator } = this;
         const { lasts, pick } = fault;
-        const gateway = pickOf(deployment.gateways, pick);
-        const directory = pickOf(deployment.directories, pick);
-        const acts: Readonly<Record<FaultKind, () => Promise<void>>> = {
+        const gateway = pickByFraction(deployment.gateways, pick);
+        const directory = pickByFraction(deployment.directories, pick);
+        const actions: Readonly<Record<FaultKind, () => Promise<void>>> = {
             killGateway: () => this.killFor(fault, [gateway], lasts),
             pauseGateway: () => this.pauseFor(fault, gateway),
             stopGateway: () => this.restart(fault, gateway),
             killDirectory: () => this.killFor(fault, [directory], lasts),
             pauseDirectory: () => this.pauseFor(fault, directory),
             stopDirectory: () => this.restart(fault, directory),
-            wipeDirectory: () => this.loseDisk(fault, directory),
-            tearLog: () => this.killFor(fault, [directory], lasts, () => directory.tear()),
+            wipeDirectory: () => this.restartWithEmptyDisk(fault, directory),
+            tearLog: () => this.killFor(fault, [directory], lasts, () => directory.appendTornRecord()),
             replaceDirectory: () => this.replace(fault, directory),
-            killDirectories: () => this.killFor(fault, deployment.directories, Math.min(lasts, longestOutage)),
-            killAll: () => this.killFor(fault, deployment.members(), Math.min(lasts, longestOutage)),
+            killDirectories: () =>
+                this.killFor(fault, deployment.directories, Math.min(lasts, maximumOutageMilliseconds)),
+            killAll: () => this.killFor(fault, deployment.members(), Math.min(lasts, maximumOutageMilliseconds)),
             cutDirectory: () => this.cutFor(fault, [directory], this.others(directory)),
             cutDirectoryOneWay: () => this.cutOneWayFor(fault, directory),
             cutGateway: () => this.cutFor(fault, [gateway], deployment.directories),
             splitDirectories: () => this.split(fault),
             slowLinks: () => this.slowFor(fault),
-            resetCallers: () => this.reset(fault, deployment.gateways, "callers"),
-            resetPeers: () => this.reset(fault, deployment.directories, "peers"),
-            resetBackends: () => this.each(fault, backend => backend.relay.reset()),
+            resetCallers: () => this.resetConnections(fault, deployment.gateways, "callers"),
+            resetPeers: () => this.resetConnections(fault, deployment.directories, "peers"),
+            resetBackends: () => this.forEachBackend(fault, backend => backend.relay.reset()),
             changeSeeds: () => this.changeSeeds(fault),
             crashBackend: () => this.crashBackend(fault),
-            deadlyRequests: () => this.sendDeadly(fault),
-            darkenBackend: () => this.impairBackend(fault, backend => backend.relay.silence(), healed),
-            slowBackend: () => this.impairBackend(fault, backend => (backend.slowness = slowness), unslowed),
+            deadlyRequests: () => this.sendPoisonRequests(fault),
+            darkenBackend: () => this.impairBackend(fault, backend => backend.relay.silence(), healRelay),
+            slowBackend: () =>
+                this.impairBackend(fault, backend => (backend.slowdownFactor = backendSlowdownFactor), restoreSpeed),
             drainBackend: () => this.drainBackend(fault),
-            lapseHandles: () => this.impairBackend(fault, backend => (backend.lapses = true), unlapsed),
-            loseAnswers: () => this.impairBackend(fault, backend => (backend.losesAnswers = true), unlost),
+            lapseHandles: () => this.impairBackend(fault, backend => (backend.expiresHandles = true), restoreHandles),
+            loseAnswers: () => this.impairBackend(fault, backend => (backend.dropsResponses = true), restoreResponses),
             changeConfiguration: () => operator.change(),
             raceConfigurations: () => operator.race(),
             invalidConfiguration: () => operator.sendInvalid(),
         };
-        return acts[fault.kind]();
+        return actions[fault.kind]();
     }
 
     private async killFor(
         fault: Fault,
         members: readonly Member[],
         lasts: number,
-        whileDown: () => Promise<void> = () => Promise.resolve(),
+        runWhileDown: () => Promise<void> = () => Promise.resolve(),
     ): Promise<void> {
-        const hit = members.filter(member => member.isRunning() && !member.expectedDown);
-        this.note(fault, hit.map(({ name }) => name).join(" "));
-        await Promise.all(hit.map(member => member.kill()));
-        if (hit.length > 0) {
-            await whileDown();
+        const affected = members.filter(member => member.isRunning() && !member.expectedDown);
+        this.recordFault(fault, affected.map(({ name }) => name).join(" "));
+        await Promise.all(affected.map(member => member.kill()));
+        if (affected.length > 0) {
+            await runWhileDown();
         }
         await pause(lasts);
-        hit.forEach(member => member.start());
+        affected.forEach(member => member.start());
     }
 
     private async pauseFor(fault: Fault, member: Member): Promise<void> {
         if (!member.isAwake()) {
             return;
         }
-        this.note(fault, member.name);
+        this.recordFault(fault, member.name);
         member.pause();
         await pause(fault.lasts);
         member.resume();
     }
 
-    /** SIGTERM, then a new start. */
+    /** Stops a process by SIGTERM and starts it again. */
     private async restart(fault: Fault, member: Member): Promise<void> {
         if (!member.isAwake() || member.expectedDown) {
             return;
         }
-        this.note(fault, member.name);
-        const { life } = member;
-        if (!await member.stop() && member.life === life && !this.invariants.isDisturbed(performance.now(), Infinity)) {
+        this.recordFault(fault, member.name);
+        const { incarnation } = member;
+        if (
+            !await member.stop() && member.incarnation === incarnation
+            && !this.invariants.isDisturbed(performance.now(), Infinity)
+        ) {
             this.invariants.violate(
                 "shutdown",
-                `${member.name} didn't end in time, or not well, ${member.lastWords()}`,
+                `${member.name} didn't exit in time or exited with an error, ${member.exitDescription()}`,
             );
         }
-        await pause(restartAfter);
+        await pause(restartDelayMilliseconds);
         member.start();
     }
 
     private mayLoseDisk(): boolean {
-        const since = Math.max(this.diskLostAt ?? 0, this.directoriesWellSince);
-        return this.diskLostAt === undefined || performance.now() - since > catchUp;
+        const since = Math.max(this.diskLostAt ?? 0, this.directoriesHealthySince);
+        return this.diskLostAt === undefined || performance.now() - since > catchUpMilliseconds;
     }
 
-    private async loseDisk(fault: Fault, directory: Member): Promise<void> {
+    private async restartWithEmptyDisk(fault: Fault, directory: Member): Promise<void> {
         if (!this.mayLoseDisk() || !directory.isRunning() || directory.expectedDown) {
             return;
         }
         this.diskLostAt = performance.now();
         await this.killFor(fault, [directory], fault.lasts, async () => {
-            await directory.wipe();
-            await directory.write({ firstStart: false });
+            await directory.deleteData();
+            await directory.writeSettings({ firstStart: false });
         });
         this.diskLostAt = performance.now();
     }
 
-    /** A directory goes for good, and an empty one comes at another address. */
+    /** Removes a directory permanently, and adds an empty one at another address. */
     private async replace(fault: Fault, directory: Member): Promise<void> {
         const { directories } = this.deployment;
         if (!this.mayLoseDisk() || !directory.isRunning() || directory.expectedDown) {
             return;
         }
-        this.note(fault, directory.name);
+        this.recordFault(fault, directory.name);
         this.diskLostAt = performance.now();
         directories.splice(directories.indexOf(directory), 1);
         this.deployment.replaced.push(directory);
@@ -190,10 +195,10 @@
         this.diskLostAt = performance.now();
     }
 
-    /** Nothing goes between any of the ones and any of the others, over old connections and new ones. */
-    private async cutFor(fault: Fault, ones: readonly Member[], others: readonly Member[]): Promise<void> {
-        this.note(fault, ones.map(({ name }) => name).join(" "));
-        const pairs = ones.flatMap(one => others.map(other => ({ one, other })));
+    /** Blocks all traffic between the two groups of members, over existing and new connections. */
+    private async cutFor(fault: Fault, group: readonly Member[], others: readonly Member[]): Promise<void> {
+        this.recordFault(fault, group.map(({ name }) => name).join(" "));
+        const pairs = group.flatMap(one => others.map(other => ({ one, other })));
         pairs.forEach(({ one, other }) => {
             one.relays.get("peers")?.silenceFrom(other.bindHost);
             other.relays.get("peers")?.silenceFrom(one.bindHost);
@@ -206,7 +211,7 @@
     }
 
     private async cutOneWayFor(fault: Fault, directory: Member): Promise<void> {
-        this.note(fault, directory.name);
+        this.recordFault(fault, directory.name);
         directory.relays.get("peers")?.silence("there");
         await pause(fault.lasts);
         directory.relays.get("peers")?.heal();
@@ -219,63 +224,63 @@
     }
 
     private async slowFor(fault: Fault): Promise<void> {
-        this.note(fault, "all links between daemons");
+        this.recordFault(fault, "all links between daemons");
         const relays = this.deployment.directories.map(directory => directory.relays.get("peers"));
-        relays.forEach(relay => relay?.slow(linkDelay));
+        relays.forEach(relay => relay?.slow(linkDelayMilliseconds));
         await pause(fault.lasts);
         relays.forEach(relay => relay?.slow(0));
     }
 
-    private reset(fault: Fault, members: readonly Member[], relay: string): Promise<void> {
-        this.note(fault, "all connections");
+    private resetConnections(fault: Fault, members: readonly Member[], relay: string): Promise<void> {
+        this.recordFault(fault, "all connections");
         members.forEach(member => member.relays.get(relay)?.reset());
         return Promise.resolve();
     }
 
-    private each(fault: Fault, act: (backend: Backend) => void): Promise<void> {
-        this.note(fault, "all connections");
+    private forEachBackend(fault: Fault, act: (backend: Backend) => void): Promise<void> {
+        this.recordFault(fault, "all connections");
         this.deployment.backends.forEach(act);
         return Promise.resolve();
     }
 
-    /** The settings name other directories; every second process is told so. */
+    /** Changes the seed directories in all settings files; only every second process is sent SIGHUP to reload them. */
     private async changeSeeds(fault: Fault): Promise<void> {
-        this.note(fault, "all settings");
+        this.recordFault(fault, "all settings");
         const { directories } = this.deployment;
         const from = Math.floor(fault.pick * directories.length);
         const addresses = this.deployment.callAddresses();
         const seeds = [...addresses.slice(from), ...addresses.slice(0, from)].slice(0, 3);
         for (const [index, member] of this.deployment.members().entries()) {
-            await member.write({ seeds });
+            await member.writeSettings({ seeds });
             if (index % 2 === 0) {
                 member.reload();
             }
         }
     }
 
-    /** A backend server ends at once, and another incarnation comes elsewhere: each second one under the same name. */
+    /** Crashes a backend server and starts another at a new address, which in about half of the cases keeps the name. */
     private async crashBackend(fault: Fault): Promise<void> {
-        const backend = pickOf(this.deployment.backends, fault.pick);
-        const keepsName = !backend.isLeaving() && Math.floor(fault.lasts) % 2 === 0;
-        this.note(fault, backend.id);
+        const backend = pickByFraction(this.deployment.backends, fault.pick);
+        const keepsName = !backend.isDraining() && Math.floor(fault.lasts) % 2 === 0;
+        this.recordFault(fault, backend.id);
         this.deployment.removeBackend(backend);
         await pause(fault.lasts);
-        await this.deployment.addBackend(backend.service, backend.firstStage, keepsName ? backend.id : undefined);
+        await this.deployment.addBackend(backend.service, backend.initialStage, keepsName ? backend.id : undefined);
     }
 
-    /** The same request comes again and again, at any gateway; each backend server that begins to run it ends. */
-    private async sendDeadly(fault: Fault): Promise<void> {
+    /** Sends the same poison request repeatedly, to all gateways in turn; each backend server that starts to run it crashes. */
+    private async sendPoisonRequests(fault: Fault): Promise<void> {
         const kind = fault.pick < 0.5 ? "once" : "unsafe";
-        const body = deadlyBody(`${fault.kind} at ${Math.round(fault.at)}`);
-        this.note(fault, `${kind} "${body}"`);
-        const until = performance.now() + fault.lasts + deadlyTime;
-        const sent: Promise<unknown>[] = [];
-        for (let count = 0; performance.now() < until; count++) {
+        const body = poisonBody(`${fault.kind} at ${Math.round(fault.at)}`);
+        this.recordFault(fault, `${kind} "${body}"`);
+        const endsAt = performance.now() + fault.lasts + poisonExtraMilliseconds;
+        const pendingRequests: Promise<unknown>[] = [];
+        for (let count = 0; performance.now() < endsAt; count++) {
             const gateway = this.deployment.gateways[count % this.deployment.gateways.length]!;
-            sent.push(this.callers.ask(gateway, kind, `${routePrefixes[kind]}x`, body));
-            await pause(deadlyInterval);
+            pendingRequests.push(this.callers.ask(gateway, kind, `${routePrefixes[kind]}x`, body));
+            await pause(poisonIntervalMilliseconds);
         }
-        await Promise.all(sent);
+        await Promise.all(pendingRequests);
     }
 
     private async impairBackend(
@@ -283,18 +288,18 @@
         impair: (backend: Backend) => unknown,
         repair: (backend: Backend) => unknown,
     ): Promise<void> {
-        const backend = pickOf(this.deployment.backends, fault.pick);
-        this.note(fault, backend.id);
+        const backend = pickByFraction(this.deployment.backends, fault.pick);
+        this.recordFault(fault, backend.id);
         impair(backend);
         await pause(fault.lasts);
         repair(backend);
     }
 
-    /** A new backend server comes, and the old one says that it leaves. */
+    /** Starts a new backend server, and drains and removes an old one. */
     private async drainBackend(fault: Fault): Promise<void> {
-        const backend = pickOf(this.deployment.backends.filter(one => !one.isLeaving()), fault.pick);
-        this.note(fault, backend.id);
-        await this.deployment.addBackend(backend.service, backend.firstStage);
+        const backend = pickByFraction(this.deployment.backends.filter(one => !one.isDraining()), fault.pick);
+        this.recordFault(fault, backend.id);
+        await this.deployment.addBackend(backend.service, backend.initialStage);
         await backend.drain();
         this.deployment.removeBackend(backend);
     }
@@ -303,27 +308,27 @@
         return this.deployment.directories.filter(other => other !== directory);
     }
 
-    private note({ kind, at, lasts }: Fault, whom: string): void {
-        this.report(`${String(at).padStart(6)} ${kind} ${whom} for ${lasts} ms`);
+    private recordFault({ kind, at, lasts }: Fault, targetName: string): void {
+        this.report(`${String(at).padStart(6)} ${kind} ${targetName} for ${lasts} ms`);
     }
 }
 
-function healed(backend: Backend): void {
+function healRelay(backend: Backend): void {
     backend.relay.heal();
 }
 
-function unslowed(backend: Backend): void {
-    backend.slowness = 1;
+function restoreSpeed(backend: Backend): void {
+    backend.slowdownFactor = 1;
 }
 
-function unlapsed(backend: Backend): void {
-    backend.lapses = false;
+function restoreHandles(backend: Backend): void {
+    backend.expiresHandles = false;
 }
 
-function unlost(backend: Backend): void {
-    backend.losesAnswers = false;
+function restoreResponses(backend: Backend): void {
+    backend.dropsResponses = false;
 }
 
-function pickOf<T>(all: readonly T[], fraction: number): T {
+function pickByFraction<T>(all: readonly T[], fraction: number): T {
     return all[Math.min(all.length - 1, Math.floor(fraction * all.length))]!;
 }
--- a/soak/invariants.ts
+++ b/soak/invariants.ts
@@ -1,58 +1,58 @@
 import type { RouteKind } from "../platform/src/standins/wire.js";
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses which guarantee that a request has not run and will not run. */
 const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Milliseconds after its caller has gone in which a backend server may still work on a request. */
-const goneLimit = 2_500;
-/** Milliseconds after the acknowledgement that a backend server leaves in which new work may still come. */
-const drainLimit = 4_000;
-/** Milliseconds before something in which a disturbance may still be felt. */
-const aftermath = 4_000;
+/** Time for which a backend server may still work on a request after its caller has disconnected. */
+const abandonedWorkMilliseconds = 2_500;
+/** Time for which a draining backend server may still receive new work after a directory acknowledged the drain. */
+const drainPropagationMilliseconds = 4_000;
+/** Time for which a disturbance may still have effects after its end. */
+const aftereffectMilliseconds = 4_000;
 
-/** Backend servers that may end under one request, and milliseconds after the last of them in which all gateways know it. */
-const mostEnded = 3;
-const contactTime = 3_000;
+/** Crashes that one request may cause, and the time after the last of them until all gateways have quarantined it. */
+const maximumCrashes = 3;
+const quarantinePropagationMilliseconds = 3_000;
 
 /** How a request ended, as its caller saw it. */
 export type CallerEnd =
-    /** An answer with its whole body. */
+    /** A response with its complete body; `right` if the body is the one expected for the request. */
     | { readonly kind: "answered"; readonly status: number; readonly sealed: boolean; readonly right: boolean; }
-    /** An answer that broke off, or none at all. */
+    /** A response that was cut off, or none at all. */
     | { readonly kind: "cut"; readonly cause: string; }
     | { readonly kind: "left"; };
 
-/** One request of a caller and all that was seen of it. */
+/** One request of a caller and everything that was observed of it; times in milliseconds. */
 export type SoakRequest = {
     readonly attempt: string;
     readonly kind: RouteKind;
     readonly gateway: string;
     readonly sentAt: number;
-    /** When each run of it began, and at which backend server. */
+    /** Each run of the request: its backend server, its start and its end. */
     readonly runs: { readonly server: string; readonly begunAt: number; endedAt: number | undefined; }[];
     end: CallerEnd | undefined;
     endedAt: number;
 };
 
-/** A span in which something unplanned was wrong. */
+/** A time span in which an unplanned fault was active, in milliseconds. */
 export type Disturbance = { readonly what: string; readonly from: number; to: number; };
 
-/** An invariant that was broken. */
+/** A violation of an invariant. */
 export type Violation = { readonly invariant: string; readonly what: string; };
 
 /**
- * Holds what callers, backend servers and operators saw against what is promised. Invariants about correctness hold
- * whatever goes wrong; those with a time in them only where nothing unplanned did.
+ * Checks what callers, backend servers and operators observed against the system's guarantees. Correctness invariants
+ * hold under any fault; those that involve a time limit hold only while no unplanned fault is active.
  */
 export class Invariants {
     readonly violations: Violation[] = [];
     readonly disturbances: Disturbance[] = [];
     readonly requests = new Map<string, SoakRequest>();
-    /** Content of each version that was ever sent; two operators may race with one version. */
+    /** Contents sent for each version; there can be two, as two operators may race with the same version. */
     private readonly sentVersions = new Map<number, Set<string>>();
-    private readonly draining = new Map<string, number>();
-    private readonly holders = new Map<string, string>();
-    private readonly ends = new Map<string, number[]>();
-    private acknowledged = 0;
+    private readonly drainTimes = new Map<string, number>();
+    private readonly orderHolders = new Map<string, string>();
+    private readonly crashTimes = new Map<string, number[]>();
+    private newestVersion = 0;
 
     private constructor() {}
 
@@ -64,7 +64,7 @@
         this.violations.push({ invariant, what });
     }
 
-    /** Notes that something unplanned is wrong from now on. Gives what ends it. */
+    /** Records the start of an unplanned fault. Returns a function that records its end. */
     disturb(what: string, now: number): (until: number) => void {
         const disturbance: Disturbance = { what, from: now, to: Number.POSITIVE_INFINITY };
         this.disturbances.push(disturbance);
@@ -73,19 +73,19 @@
         };
     }
 
-    /** Whether something unplanned was wrong within the span, or a little before it. */
+    /** Whether an unplanned fault was active within the time span, or shortly before it. */
     isDisturbed(from: number, to: number): boolean {
-        return this.disturbances.some(span => span.from <= to && span.to + aftermath >= from);
+        return this.disturbances.some(span => span.from <= to && span.to + aftereffectMilliseconds >= from);
     }
 
-    sent(attempt: string, kind: RouteKind, gateway: string, now: number): SoakRequest {
+    requestSent(attempt: string, kind: RouteKind, gateway: string, now: number): SoakRequest {
         const request: SoakRequest = { attempt, kind, gateway, sentAt: now, runs: [], end: undefined, endedAt: 0 };
         this.requests.set(attempt, request);
         return request;
     }
 
-    /** A backend server begins to work on a request. Gives what notes that it ended there. */
-    ran(attempt: string, server: string, now: number): (endedAt: number) => void {
+    /** Records that a backend server started to run a request. Returns a function that records the end of the run. */
+    runStarted(attempt: string, server: string, now: number): (endedAt: number) => void {
         const request = this.requests.get(attempt);
         if (request === undefined) {
             this.violate("unasked", `${server} ran ${attempt}, which no caller sent`);
@@ -93,82 +93,94 @@
         }
         const run = { server, begunAt: now, endedAt: undefined as number | undefined };
         request.runs.push(run);
-        const drainedAt = this.draining.get(server);
-        if (drainedAt !== undefined && now > drainedAt + drainLimit && !this.isDisturbed(drainedAt, now)) {
-            this.violate("drain", `${server} got ${attempt} ${Math.round(now - drainedAt)} ms after it said it leaves`);
+        const drainedAt = this.drainTimes.get(server);
+        if (
+            drainedAt !== undefined && now > drainedAt + drainPropagationMilliseconds
+            && !this.isDisturbed(drainedAt, now)
+        ) {
+            this.violate(
+                "drain",
+                `${server} got ${attempt} ${Math.round(now - drainedAt)} ms after it announced its drain`,
+            );
         }
         return endedAt => {
             run.endedAt = endedAt;
         };
     }
 
-    /** A backend server ended as it began to run a body. */
-    endedUnder(body: string, server: string, now: number): void {
-        const ends = this.ends.get(body) ?? [];
-        this.ends.set(body, ends);
-        ends.push(now);
-        const third = ends[mostEnded - 1];
-        if (third !== undefined && now > third + contactTime && !this.othersDisturb(third, now)) {
-            this.violate("held back", `${server} ended under "${body}" as number ${ends.length}, long after the third`);
+    /** Records that a backend server crashed as it started to run a request with this body. */
+    backendCrashed(body: string, server: string, now: number): void {
+        const serverCrashes = this.crashTimes.get(body) ?? [];
+        this.crashTimes.set(body, serverCrashes);
+        serverCrashes.push(now);
+        const thirdCrashAt = serverCrashes[maximumCrashes - 1];
+        if (
+            thirdCrashAt !== undefined && now > thirdCrashAt + quarantinePropagationMilliseconds
+            && !this.isOtherwiseDisturbed(thirdCrashAt, now)
+        ) {
+            this.violate(
+                "held back",
+                `${server} crashed while running "${body}" as number ${serverCrashes.length}, long after the third`,
+            );
         }
     }
 
-    private othersDisturb(from: number, to: number): boolean {
-        const others = this.disturbances.filter(({ what }) => what !== "deadlyRequests");
-        return others.some(span => span.from <= to && span.to + aftermath >= from);
+    private isOtherwiseDisturbed(from: number, to: number): boolean {
+        const otherFaults = this.disturbances.filter(({ what }) => what !== "deadlyRequests");
+        return otherFaults.some(span => span.from <= to && span.to + aftereffectMilliseconds >= from);
     }
 
-    ended(request: SoakRequest, end: CallerEnd, now: number): void {
+    requestEnded(request: SoakRequest, end: CallerEnd, now: number): void {
         request.end = end;
         request.endedAt = now;
     }
 
-    /** A directory acknowledged that the backend server leaves. */
-    leaves(server: string, now: number): void {
-        this.draining.set(server, this.draining.get(server) ?? now);
+    /** Records that a directory acknowledged the drain of a backend server. */
+    drainAcknowledged(server: string, now: number): void {
+        this.drainTimes.set(server, this.drainTimes.get(server) ?? now);
     }
 
-    /** An engine accepted an order. */
-    ordered(holder: string, fence: number): void {
-        const known = this.holders.get(String(fence));
+    /** Records that an engine accepted an order with this fencing token. */
+    orderAccepted(holder: string, fence: number): void {
+        const known = this.orderHolders.get(String(fence));
         if (known !== undefined && known !== holder) {
-            this.violate("one holder", `${known} and ${holder} both gave orders under the fencing token ${fence}`);
+            this.violate("one holder", `${known} and ${holder} both issued orders with the fencing token ${fence}`);
         }
-        this.holders.set(String(fence), holder);
+        this.orderHolders.set(String(fence), holder);
     }
 
-    /** An operator sends a configuration. */
-    offered(version: number, content: string): void {
+    /** Records that an operator sends a configuration. */
+    configurationSent(version: number, content: string): void {
         const contents = this.sentVersions.get(version) ?? new Set();
         this.sentVersions.set(version, contents.add(content));
     }
 
-    accepted(version: number): void {
-        this.acknowledged = Math.max(this.acknowledged, version);
+    configurationAcknowledged(version: number): void {
+        this.newestVersion = Math.max(this.newestVersion, version);
     }
 
-    /** The highest version that was acknowledged so far. */
-    newest(): number {
-        return this.acknowledged;
+    /** The highest configuration version acknowledged so far. */
+    newestAcknowledged(): number {
+        return this.newestVersion;
     }
 
-    /** A configuration was read; `asOf`: the highest version acknowledged before the question was sent. */
-    read(version: number, content: string, asOf: number): void {
+    /** Checks a configuration that was read; `asOf` is the highest version acknowledged before the read was sent. */
+    configurationRead(version: number, content: string, asOf: number): void {
         if (version < asOf) {
             this.violate("configuration", `version ${version} was read after ${asOf} was acknowledged`);
         }
         if (this.sentVersions.get(version)?.has(content) !== true) {
-            this.violate("configuration", `what was read as version ${version} was never sent under it`);
+            this.violate("configuration", `the content read as version ${version} was never sent with that version`);
         }
     }
 
-    /** Looks at all requests once everything has come to rest. */
-    judge(): readonly Violation[] {
-        this.requests.forEach(request => this.judgeRequest(request));
+    /** Checks all requests, after all of them have ended; returns every violation of the run. */
+    checkRequests(): readonly Violation[] {
+        this.requests.forEach(request => this.checkRequest(request));
         return this.violations;
     }
 
-    private judgeRequest(request: SoakRequest): void {
+    private checkRequest(request: SoakRequest): void {
         const { attempt, kind, runs, end } = request;
         const name = `${kind} ${attempt} by ${request.gateway}`;
         if ((kind === "unsafe" || kind === "once") && runs.length > 1) {
@@ -179,27 +191,27 @@
             return;
         }
         if (end.kind === "answered" && end.sealed && !end.right) {
-            this.violate("its own whole answer", `${name} got another body than its own`);
+            this.violate("its own whole answer", `${name} received a body other than its own`);
         }
         if (end.kind === "answered" && !end.sealed && notRunStatuses.has(end.status) && runs.length > 0) {
-            this.violate("not run is true", `${name} got ${end.status} and ran at ${runs[0]!.server}`);
+            this.violate("not run is true", `${name} got ${end.status} although it ran at ${runs[0]!.server}`);
         }
         if (end.kind === "left") {
-            this.judgeGone(request, name);
+            this.checkAbandoned(request, name);
         }
         if (end.kind === "cut" && !this.isDisturbed(request.sentAt, request.endedAt)) {
             this.violate("no request is cut off", `${name}: ${end.cause}`);
         }
     }
 
-    private judgeGone(request: SoakRequest, name: string): void {
-        const limit = request.endedAt + goneLimit;
+    private checkAbandoned(request: SoakRequest, name: string): void {
+        const limit = request.endedAt + abandonedWorkMilliseconds;
         if (this.isDisturbed(request.sentAt, limit)) {
             return;
         }
         for (const run of request.runs) {
             if (run.endedAt === undefined || run.endedAt > limit) {
-                this.violate("nothing is held for who has gone", `${name}: ${run.server} went on with it`);
+                this.violate("nothing is held for who has gone", `${name}: ${run.server} kept working on it`);
             }
         }
     }
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,4 +1,4 @@
-// Plays seeds of the fault soak, several at once, and writes the logs of those that broke an invariant.
+// Runs seeds of the fault soak, several in parallel, and writes the logs of runs that violated an invariant.
 import { mkdir, writeFile } from "node:fs/promises";
 import * as path from "node:path";
 import yargs from "yargs";
@@ -8,17 +8,17 @@
 
 const options = await yargs(hideBin(process.argv))
     .usage("npm run soak -- --seeds 50 --first 1 --jobs 3")
-    .option("seeds", { type: "number", default: 5, describe: "how many seeds to play" })
-    .option("first", { type: "number", describe: "the first seed; drawn from the time of day by default" })
-    .option("jobs", { type: "number", default: 3, describe: "how many runs at once" })
-    .option("seconds", { type: "number", describe: "for how long faults come" })
-    .option("gateways", { type: "number", describe: "gateways of each run; drawn from the seed by default" })
-    .option("directories", { type: "number", describe: "directories of each run; drawn from the seed by default" })
+    .option("seeds", { type: "number", default: 5, describe: "number of seeds to run" })
+    .option("first", { type: "number", describe: "first seed; derived from the current time by default" })
+    .option("jobs", { type: "number", default: 3, describe: "number of runs in parallel" })
+    .option("seconds", { type: "number", describe: "seconds during which faults are injected" })
+    .option("gateways", { type: "number", describe: "gateways of each run; derived from the seed by default" })
+    .option("directories", { type: "number", describe: "directories of each run; derived from the seed by default" })
     .option("logs", { type: "string", default: "target/soak", describe: "folder for the logs of failed runs" })
     .strict()
     .parse();
 
-// Ended from outside, a run must take the processes that it started with it: they are ended as this one exits.
+// Exits explicitly on a signal, so that the exit handlers terminate the daemon processes that were started.
 for (const signal of ["SIGINT", "SIGTERM"] as const) {
     process.once(signal, () => process.exit(1));
 }
@@ -31,7 +31,7 @@
     ...directories === undefined ? {} : { directories },
 };
 
-async function keepLogs(report: SoakReport): Promise<string> {
+async function writeLogs(report: SoakReport): Promise<string> {
     const folder = path.join(options.logs, String(report.seed));
     await mkdir(folder, { recursive: true });
     await writeFile(path.join(folder, "faults.txt"), report.faults.join("\n"));
@@ -50,26 +50,28 @@
         console.log(`seed ${seed}: kept; ${summary}`);
         return true;
     }
-    console.log(`seed ${seed}: BROKEN; ${summary}; logs in ${await keepLogs(report)}`);
+    console.log(`seed ${seed}: BROKEN; ${summary}; logs in ${await writeLogs(report)}`);
     violations.slice(0, 8).forEach(({ invariant, what }) => console.log(`    ${invariant}: ${what}`));
     return false;
 }
 
 let next = first;
-let broken = 0;
-async function work(): Promise<void> {
+let failedSeeds = 0;
+async function playSeeds(): Promise<void> {
     while (next < first + options.seeds) {
         const seed = next++;
         try {
-            broken += await playSeed(seed) ? 0 : 1;
+            failedSeeds += await playSeed(seed) ? 0 : 1;
         }
         catch (error) {
-            broken += 1;
+            failedSeeds += 1;
             console.log(`seed ${seed}: FAILED`, error);
         }
     }
 }
 
-await Promise.all(Array.from({ length: options.jobs }, () => work()));
-console.log(`${options.seeds} seeds from ${first}: ${options.seeds - broken} kept every invariant, ${broken} didn't`);
-process.exitCode = broken === 0 ? 0 : 1;
+await Promise.all(Array.from({ length: options.jobs }, () => playSeeds()));
+console.log(
+    `${options.seeds} seeds from ${first}: ${options.seeds - failedSeeds} kept every invariant, ${failedSeeds} didn't`,
+);
+process.exitCode = failedSeeds === 0 ? 0 : 1;
--- a/soak/member.ts
+++ b/soak/member.ts
@@ -2,43 +2,43 @@
 import * as path from "node:path";
 import { Program, Relay, until } from "../playground/harness/index.js";
 
-/** The program as the deploy file builds it. */
-const bundle = "target/basilpaddle.cjs";
+/** The program, built as for deployment. */
+const programPath = "target/basilpaddle.cjs";
 const settingsVariable = "BASILPADDLE_SETTINGS";
-/** Milliseconds for a process that was told to stop, beyond the time that it may take. */
-const stopPatience = 15_000;
-/** A record's beginning: its length, and less than that of its bytes. */
+/** Longer than the configured shutdown time, so that a process that is still running has missed its own limit. */
+const stopTimeoutMilliseconds = 15_000;
+/** Start of a log record: a length prefix, followed by fewer bytes than that length. */
 const tornRecord = Buffer.from([200, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7]);
 
-/** A daemon's settings, as far as the soak looks at them. */
+/** The fields of a daemon's settings that the soak reads; others are written as they are. */
 export type MemberSettings = {
     readonly role: "gateway" | "directory";
     readonly name: string;
-    /** The address by which others know it, and the one that it really has, behind the relays. */
+    /** The host that others connect to, where its relays listen, and the host that the daemon binds to behind them. */
     readonly host: string;
     readonly bindHost: string;
     readonly peerPort: number;
     readonly [field: string]: unknown;
 };
 
-/** One daemon as a real process, behind relays for all that others call it by. */
+/** One daemon as a real process, with relays in front of the ports that others connect to. */
 export class Member {
-    /** Rises with each start. */
-    life = 0;
-    /** Whether the soak itself ended it, or lets it be ended. */
+    /** Number of starts so far. */
+    incarnation = 0;
+    /** Whether the soak itself stopped or killed it, or hasn't started it; if not, an exit is a violation. */
     expectedDown = true;
     private program: Program | undefined;
-    private earlier = "";
-    private stopped = false;
+    private earlierOutput = "";
+    private isPaused = false;
 
     private constructor(
         private settings: MemberSettings,
         private readonly folder: string,
-        /** Relays by the name of what is called there: peers, calls, callers. */
+        /** Relays by the kind of connection that they accept: peers, calls, callers. */
         readonly relays: ReadonlyMap<string, Relay>,
     ) {}
 
-    /** Writes the settings file and opens a relay on each port; doesn't start the process. */
+    /** Writes the settings file and opens a relay on each port, without starting the process. */
     static async create(
         settings: MemberSettings,
         ports: Readonly<Record<string, number>>,
@@ -51,7 +51,7 @@
             relays.set(name, relay);
         }
         const member = new Member(settings, folder, relays);
-        await member.write({});
+        await member.writeSettings({});
         return member;
     }
 
@@ -71,86 +71,86 @@
         return this.program?.isRunning() === true;
     }
 
-    /** Whether it runs and isn't paused. */
+    /** Whether the process is running and not paused. */
     isAwake(): boolean {
-        return this.isRunning() && !this.stopped;
+        return this.isRunning() && !this.isPaused;
     }
 
-    /** Changes fields of the settings file. */
-    async write(change: Readonly<Record<string, unknown>>): Promise<void> {
+    /** Merges fields into the settings file. */
+    async writeSettings(change: Readonly<Record<string, unknown>>): Promise<void> {
         this.settings = { ...this.settings, ...change };
-        await writeFile(this.file(), JSON.stringify(this.settings, undefined, 4));
+        await writeFile(this.settingsFile(), JSON.stringify(this.settings, undefined, 4));
     }
 
     start(): void {
-        this.earlier = this.output();
-        this.life += 1;
-        this.stopped = false;
+        this.earlierOutput = this.output();
+        this.incarnation += 1;
+        this.isPaused = false;
         this.expectedDown = false;
-        this.program = Program.create(this.name, [bundle], { [settingsVariable]: this.file() });
+        this.program = Program.create(this.name, [programPath], { [settingsVariable]: this.settingsFile() });
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits until the process has exited. */
     async kill(): Promise<void> {
         this.expectedDown = true;
         await this.program?.kill();
     }
 
-    /** SIGTERM; gives whether it ended in time and well. */
+    /** Sends SIGTERM; returns false if the process didn't exit in time, or had loaded its program and exited with an error. */
     async stop(): Promise<boolean> {
         this.expectedDown = true;
-        const hasBegun = this.hasBegun();
+        const hadLoadedProgram = this.hasLoadedProgram();
         this.program?.signal("SIGTERM");
         try {
-            await until(`${this.name} to end`, () => Promise.resolve(!this.isRunning()), stopPatience);
+            await until(`${this.name} to exit`, () => Promise.resolve(!this.isRunning()), stopTimeoutMilliseconds);
         }
         catch {
-            // Said by the return value; a process that hangs must not outlive the run.
+            // The return value reports the timeout. The process is killed since it must not outlive the run.
             await this.program?.kill();
             return false;
         }
-        // Before the program is loaded, the signal itself ends the process; there is nothing to be shut down in order.
-        return !hasBegun || (await this.program?.end())?.code === 0;
+        // Before the program is loaded it has no signal handler: SIGTERM terminates it, and nothing has to be shut down.
+        return !hadLoadedProgram || (await this.program?.end())?.code === 0;
     }
 
     pause(): void {
-        this.stopped = true;
+        this.isPaused = true;
         this.program?.signal("SIGSTOP");
     }
 
     resume(): void {
-        this.stopped = false;
+        this.isPaused = false;
         this.program?.signal("SIGCONT");
     }
 
-    /** SIGHUP, unless the process has yet to load its program: before that, nothing in it can listen for a signal. */
+    /** Sends SIGHUP if the process has loaded its program; before that it has no handler, and SIGHUP would terminate it. */
     reload(): void {
-        if (this.hasBegun()) {
+        if (this.hasLoadedProgram()) {
             this.program?.signal("SIGHUP");
         }
     }
 
-    /** Takes its disk away; it must be down. */
-    async wipe(): Promise<void> {
+    /** Deletes its data folder; the process must not be running. */
+    async deleteData(): Promise<void> {
         await rm(this.dataFolder(), { recursive: true, force: true });
     }
 
-    /** Leaves a part of a record at the end of its log, as a loss of power does with a write that was never synced. */
-    async tear(): Promise<void> {
-        const names = await readdir(this.dataFolder());
-        for (const name of names.filter(file => file === "log")) {
+    /** Appends a partial record to its log, as a power failure leaves behind of a write that was never synced. */
+    async appendTornRecord(): Promise<void> {
+        const fileNames = await readdir(this.dataFolder());
+        for (const name of fileNames.filter(file => file === "log")) {
             await appendFile(path.join(this.dataFolder(), name), tornRecord);
         }
     }
 
-    /** How its process ended, with its last lines. */
-    lastWords(): string {
+    /** How its process exited, with the last lines of its output. */
+    exitDescription(): string {
         return this.program?.lastWords() ?? "never started";
     }
 
-    /** All that it has written, over its restarts. */
+    /** The output of all its incarnations. */
     output(): string {
-        return this.earlier + (this.program?.output() ?? "");
+        return this.earlierOutput + (this.program?.output() ?? "");
     }
 
     async close(): Promise<void> {
@@ -159,12 +159,12 @@
         this.relays.forEach(relay => relay.close());
     }
 
-    /** Whether the process has loaded its program in this life: its first line is out. */
-    private hasBegun(): boolean {
+    /** Whether the current incarnation has loaded the program: it has logged its first line. */
+    private hasLoadedProgram(): boolean {
         return this.program?.output().includes("\"starting\"") === true;
     }
 
-    private file(): string {
+    private settingsFile(): string {
         return path.join(this.folder, `${this.name}.json`);
     }
 
--- a/soak/operator.ts
+++ b/soak/operator.ts
@@ -6,17 +6,17 @@
     type RouteKind,
     type StandinRoute,
 } from "../platform/src/standins/wire.js";
-import { handleLife } from "./backend.js";
-import { routeHost, routePrefixes, routeTimeout } from "./callers.js";
+import { handleLifetimeMilliseconds } from "./backend.js";
+import { routeHost, routePrefixes, routeTimeoutMilliseconds } from "./callers.js";
 import type { SoakDeployment } from "./deployment.js";
 import type { Invariants } from "./invariants.js";
 
-/** Milliseconds that an operator waits for an answer before it asks the next directory. */
-const answerPatience = 1_000;
-const pauseBetween = 150;
-const kinds: readonly RouteKind[] = ["safe", "unsafe", "resumable", "once"];
+/** Time that an operator waits for a response before the call counts as failed. */
+const answerTimeoutMilliseconds = 1_000;
+const retryDelayMilliseconds = 150;
+const routeKinds: readonly RouteKind[] = ["safe", "unsafe", "resumable", "once"];
 
-/** Sends configurations, sends them again until they are acknowledged, and reads them back. */
+/** Sends configurations, retries until they are acknowledged, and reads them back. */
 export class Operator {
     private version = 0;
     private closed = false;
@@ -31,64 +31,67 @@
         return new Operator(deployment, invariants, random);
     }
 
-    /** Path of the route that only one version has. */
+    /** Path of the route that only this configuration version contains. */
     static probePath(version: number): string {
         return `/probe-${version}/`;
     }
 
-    /** Gives up what isn't acknowledged yet. */
+    /** Stops retrying configurations that aren't acknowledged yet. */
     close(): void {
         this.closed = true;
     }
 
-    /** Sends a new configuration until it is acknowledged. */
+    /** Sends a new configuration, and retries until it is acknowledged. */
     async change(): Promise<void> {
         this.version += this.random.integer(1, 3);
-        await this.store(this.version, "");
+        await this.sendUntilAcknowledged(this.version, "");
     }
 
-    /** Two operators send different configurations under one version, to two directories. */
+    /** Sends two different configurations with the same version concurrently, as two operators would. */
     async race(): Promise<void> {
         this.version += 1;
         const { version } = this;
-        await Promise.all([this.store(version, "-left"), this.store(version, "-right")]);
+        await Promise.all([
+            this.sendUntilAcknowledged(version, "-left"),
+            this.sendUntilAcknowledged(version, "-right"),
+        ]);
     }
 
-    /** Sends what can't be read in full; it must be refused or left unanswered, and never come into force. */
+    /** Sends a truncated configuration; it must be refused or left unanswered, and never come into force. */
     async sendInvalid(): Promise<void> {
         this.version += 1;
-        const answer = await this.call("POST", operatorPaths.store, document(this.version, "").slice(0, -30));
+        const answer = await this.call("POST", operatorPaths.store, createDocument(this.version, "").slice(0, -30));
         if (answer?.status === 200) {
-            this.invariants.violate("configuration", `version ${this.version}, which isn't whole, was acknowledged`);
+            this.invariants.violate("configuration", `version ${this.version}, which was truncated, was acknowledged`);
         }
     }
 
-    /** Reads the configuration at some directory; undefined where that can't be sure or is down. */
+    /** Reads the configuration from a random directory; undefined if it is down or can't confirm that it is up to date. */
     async read(): Promise<number | undefined> {
-        const asOf = this.invariants.newest();
+        const asOf = this.invariants.newestAcknowledged();
         const answer = await this.call("GET", operatorPaths.read, undefined);
         if (answer?.status !== 200) {
             return undefined;
         }
         const version = documentVersion(answer.text);
-        this.invariants.read(version, answer.text, asOf);
+        this.invariants.configurationRead(version, answer.text, asOf);
         return version;
     }
 
-    private async store(version: number, mark: string): Promise<void> {
-        const content = document(version, mark);
-        this.invariants.offered(version, content);
+    private async sendUntilAcknowledged(version: number, mark: string): Promise<void> {
+        const content = createDocument(version, mark);
+        this.invariants.configurationSent(version, content);
         while (!this.closed) {
             const answer = await this.call("POST", operatorPaths.store, content);
             if (answer?.status === 200) {
-                this.invariants.accepted(version);
+                this.invariants.configurationAcknowledged(version);
                 return;
             }
             if (answer !== undefined && answer.status < 500) {
                 this.invariants.violate("configuration", `version ${version} was refused with ${answer.status}`);
                 return;
             }
-            await new Promise(resolve => setTimeout(resolve, pauseBetween));
+            await new Promise(resolve => setTimeout(resolve, retryDelayMilliseconds));
         }
     }
 
@@ -100,19 +103,29 @@
         const addresses = this.deployment.callAddresses();
         const address = addresses[this.random.integer(0, addresses.length - 1)]!;
         try {
-            const signal = AbortSignal.timeout(answerPatience);
+            const signal = AbortSignal.timeout(answerTimeoutMilliseconds);
             const answer = await fetch(`http://${address}${path}`, { method, body, signal });
             return { status: answer.status, text: await answer.text() };
         }
         catch {
-            // It is down, cut off, or didn't answer in time: what became of the call isn't known.
+            // The directory is down, unreachable or timed out: whether the call was executed is unknown.
             return undefined;
         }
     }
 }
 
-function document(version: number, mark: string): string {
-    const routes: StandinRoute[] = kinds.map(kind => ({ name: `${kind}${mark}`, prefix: routePrefixes[kind], kind }));
+function createDocument(version: number, mark: string): string {
+    const routes: StandinRoute[] = routeKinds.map(kind => ({
+        name: `${kind}${mark}`,
+        prefix: routePrefixes[kind],
+        kind,
+    }));
     routes.push({ name: `probe${mark}`, prefix: Operator.probePath(version), kind: "safe" });
-    return configurationDocument({ version, host: routeHost, routes, timeout: routeTimeout, handleLife });
+    return configurationDocument({
+        version,
+        host: routeHost,
+        routes,
+        timeout: routeTimeoutMilliseconds,
+        handleLife: handleLifetimeMilliseconds,
+    });
 }
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -1,6 +1,6 @@
 import { SeededRandomness } from "../packages/basilpaddle/src/node/utils/index.js";
 
-/** Faults that come to processes, connections, disks and backend servers from outside, and planned work. */
+/** Kinds of faults injected into processes, connections, disks and backend servers, and of planned operations. */
 export const faultKinds = [
     "killGateway",
     "pauseGateway",
@@ -37,7 +37,7 @@
 /** The kind of a fault. */
 export type FaultKind = typeof faultKinds[number];
 
-/** Planned work: no request may be cut off by it, where nothing else goes wrong. */
+/** Planned operations: they must not cut off any request while no fault is active. */
 export const plannedKinds: ReadonlySet<FaultKind> = new Set<FaultKind>([
     "stopGateway",
     "stopDirectory",
@@ -48,63 +48,68 @@
     "invalidConfiguration",
 ]);
 
-/** One fault: when it begins, in milliseconds from the start of the load, how long it lasts, and whom it hits. */
+/** One fault: its start in milliseconds after the start of the load, its duration in milliseconds, and its target. */
 export type Fault = {
     readonly kind: FaultKind;
     readonly at: number;
     readonly lasts: number;
-    /** From 0 to 1: picks the one that is hit out of those that can be. */
+    /** From 0 to 1: selects the target among the possible ones. */
     readonly pick: number;
 };
 
-/** What one run starts and what is done to it; the same seed always gives the same. */
+/** The size of a run's deployment and the faults injected into it; determined by the seed. */
 export type SoakPlan = {
     readonly seed: number;
     readonly directories: number;
     readonly gateways: number;
     readonly engines: number;
     readonly plainServers: number;
-    /** Milliseconds for which faults come. */
+    /** Milliseconds within which faults begin. */
     readonly length: number;
     readonly requestsPerSecond: number;
     readonly faults: readonly Fault[];
 };
 
-/** Bounds of a plan that a run may be given. */
+/** Overrides for the size of a plan. */
 export type PlanSize = { readonly seconds?: number; readonly gateways?: number; readonly directories?: number; };
 
-const usualSeconds = 14;
+const defaultSeconds = 14;
 const millisecondsInSecond = 1_000;
-/** Milliseconds between the beginnings of two faults, at the least and at the most: some overlap, some don't. */
-const leastGap = 250;
-const mostGap = 2_600;
-/** Milliseconds that a fault lasts, at the least and at the most: shorter and longer than every time limit in between. */
-const leastLength = 200;
-const mostLength = 5_000;
-/** Part of the faults that follow as a series of one kind: what came once often comes again at once. */
-const seriesPart = 0.25;
-const seriesGap = 700;
+/** Bounds for the time between the starts of two faults, chosen so that some faults overlap and some don't. */
+const minimumGapMilliseconds = 250;
+const maximumGapMilliseconds = 2_600;
+/** Bounds for the duration of a fault: durations fall on both sides of every timeout that lies between them. */
+const minimumDurationMilliseconds = 200;
+const maximumDurationMilliseconds = 5_000;
+/** Probability that a fault is followed by another of the same kind, since real faults often recur within a short time. */
+const seriesProbability = 0.25;
+const seriesGapMilliseconds = 700;
 /**
- * Of so many seeds one brings planned work only. Beside faults that nobody planned, a request that is cut off proves
- * nothing: a shutdown that waits for no request went unnoticed in twelve faults.
+ * Every fourth seed has planned operations only. While unplanned faults are active, a request that is cut off isn't a
+ * violation: a shutdown that didn't wait for open requests went undetected in a run with twelve faults.
  */
-const plannedOnlyEvery = 4;
+const plannedOnlySeedInterval = 4;
 
-/** Draws a plan from its seed. */
+/** Generates the plan of a seed. */
 export function createPlan(seed: number, size: PlanSize = {}): SoakPlan {
     const random = SeededRandomness.create(seed);
     const directories = size.directories ?? random.integer(3, 5);
     const gateways = size.gateways ?? random.integer(3, 6);
-    const length = (size.seconds ?? usualSeconds) * millisecondsInSecond;
+    const length = (size.seconds ?? defaultSeconds) * millisecondsInSecond;
     const faults: Fault[] = [];
-    const kinds = seed % plannedOnlyEvery === 0 ? [...plannedKinds] : faultKinds;
-    let at = random.integer(leastGap, mostGap);
+    const kinds = seed % plannedOnlySeedInterval === 0 ? [...plannedKinds] : faultKinds;
+    let at = random.integer(minimumGapMilliseconds, maximumGapMilliseconds);
     let kind = kinds[random.integer(0, kinds.length - 1)]!;
     while (at < length) {
-        faults.push({ kind, at, lasts: random.integer(leastLength, mostLength), pick: random.fraction() });
-        const again = random.fraction() < seriesPart;
-        at += again ? seriesGap : random.integer(leastGap, mostGap);
-        kind = again ? kind : kinds[random.integer(0, kinds.length - 1)]!;
+        faults.push({
+            kind,
+            at,
+            lasts: random.integer(minimumDurationMilliseconds, maximumDurationMilliseconds),
+            pick: random.fraction(),
+        });
+        const repeatsKind = random.fraction() < seriesProbability;
+        at += repeatsKind ? seriesGapMilliseconds : random.integer(minimumGapMilliseconds, maximumGapMilliseconds);
+        kind = repeatsKind ? kind : kinds[random.integer(0, kinds.length - 1)]!;
     }
     return { seed, directories, gateways, engines: 6, plainServers: 3, length, requestsPerSecond: 30, faults };
 }
--- a/soak/regressions.ts
+++ b/soak/regressions.ts
@@ -1,12 +1,13 @@
 import type { SoakPlan } from "./plan.js";
 
-/** A plan that once broke an invariant. */
+/** A plan that once violated an invariant, and the cause of the violation. */
 export type Regression = { readonly cause: string; readonly plan: SoakPlan; };
 
-/** Plans that once broke an invariant, whole, since what a seed draws changes with the kinds of faults. */
+/** Plans that once violated an invariant. They are stored in full, as the plan of a seed changes with the list of fault kinds. */
 export const regressions: readonly Regression[] = [
     {
-        cause: "engines that had moved on from a directory counted as silent everywhere, since nobody contradicted it",
+        cause:
+            "engines that had moved to another directory were considered silent everywhere, since no directory contradicted it",
         plan: {
             seed: 10,
             directories: 3,
@@ -29,7 +30,7 @@
         },
     },
     {
-        cause: "SIGHUP ended daemons that had just been started and didn't listen for it yet",
+        cause: "SIGHUP terminated daemons that had just been started and had no handler for it yet",
         plan: {
             seed: 101,
             directories: 5,
@@ -58,7 +59,7 @@
         },
     },
     {
-        cause: "SIGHUP ended daemons that had just been started and didn't listen for it yet",
+        cause: "SIGHUP terminated daemons that had just been started and had no handler for it yet",
         plan: {
             seed: 103,
             directories: 3,
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -8,30 +8,30 @@
 import { Operator } from "./operator.js";
 import type { SoakPlan } from "./plan.js";
 
-/** Milliseconds after the last fault within which every gateway serves every kind of request again. */
-const recoveryLimit = 20_000;
-/** Requests of each kind that each gateway is asked at the end. */
-const lastQuestions = 2;
-const readInterval = 400;
-/** Log lines that never come in a sound run, as parts of their texts. */
-const faultLines = ["a fault of this daemon", "\"level\":\"FATAL\"", "a link handler failed"];
+/** Time limit for each recovery step after the last fault, such as a gateway serving one kind of request again. */
+const recoveryTimeoutMilliseconds = 20_000;
+/** Number of requests sent to each gateway at the end of the run; each of them must succeed. */
+const finalRequests = 2;
+const checkIntervalMilliseconds = 400;
+/** Parts of log lines that indicate an internal error of a daemon; none may appear in a run. */
+const forbiddenLogTexts = ["a fault of this daemon", "\"level\":\"FATAL\"", "a link handler failed"];
 
-/** What came of a run. */
+/** The result of a run. */
 export type SoakReport = {
     readonly seed: number;
     readonly violations: readonly Violation[];
     readonly requests: number;
-    /** Requests by how they ended. */
+    /** Number of requests by their outcome: the status, or the way in which they ended without a response. */
     readonly ends: Readonly<Record<string, number>>;
-    /** Requests that broke off, by what their callers saw. */
+    /** Number of requests that were cut off, by the error that their callers observed. */
     readonly cuts: Readonly<Record<string, number>>;
-    /** What was done, in order. */
+    /** The injected faults, in order. */
     readonly faults: readonly string[];
-    /** What the processes wrote, by name. */
+    /** The output of the daemon processes, by name. */
     readonly logs: ReadonlyMap<string, string>;
 };
 
-/** Plays one plan on real processes, and holds what was seen against what is promised. */
+/** Runs one plan with real processes, and checks the invariants against what was observed. */
 export async function runSoak(plan: SoakPlan): Promise<SoakReport> {
     const random = SeededRandomness.create(plan.seed + 1);
     const invariants = Invariants.create();
@@ -65,18 +65,18 @@
         const { deployment, operator, callers, invariants, plan } = this;
         await deployment.start();
         await operator.change();
-        await deployment.ready();
-        await this.serves();
+        await deployment.waitUntilReady();
+        await this.waitUntilServing();
         callers.start(plan.requestsPerSecond);
-        const reading = setInterval(() => void operator.read(), readInterval);
-        const watching = setInterval(() => this.checkProcesses(), readInterval);
+        const readTimer = setInterval(() => void operator.read(), checkIntervalMilliseconds);
+        const processTimer = setInterval(() => this.checkProcesses(), checkIntervalMilliseconds);
         await FaultRunner.create(deployment, operator, invariants, callers, note).play(plan.faults);
         await callers.stop();
-        clearInterval(reading);
-        clearInterval(watching);
-        await this.recovers();
+        clearInterval(readTimer);
+        clearInterval(processTimer);
+        await this.checkRecovery();
         operator.close();
-        invariants.judge();
+        invariants.checkRequests();
         this.checkLogs();
     }
 
@@ -88,44 +88,44 @@
             const name = end === undefined ? "open" : end.kind === "answered" ? String(end.status) : end.kind;
             ends[name] = (ends[name] ?? 0) + 1;
             if (end?.kind === "cut") {
-                // Without addresses and byte counts, which differ each time.
+                // Replaces addresses and byte counts, which differ between runs, so that equal causes are counted together.
                 const cause = end.cause.replace(/[\d.:]+/g, "N");
                 cuts[cause] = (cuts[cause] ?? 0) + 1;
             }
         }
-        const logs = new Map(this.everyMember().map(member => [member.name, member.output()]));
+        const logs = new Map(this.allMembers().map(member => [member.name, member.output()]));
         const { violations, requests } = invariants;
         return { seed: plan.seed, violations, requests: requests.size, ends, cuts, faults, logs };
     }
 
     /** Waits until every gateway serves every kind of request. */
-    private async serves(): Promise<void> {
+    private async waitUntilServing(): Promise<void> {
         for (const gateway of this.deployment.gateways) {
             for (const kind of ["safe", "unsafe", "resumable", "once"] as const) {
                 await until(`${gateway.name} serves ${kind}`, async () => {
                     const { end } = await this.callers.ask(gateway, kind);
                     return end?.kind === "answered" && end.status === 200;
-                }, recoveryLimit);
+                }, recoveryTimeoutMilliseconds);
             }
         }
     }
 
-    /** Everything is right again: it must be served as before, under the newest configuration. */
-    private async recovers(): Promise<void> {
+    /** Checks that, with all faults reverted, every gateway serves requests under the newest configuration. */
+    private async checkRecovery(): Promise<void> {
         try {
-            await this.deployment.ready();
-            await this.serves();
+            await this.deployment.waitUntilReady();
+            await this.waitUntilServing();
             await until("the newest configuration is read back", async () => {
                 return await this.operator.read() !== undefined;
-            }, recoveryLimit);
+            }, recoveryTimeoutMilliseconds);
             for (const gateway of this.deployment.gateways) {
-                await until(`${gateway.name} obeys the newest configuration`, async () => {
-                    const path = Operator.probePath(this.invariants.newest());
+                await until(`${gateway.name} applies the newest configuration`, async () => {
+                    const path = Operator.probePath(this.invariants.newestAcknowledged());
                     const { end } = await this.callers.ask(gateway, "safe", path);
                     return end?.kind === "answered" && end.status === 200;
-                }, recoveryLimit);
+                }, recoveryTimeoutMilliseconds);
             }
-            await this.askAll();
+            await this.sendFinalRequests();
         }
         catch (error) {
             const { message, cause } = error as Error;
@@ -133,9 +133,9 @@
         }
     }
 
-    private async askAll(): Promise<void> {
+    private async sendFinalRequests(): Promise<void> {
         for (const gateway of this.deployment.gateways) {
-            for (let question = 0; question < lastQuestions; question++) {
+            for (let requestNumber = 0; requestNumber < finalRequests; requestNumber++) {
                 const { end, attempt } = await this.callers.ask(gateway, "once");
                 if (end?.kind !== "answered" || end.status !== 200) {
                     this.invariants.violate("recovery", `${gateway.name} gave ${attempt} ${JSON.stringify(end)}`);
@@ -148,21 +148,26 @@
         for (const member of this.deployment.members()) {
             if (!member.isRunning() && !member.expectedDown) {
                 member.expectedDown = true;
-                this.invariants.violate("processes run", `${member.name} ended by itself, ${member.lastWords()}`);
+                this.invariants.violate(
+                    "processes run",
+                    `${member.name} ended by itself, ${member.exitDescription()}`,
+                );
             }
         }
     }
 
-    /** Also those that were replaced and don't run any more. */
-    private everyMember(): readonly Member[] {
+    /** All members, including directories that were replaced and no longer run. */
+    private allMembers(): readonly Member[] {
         return [...this.deployment.members(), ...this.deployment.replaced];
     }
 
     private checkLogs(): void {
-        for (const member of this.everyMember()) {
-            const found = member.output().split("\n").find(line => faultLines.some(part => line.includes(part)));
-            if (found !== undefined) {
-                this.invariants.violate("logs", `${member.name}: ${found.slice(0, 300)}`);
+        for (const member of this.allMembers()) {
+            const forbiddenLine = member.output().split("\n").find(line =>
+                forbiddenLogTexts.some(part => line.includes(part))
+            );
+            if (forbiddenLine !== undefined) {
+                this.invariants.violate("logs", `${member.name}: ${forbiddenLine.slice(0, 300)}`);
             }
         }
     }
--- a/soak/texts.ts
+++ b/soak/texts.ts
@@ -1,41 +1,41 @@
-// Answers that follow from the attempt alone, so that every byte of an answer can be held against its request.
+// Response bodies that depend only on the attempt, so that every byte of a response can be checked against its request.
 
 import { fractionOf } from "../packages/basilpaddle/src/node/utils/index.js";
 
-/** Most events of a streamed answer. */
-const mostEvents = 24;
-const leastEvents = 3;
-const plainLength = 800;
+/** Bounds for the number of events in a streamed response. */
+const maximumEvents = 24;
+const minimumEvents = 3;
+const plainBodyLength = 800;
 
-/** Body of a plain answer. */
+/** Body of a plain response. */
 export function plainText(attempt: string): string {
-    return `${attempt} `.repeat(Math.ceil(plainLength / (attempt.length + 1))).slice(0, plainLength);
+    return `${attempt} `.repeat(Math.ceil(plainBodyLength / (attempt.length + 1))).slice(0, plainBodyLength);
 }
 
-/** Number of events of a streamed answer. */
+/** Number of events in a streamed response; derived from the attempt. */
 export function eventCount(attempt: string): number {
-    return leastEvents + Math.floor(fractionOf(attempt) * (mostEvents - leastEvents));
+    return minimumEvents + Math.floor(fractionOf(attempt) * (maximumEvents - minimumEvents));
 }
 
-/** One event of a streamed answer, numbered from 1. */
+/** One event of a streamed response, numbered from 1. */
 export function eventText(attempt: string, number: number): string {
     return `id: ${number}\ndata: ${attempt} ${number}\n\n`;
 }
 
-/** The whole of a streamed answer. */
+/** The whole body of a streamed response. */
 export function streamText(attempt: string): string {
     return Array.from({ length: eventCount(attempt) }, (_, index) => eventText(attempt, index + 1)).join("");
 }
 
-/** Beginning of a body under which each backend server ends that begins to run it. */
-const deadlyMark = "deadly ";
+/** Prefix of a request body that crashes each backend server that starts to run it. */
+const poisonPrefix = "deadly ";
 
-/** A deadly body; the same name gives the same request. */
-export function deadlyBody(name: string): string {
-    return `${deadlyMark}${name}`;
+/** Body of a poison request; equal names give equal bodies, and so the same request. */
+export function poisonBody(name: string): string {
+    return `${poisonPrefix}${name}`;
 }
 
-/** Whether a backend server ends under a body. */
-export function isDeadly(body: string): boolean {
-    return body.startsWith(deadlyMark);
+/** Whether a request body crashes the backend server that runs it. */
+export function isPoison(body: string): boolean {
+    return body.startsWith(poisonPrefix);
 }
