--- a/playground/__tests__/processes.spec.ts
+++ b/playground/__tests__/processes.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { rm } from "node:fs/promises";
 import { type Daemon, pause, setUpLimit, until } from "../harness/index.js";
-import { expectWhole, Load } from "./load.js";
+import { expectCompleteAnswer, StreamLoad } from "./load.js";
 import { call, model, Rig, secondModel, timing } from "./rig.js";
 
 describe("a deployment of real processes", () => {
@@ -16,33 +16,35 @@
             for (const daemon of rig.deployment.daemons()) {
                 process.stderr.write(`${daemon.name}:\n${daemon.output().split("\n").slice(-12).join("\n")}\n`);
             }
-            process.stderr.write(await rig.picture());
+            process.stderr.write(await rig.diagnostics());
         }
         await rig.mend();
     });
 
-    async function expectServed(asked: number, prompt: string): Promise<void> {
-        const asking = call(prompt);
-        expectWhole(await rig.caller(asked).askUntilRun(asking), asking);
+    async function expectServed(entryIndex: number, prompt: string): Promise<void> {
+        const modelCall = call(prompt);
+        expectCompleteAnswer(await rig.caller(entryIndex).askUntilRun(modelCall), modelCall);
     }
 
-    it("serves whole and streamed answers, each caller its own, and plain services", async () => {
+    it("serves complete and streamed answers, the right one to each caller, and plain services", async () => {
         const calls = Array.from(
             { length: 9 },
             (_, index) => call(`caller ${index} asks`, { stream: index % 2 === 0, chat: index % 3 === 0 }),
         );
-        const answers = await Promise.all(calls.map((asking, index) => rig.caller(index % 3).askUntilRun(asking)));
-        answers.forEach((answer, index) => expectWhole(answer, calls[index]!));
+        const answers = await Promise.all(
+            calls.map((modelCall, index) => rig.caller(index % 3).askUntilRun(modelCall)),
+        );
+        answers.forEach((answer, index) => expectCompleteAnswer(answer, calls[index]!));
         const lookup = await rig.caller(1).service("GET", "/policy/status/certificate-1");
         expect(lookup.status).to.equal(200);
         expect(lookup.body).to.deep.equal({ service: "policy-1", key: "certificate-1", runs: 0 });
     });
 
-    it("gives a backend server that is leaving no new work, and lets it end what it runs", async () => {
-        // Guards against this: a request fails on an engine that the platform takes away.
+    it("sends no new work to a draining backend server and lets it finish its running requests", async () => {
+        // Guards against a request that fails on an engine which the platform removes.
         const extra = await rig.addEngine("decode-3", "decode");
         await rig.deployment.backendsReady(["decode-3"]);
-        const load = new Load(rig);
+        const load = new StreamLoad(rig);
         await until("work on decode-3", async () => {
             load.keepOpen(11);
             return Object.values(await extra.ran()).some(ran => ran.tokens > 0);
@@ -50,46 +52,50 @@
         const at = rig.entry(1).operators;
         const drained = await rig.deployment.command("drain", "decode-3", "--operator", "tester", "--at", at);
         expect(drained.code, drained.output).to.equal(0);
-        // The bound: once the view lease has run out, nobody may start work on a view without the mark. The engine
-        // itself would go on taking work, so that a choice of it shows.
+        // Once the view lease has expired, no daemon may start work on a view without the drain mark. The engine itself
+        // still accepts work, so that a wrong placement on it shows up.
         await pause(timing.viewLease);
         const had = Object.keys(await extra.ran()).length;
         const more = Array.from({ length: 9 }, (_, index) => call(`after leaving ${index}`));
-        const answers = await Promise.all(more.map((asking, index) => rig.caller(index % 3).askUntilRun(asking)));
-        answers.forEach((answer, index) => expectWhole(answer, more[index]!));
+        const answers = await Promise.all(more.map((modelCall, index) => rig.caller(index % 3).askUntilRun(modelCall)));
+        answers.forEach((answer, index) => expectCompleteAnswer(answer, more[index]!));
         expect(Object.keys(await extra.ran()).length).to.equal(had);
         extra.signal("SIGTERM");
-        for (const { asking, answer } of await load.answers()) {
-            expectWhole(answer, asking);
+        for (const { modelCall, answer } of await load.answers()) {
+            expectCompleteAnswer(answer, modelCall);
         }
         expect(await extra.end()).to.deep.equal({ code: 0, signal: undefined });
     });
 
     it("runs a non-idempotent request at most once when its entry daemon is killed", async () => {
-        // Guards against this: a landlord gets two claim letters.
-        const letter = call("claim letter", { key: "letter-1", stream: true, maxTokens: 60 });
+        // Guards against a non-idempotent request that is run a second time after its entry daemon has died.
+        const nonIdempotentCall = call("claim letter", {
+            key: "letter-1",
+            stream: true,
+            maxTokens: 60,
+        });
         const before = await rig.decodes();
-        const begun = new Promise<void>(resolve => {
-            void rig.caller(0).ask(letter, () => resolve()).then(() => resolve());
+        const firstToken = new Promise<void>(resolve => {
+            void rig.caller(0).ask(nonIdempotentCall, () => resolve()).then(() => resolve());
         });
-        await begun;
+        await firstToken;
         await rig.entry(0).kill();
-        const again = await rig.caller(1).ask(letter);
+        const again = await rig.caller(1).ask(nonIdempotentCall);
         expect(again.error?.outcome, JSON.stringify(again)).to.equal("unknown");
-        const third = await rig.caller(2).ask(letter);
+        const third = await rig.caller(2).ask(nonIdempotentCall);
         expect(third.error?.outcome).to.equal("unknown");
         expect(await rig.decodes() - before).to.equal(1);
-        await until("the engines to be free of it", async () => {
+        await until("the engines to release the request", async () => {
             const engines = ["decode-1", "decode-2"].map(id => rig.deployment.backends.get(id)!);
             return (await Promise.all(engines.map(engine => engine.held()))).every(held => held.length === 0);
         });
     });
 
-    it("starts nothing on an old view after a freeze", async () => {
-        // Guards against this: a request runs on a model that was withdrawn minutes ago.
+    it("starts no request on an expired view after a freeze", async () => {
+        // Guards against a request that runs on a model which was withdrawn minutes ago, while its entry daemon was frozen.
         await rig.apply(0, [model, secondModel]);
         const frozen = rig.entry(2);
-        // Their connections stay open, so that the requests below lie in them, ready to be read, when it wakes.
+        // Their connections stay open, so that the requests below are buffered in them when the daemon resumes.
         await Promise.all([1, 2, 3].map(index => expectServed(2, `before the freeze ${index}`)));
         const before = await rig.decodes();
         frozen.signal("SIGSTOP");
@@ -102,44 +108,44 @@
             expect(answer.error?.code).to.be.oneOf(["viewExpired", "unknownModel"]);
         }
         expect(await rig.decodes()).to.equal(before);
-        await until("the woken daemon to have the change", async () => {
+        await until("the resumed daemon to apply the change", async () => {
             const { sessions } = await rig.deployment.status(rig.entry(0));
             return sessions.some(session => session.daemon === frozen.name && session.revision === revision);
         });
         await expectServed(2, "after the freeze");
     });
 
-    it("cuts nothing off on SIGTERM under load", async () => {
+    it("interrupts no request on SIGTERM under load", async () => {
         const calls = Array.from({ length: 8 }, (_, index) => call(`load ${index}`, { stream: true, maxTokens: 80 }));
         const stopped = rig.entry(1);
         let started = 0;
-        const running = calls.map(asking => {
+        const running = calls.map(modelCall => {
             let counted = false;
-            return rig.caller(1).ask(asking, () => {
+            return rig.caller(1).ask(modelCall, () => {
                 started += counted ? 0 : 1;
                 counted = true;
             });
         });
         await until("all streams to run", async () => started === calls.length);
         stopped.signal("SIGTERM");
-        await until("it to be not ready", async () => !(await stopped.isReady()));
+        await until("the daemon to report not ready", async () => !(await stopped.isReady()));
         const late = await rig.caller(1).ask(call("too late"));
         expect(late.whole).to.equal(false);
         expect(late.status === 0 || late.error?.outcome === "not_run", JSON.stringify(late)).to.equal(true);
-        (await Promise.all(running)).forEach((answer, index) => expectWhole(answer, calls[index]!));
+        (await Promise.all(running)).forEach((answer, index) => expectCompleteAnswer(answer, calls[index]!));
         expect(await stopped.end()).to.deep.equal({ code: 0, signal: undefined });
     });
 
-    it("ends sooner on a second SIGTERM and says what it cut off", async () => {
-        const asking = call("cut", { stream: true, maxTokens: 120 });
+    it("ends sooner on a second SIGTERM and logs the requests that it interrupted", async () => {
+        const modelCall = call("cut", { stream: true, maxTokens: 120 });
         const stopped = rig.entry(1);
-        let begun = false;
-        const running = rig.caller(1).ask(asking, () => {
-            begun = true;
+        let firstToken = false;
+        const running = rig.caller(1).ask(modelCall, () => {
+            firstToken = true;
         });
-        await until("the stream to run", async () => begun);
+        await until("the stream to run", async () => firstToken);
         stopped.signal("SIGTERM");
-        await until("it to be not ready", async () => !(await stopped.isReady()));
+        await until("the daemon to report not ready", async () => !(await stopped.isReady()));
         stopped.signal("SIGTERM");
         expect(await stopped.end()).to.deep.equal({ code: 7, signal: undefined });
         const { error, whole } = await running;
@@ -148,14 +154,14 @@
         expect(stopped.output()).to.include(`"cut":["${error?.request_id}"]`);
     });
 
-    it("has engines load a model that a change adds, and serves it", async () => {
+    it("makes engines load a model that a configuration change adds, and serves it", async () => {
         await rig.apply(0, [model, "draft-3"], "adds a model that no engine carries");
-        const asking = call("a new model", { model: "draft-3" });
+        const modelCall = call("a new model", { model: "draft-3" });
         const answer = await until("the new model to be served", async () => {
-            const tried = await rig.caller(1).askUntilRun(asking);
+            const tried = await rig.caller(1).askUntilRun(modelCall);
             return tried.whole && tried;
         });
-        expectWhole(answer, asking);
+        expectCompleteAnswer(answer, modelCall);
         const at = rig.entry(2).operators;
         const audit = await rig.deployment.command("audit", "--topic", "order", "--at", at, "--json");
         const { entries } = JSON.parse(audit.output) as { entries: { action: string; outcome: string; }[]; };
@@ -163,7 +169,7 @@
         expect(done.length).to.be.greaterThan(1);
     });
 
-    it("goes on after its leading control daemon is killed", async () => {
+    it("keeps serving after its leading control daemon is killed", async () => {
         const leader = await rig.deployment.leader();
         await leader.kill();
         const rest = rig.deployment.controls.filter(control => control !== leader);
@@ -183,8 +189,8 @@
         });
     }
 
-    it("keeps what was accepted when a disk is lost and, after the repair, a second host", async () => {
-        // Guards against this: an accepted configuration is gone.
+    it("keeps the accepted configuration when a disk is lost and, after its replacement, a second host fails", async () => {
+        // Guards against the loss of an accepted configuration.
         const revision = await rig.apply(0, [model], "before the disk is lost");
         const [lost, second] = rig.deployment.controls as [Daemon, Daemon];
         const before = await rig.deployment.status(rig.entry(0));
@@ -205,10 +211,10 @@
         await expectServed(0, "after two losses");
     });
 
-    it("keeps its configuration and its run records over a loss of power everywhere", async () => {
-        const letter = call("kept letter", { key: "letter-2" });
-        const first = await rig.caller(0).askUntilRun(letter);
-        expectWhole(first, letter);
+    it("keeps its configuration and its run records across a power loss of all hosts", async () => {
+        const nonIdempotentCall = call("kept letter", { key: "letter-2" });
+        const first = await rig.caller(0).askUntilRun(nonIdempotentCall);
+        expectCompleteAnswer(first, nonIdempotentCall);
         const revision = await rig.apply(0, [model], "before the loss of power");
         await Promise.all(rig.deployment.daemons().map(daemon => daemon.kill()));
         rig.deployment.daemons().forEach(daemon => daemon.start());
@@ -219,8 +225,8 @@
         });
         expect(status.revision).to.equal(revision);
         const before = await rig.decodes();
-        const again = await rig.caller(1).askUntilRun(letter);
-        expectWhole(again, letter);
+        const again = await rig.caller(1).askUntilRun(nonIdempotentCall);
+        expectCompleteAnswer(again, nonIdempotentCall);
         expect(again.replayed).to.equal(true);
         expect(await rig.decodes()).to.equal(before);
         await expectServed(2, "after the loss of power");
--- a/playground/__tests__/rig.ts
+++ b/playground/__tests__/rig.ts
@@ -2,14 +2,14 @@
 import * as path from "node:path";
 import { type Backend, Caller, Deployment, type ModelCall, setUpLimit } from "../harness/index.js";
 
-/** The model that every configuration of these tests carries. */
+/** The model that every configuration of these tests contains. */
 export const model = "draft";
-/** A model that some configurations carry. */
+/** A model that some configurations contain. */
 export const secondModel = "draft-2";
 
 const models = [model, secondModel].map(name => ({ name, version: "1" }));
 const domains = ["pocitos", "carrasco", "ciudad-vieja"];
-/** Timing of the daemons. Short, so that leases run out within a test; long enough for a machine that is busy with other things. */
+/** Timing of the daemons, in milliseconds. Short, so that leases expire within a test; long enough for a loaded machine. */
 export const timing = {
     viewLease: 1_200,
     viewInterval: 150,
@@ -19,8 +19,8 @@
     electionTimeout: 500,
 };
 
-/** What a test may ask of all its engines. */
-export type EngineInput = {
+/** Settings that a test may set for its engines. */
+export type EngineOverrides = {
     readonly weightStore?: string;
     readonly checksFence?: boolean;
     readonly linkRate?: number;
@@ -28,23 +28,23 @@
     readonly diesUnder?: string;
 };
 
-const pictured =
+const diagnosticMetrics =
     /^basilpaddle_(slots_held|queue|scheduler|may_start|open_requests|view_|answers|refusals|retries|cancels)/;
 
-/** A small deployment with what tests of failures need around it. */
+/** A small deployment with helper methods for failure tests. */
 export class Rig {
-    private folders = 0;
+    private configurationCount = 0;
 
     private constructor(readonly deployment: Deployment) {}
 
     /** Starts everything and applies a first configuration. */
-    static async create(relayed = false, more: EngineInput = {}): Promise<Rig> {
+    static async create(relayed = false, overrides: EngineOverrides = {}): Promise<Rig> {
         const plan = { cluster: "tests", failureDomains: domains, controls: 3, entries: 3, timing, relayed };
         const rig = new Rig(await Deployment.create(plan));
         try {
             await Promise.all([
-                ...[1, 2].map(index => rig.addEngine(`prefill-${index}`, "prefill", more)),
-                ...[1, 2].map(index => rig.addEngine(`decode-${index}`, "decode", more)),
+                ...[1, 2].map(index => rig.addEngine(`prefill-${index}`, "prefill", overrides)),
+                ...[1, 2].map(index => rig.addEngine(`decode-${index}`, "decode", overrides)),
                 rig.deployment.addBackend("service", { id: "policy-1", ...{ service: "policy" } }),
             ]);
             await rig.apply(0, [model, secondModel], "", setUpLimit);
@@ -58,12 +58,12 @@
         }
     }
 
-    /** Starts one more stand-in for an engine. */
-    addEngine(id: string, role: "prefill" | "decode", more: EngineInput = {}): Promise<Backend> {
-        return this.deployment.addBackend("engine", { ...engineSettings(id, role), ...more });
+    /** Starts another engine stand-in. */
+    addEngine(id: string, role: "prefill" | "decode", overrides: EngineOverrides = {}): Promise<Backend> {
+        return this.deployment.addBackend("engine", { ...engineSettings(id, role), ...overrides });
     }
 
-    /** The same, over a relay. */
+    /** Starts another engine stand-in that daemons reach only through a relay. */
     addRelayedEngine(id: string, role: "prefill" | "decode") {
         return this.deployment.addRelayedBackend("engine", engineSettings(id, role));
     }
@@ -76,39 +76,55 @@
         return Caller.create(this.entry(index));
     }
 
-    /** Applies a configuration that carries the models; gives the revision that it became. */
-    async apply(asked: number, carried: readonly string[], note = "", limit = 20_000, version = "1"): Promise<number> {
-        const folder = path.join(this.deployment.folder, `configuration-${++this.folders}`);
+    /** Applies a configuration with these models and returns its revision. The limit is in milliseconds. */
+    async apply(
+        entryIndex: number,
+        modelNames: readonly string[],
+        note = "",
+        limit = 20_000,
+        version = "1",
+    ): Promise<number> {
+        const folder = path.join(this.deployment.folder, `configuration-${++this.configurationCount}`);
         await mkdir(folder);
         const pool = {
-            models: carried.map(name => ({ name, version })),
+            models: modelNames.map(name => ({ name, version })),
             copies: { prefill: 2, decode: 2 },
             targets: { firstToken: 20_000, perToken: 1_000 },
         };
         await writeFile(path.join(folder, "10-drafting.json"), JSON.stringify({ pools: { drafting: pool } }));
         const services = { policy: { pathPrefix: "/policy" } };
         await writeFile(path.join(folder, "20-policy.json"), JSON.stringify({ services }));
-        const at = this.entry(asked).operators;
-        const given = ["--operator", "tester", "--note", note, "--timeout", String(limit), "--at", at, "--json"];
-        const done = await this.deployment.command("config", "apply", folder, ...given);
+        const at = this.entry(entryIndex).operators;
+        const commandOptions = [
+            "--operator",
+            "tester",
+            "--note",
+            note,
+            "--timeout",
+            String(limit),
+            "--at",
+            at,
+            "--json",
+        ];
+        const done = await this.deployment.command("config", "apply", folder, ...commandOptions);
         if (done.code !== 0) {
             throw new Error(`config apply ended with ${done.code}: ${done.output}`);
         }
         return (JSON.parse(done.output) as { result: { revision: number; }; }).result.revision;
     }
 
-    /** How many attempts began to decode, over all engines that are up. */
+    /** Number of attempts that started decoding, over all running decode engines. */
     async decodes(): Promise<number> {
         const engines = [...this.deployment.backends.values()].filter(backend => backend.id.startsWith("decode"));
         const ran = await Promise.all(engines.map(engine => engine.ran().catch(() => ({}))));
         return ran.flatMap(attempts => Object.values(attempts)).filter(attempt => attempt.decodes > 0).length;
     }
 
-    /** What every entry daemon counts and every engine holds; printed beside a failure, as logs alone don't tell who waits. */
-    async picture(): Promise<string> {
+    /** Metrics of every entry daemon and attempts held by every engine. Printed on a failure: logs alone don't show what waits. */
+    async diagnostics(): Promise<string> {
         const entries = this.deployment.entries.map(async entry => {
             const answer = await fetch(`http://${entry.operators}/metrics`, { signal: AbortSignal.timeout(2_000) });
-            const counted = (await answer.text()).split("\n").filter(line => pictured.test(line));
+            const counted = (await answer.text()).split("\n").filter(line => diagnosticMetrics.test(line));
             return `${entry.name}:\n${counted.join("\n")}\n`;
         });
         const holding = [...this.deployment.backends.values()].filter(({ id }) => /^(prefill|decode)/.test(id));
@@ -121,14 +137,14 @@
         return [...parts.map(part => part.status === "fulfilled" ? part.value : `${part.reason}\n`), ...known].join("");
     }
 
-    /** Starts every daemon that isn't running, and waits until all are ready. */
+    /** Restarts every daemon that isn't running and waits until all are ready. */
     async mend(): Promise<void> {
         const daemons = this.deployment.daemons();
         daemons.filter(daemon => !daemon.isRunning()).forEach(daemon => daemon.start());
         await Promise.all(daemons.map(daemon => daemon.ready()));
     }
 
-    /** Ends every process. */
+    /** Kills every process and removes the deployment's folder. */
     close(): Promise<void> {
         return this.deployment.close();
     }
@@ -138,7 +154,7 @@
     return { id, role, pool: "drafting", models, slots: 4, tokenTime: 25, promptTokenTime: 0.1 };
 }
 
-/** A call whose answer has at least eight tokens, and no more than the given number. */
-export function call(prompt: string, more: Partial<ModelCall> = {}): ModelCall {
-    return { model, prompt, maxTokens: 30, ...more };
+/** A call whose answer has at least eight tokens and at most `maxTokens`. */
+export function call(prompt: string, overrides: Partial<ModelCall> = {}): ModelCall {
+    return { model, prompt, maxTokens: 30, ...overrides };
 }
