--- a/playground/__tests__/failures.spec.ts
+++ b/playground/__tests__/failures.spec.ts
@@ -1,12 +1,12 @@
 import { expect } from "chai";
-import { Caller, type ModelCall, pause, setUpLimit, until } from "../harness/index.js";
+import { Caller, type ModelCall, pause, setUpTimeoutMilliseconds, until } from "../harness/index.js";
 import { expectCompleteAnswer, StreamLoad } from "./load.js";
 import { call, model, Rig, secondModel, timing } from "./rig.js";
 
 describe("a deployment of real processes under network partitions and shutdowns", () => {
     let rig: Rig;
     before(async function() {
-        this.timeout(setUpLimit);
+        this.timeout(setUpTimeoutMilliseconds);
         rig = await Rig.create(true);
     });
     after(() => rig?.close());
@@ -17,13 +17,13 @@
             }
             process.stderr.write(await rig.diagnostics());
         }
-        [...rig.deployment.relays.values()].flatMap(ways => [...ways.values()]).forEach(relay => relay.heal());
+        [...rig.deployment.relays.values()].flatMap(links => [...links.values()]).forEach(relay => relay.heal());
         await rig.mend();
     });
 
     async function expectServed(entryIndex: number, prompt: string): Promise<void> {
         const modelCall = call(prompt);
-        expectCompleteAnswer(await rig.caller(entryIndex).askUntilRun(modelCall), modelCall);
+        expectCompleteAnswer(await rig.caller(entryIndex).requestCompletionWithRetries(modelCall), modelCall);
     }
 
     /** Starts streams at the entry daemons in turn; resolves once each stream has delivered a token. */
@@ -31,7 +31,7 @@
         let startedCount = 0;
         const answers = calls.map((modelCall, index) => {
             let counted = false;
-            return rig.caller(index % 3).ask(modelCall, () => {
+            return rig.caller(index % 3).requestCompletion(modelCall, () => {
                 startedCount += counted ? 0 : 1;
                 counted = true;
             });
@@ -50,21 +50,21 @@
         await rig.apply(0, [model, secondModel]);
         const partitioned = rig.entry(2);
         await expectServed(2, "before the cut");
-        const ways = [...rig.deployment.relays.get(partitioned.name)!.values()];
-        ways.forEach(relay => relay.silence());
+        const links = [...rig.deployment.relays.get(partitioned.name)!.values()];
+        links.forEach(relay => relay.silence());
         const revision = await rig.apply(0, [model], "withdraws the second model");
         const before = await rig.decodes();
         for (const modelCall of [call("cut off", { model: secondModel }), call("cut off as well")]) {
-            const { status, error } = await rig.caller(2).ask(modelCall);
+            const { status, error } = await rig.caller(2).requestCompletion(modelCall);
             expect(error, JSON.stringify(error)).to.include({ code: "viewExpired", outcome: "not_run" });
             expect(status).to.equal(503);
         }
         expect(await partitioned.isReady()).to.equal(false);
         expect(await rig.decodes()).to.equal(before);
         await expectServed(0, "elsewhere meanwhile");
-        ways.forEach(relay => relay.heal());
+        links.forEach(relay => relay.heal());
         await expectServed(2, "after the healing");
-        const withdrawn = await rig.caller(2).ask(call("withdrawn", { model: secondModel }));
+        const withdrawn = await rig.caller(2).requestCompletion(call("withdrawn", { model: secondModel }));
         expect(withdrawn.error?.code).to.equal("unknownModel");
         await until("the healed daemon to have the change", async () => {
             const { sessions } = await rig.deployment.status(rig.entry(0));
@@ -80,13 +80,13 @@
         // Longer than the view lease granted before the partition, shorter than the silence that ends its session.
         await pause(timing.viewLease + timing.viewInterval);
         const modelCall = call("past the leader");
-        expectCompleteAnswer(await rig.caller(1).ask(modelCall), modelCall);
+        expectCompleteAnswer(await rig.caller(1).requestCompletion(modelCall), modelCall);
     });
 
     it("returns a final answer when a decode engine becomes unreachable in the middle of a stream", async () => {
         // Guards against a caller that waits forever, and a decode slot that stays held after the network has recovered.
         const { backend, relay } = await rig.addRelayedEngine("decode-3", "decode");
-        await rig.deployment.backendsReady(["decode-3"]);
+        await rig.deployment.waitForBackends(["decode-3"]);
         const before = await rig.decodes();
         const load = new StreamLoad(rig);
         await until("a stream of decode-3", async () => {
@@ -115,7 +115,7 @@
         const others = [0, 1, 2].filter(other => other !== index);
         const later = Array.from({ length: 6 }, (_, at) => call(`later ${at}`));
         const answers = await Promise.all(
-            later.map((modelCall, at) => rig.caller(others[at % 2]!).askUntilRun(modelCall)),
+            later.map((modelCall, at) => rig.caller(others[at % 2]!).requestCompletionWithRetries(modelCall)),
         );
         answers.forEach((answer, at) => expectCompleteAnswer(answer, later[at]!));
         (await Promise.all(running)).forEach((answer, at) => expectCompleteAnswer(answer, calls[at]!));
@@ -137,14 +137,16 @@
         const running = await openStreams(calls);
         leader.signal("SIGTERM");
         const later = Array.from({ length: 6 }, (_, at) => call(`after ${at}`, { key: `after-${at}` }));
-        const answers = await Promise.all(later.map((modelCall, at) => rig.caller(at % 3).askUntilRun(modelCall)));
+        const answers = await Promise.all(
+            later.map((modelCall, at) => rig.caller(at % 3).requestCompletionWithRetries(modelCall)),
+        );
         answers.forEach((answer, at) => expectCompleteAnswer(answer, later[at]!));
         (await Promise.all(running)).forEach((answer, at) => expectCompleteAnswer(answer, calls[at]!));
         expect(await rig.decodes() - before).to.equal(calls.length + later.length);
         expect(await leader.end()).to.deep.equal({ code: 0, signal: undefined });
         const rest = rig.deployment.controls.filter(control => control !== leader);
         expect(await rig.deployment.leader(rest)).not.to.equal(leader);
-        const again = await rig.caller(1).askUntilRun(later[0]!);
+        const again = await rig.caller(1).requestCompletionWithRetries(later[0]!);
         expect(again.replayed).to.equal(true);
         expect(again.text).to.equal(Caller.expected(later[0]!));
     });
@@ -169,7 +171,7 @@
                 return call(name, { key: name.replaceAll(" ", "-") });
             });
             const answers = await Promise.all(
-                nonIdempotentCalls.map((modelCall, at) => rig.caller(at % 3).askUntilRun(modelCall)),
+                nonIdempotentCalls.map((modelCall, at) => rig.caller(at % 3).requestCompletionWithRetries(modelCall)),
             );
             answers.forEach((answer, at) => expectCompleteAnswer(answer, nonIdempotentCalls[at]!));
             (await Promise.all(running)).forEach((answer, at) => expectCompleteAnswer(answer, calls[at]!));
@@ -198,7 +200,9 @@
                 return call(name, { key: name.replaceAll(" ", "-") });
             });
             const answers = await Promise.all(
-                nonIdempotentCalls.map((modelCall, at) => rig.caller(others[at % 2]!).askUntilRun(modelCall)),
+                nonIdempotentCalls.map((modelCall, at) =>
+                    rig.caller(others[at % 2]!).requestCompletionWithRetries(modelCall)
+                ),
             );
             answers.forEach((answer, at) => expectCompleteAnswer(answer, nonIdempotentCalls[at]!));
             const streams = (await Promise.all(running)).map((answer, at) => ({ answer, modelCall: calls[at]! }));
--- a/playground/__tests__/load.ts
+++ b/playground/__tests__/load.ts
@@ -5,7 +5,7 @@
 /** Asserts that the answer is complete and is the one expected for this call. */
 export function expectCompleteAnswer(answer: CallerAnswer, modelCall: ModelCall): void {
     expect(answer.error, JSON.stringify(answer.error)).to.equal(undefined);
-    expect(answer.whole).to.equal(true);
+    expect(answer.complete).to.equal(true);
     expect(answer.text).to.equal(Caller.expected(modelCall));
 }
 
@@ -20,7 +20,7 @@
     keepOpen(count: number): void {
         for (; this.open < count; this.open++) {
             const modelCall = call(`long ${this.sent.length}`, { stream: true, maxTokens: 100 });
-            const answered = this.rig.caller(this.sent.length % 3).askUntilRun(modelCall);
+            const answered = this.rig.caller(this.sent.length % 3).requestCompletionWithRetries(modelCall);
             this.sent.push(answered.then(answer => {
                 this.open--;
                 return { modelCall, answer };
--- a/playground/__tests__/orders.spec.ts
+++ b/playground/__tests__/orders.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { setUpLimit, until } from "../harness/index.js";
+import { setUpTimeoutMilliseconds, until } from "../harness/index.js";
 import { FakeWeightStore } from "../standins/fakeWeightStore.js";
 import { expectCompleteAnswer } from "./load.js";
 import { call, model, Rig } from "./rig.js";
@@ -11,7 +11,7 @@
     let store: FakeWeightStore;
     let rig: Rig;
     before(async function() {
-        this.timeout(setUpLimit);
+        this.timeout(setUpTimeoutMilliseconds);
         store = await FakeWeightStore.create({ rate: bytesPerSecond });
         // These engines execute every order without checking its fence, so that an order under an old fence shows up.
         rig = await Rig.create(false, { weightStore: store.url, checksFence: false });
@@ -51,7 +51,7 @@
             return lease !== undefined && lease.fence > first.fence && lease;
         });
         const served = call("during the rollout");
-        expectCompleteAnswer(await rig.caller(other).askUntilRun(served), served);
+        expectCompleteAnswer(await rig.caller(other).requestCompletionWithRetries(served), served);
         await until(
             "an order from the next holder",
             async () => (await receivedOrders()).flat().some(order => order.fence === next.fence),
@@ -62,7 +62,7 @@
             const carried = engines().map(({ id }) => view.backends[id]?.announcement.models ?? []);
             return carried.every(models => models.length === 1 && models[0]!.version === "2");
         });
-        expectCompleteAnswer(await rig.caller(frozen).askUntilRun(served), served);
+        expectCompleteAnswer(await rig.caller(frozen).requestCompletionWithRetries(served), served);
         for (const received of await receivedOrders()) {
             const fences = received.map(order => order.fence);
             expect(fences).to.deep.equal([...fences].sort((one, another) => one - another));
--- a/playground/__tests__/processes.spec.ts
+++ b/playground/__tests__/processes.spec.ts
@@ -1,13 +1,13 @@
 import { expect } from "chai";
 import { rm } from "node:fs/promises";
-import { type Daemon, pause, setUpLimit, until } from "../harness/index.js";
+import { type Daemon, pause, setUpTimeoutMilliseconds, until } from "../harness/index.js";
 import { expectCompleteAnswer, StreamLoad } from "./load.js";
 import { call, model, Rig, secondModel, timing } from "./rig.js";
 
 describe("a deployment of real processes", () => {
     let rig: Rig;
     before(async function() {
-        this.timeout(setUpLimit);
+        this.timeout(setUpTimeoutMilliseconds);
         rig = await Rig.create();
     });
     after(() => rig?.close());
@@ -23,7 +23,7 @@
 
     async function expectServed(entryIndex: number, prompt: string): Promise<void> {
         const modelCall = call(prompt);
-        expectCompleteAnswer(await rig.caller(entryIndex).askUntilRun(modelCall), modelCall);
+        expectCompleteAnswer(await rig.caller(entryIndex).requestCompletionWithRetries(modelCall), modelCall);
     }
 
     it("serves complete and streamed answers, the right one to each caller, and plain services", async () => {
@@ -32,10 +32,10 @@
             (_, index) => call(`caller ${index} asks`, { stream: index % 2 === 0, chat: index % 3 === 0 }),
         );
         const answers = await Promise.all(
-            calls.map((modelCall, index) => rig.caller(index % 3).askUntilRun(modelCall)),
+            calls.map((modelCall, index) => rig.caller(index % 3).requestCompletionWithRetries(modelCall)),
         );
         answers.forEach((answer, index) => expectCompleteAnswer(answer, calls[index]!));
-        const lookup = await rig.caller(1).service("GET", "/policy/status/certificate-1");
+        const lookup = await rig.caller(1).requestService("GET", "/policy/status/certificate-1");
         expect(lookup.status).to.equal(200);
         expect(lookup.body).to.deep.equal({ service: "policy-1", key: "certificate-1", runs: 0 });
     });
@@ -43,7 +43,7 @@
     it("sends no new work to a draining backend server and lets it finish its running requests", async () => {
         // Guards against a request that fails on an engine which the platform removes.
         const extra = await rig.addEngine("decode-3", "decode");
-        await rig.deployment.backendsReady(["decode-3"]);
+        await rig.deployment.waitForBackends(["decode-3"]);
         const load = new StreamLoad(rig);
         await until("work on decode-3", async () => {
             load.keepOpen(11);
@@ -57,7 +57,9 @@
         await pause(timing.viewLease);
         const had = Object.keys(await extra.ran()).length;
         const more = Array.from({ length: 9 }, (_, index) => call(`after leaving ${index}`));
-        const answers = await Promise.all(more.map((modelCall, index) => rig.caller(index % 3).askUntilRun(modelCall)));
+        const answers = await Promise.all(
+            more.map((modelCall, index) => rig.caller(index % 3).requestCompletionWithRetries(modelCall)),
+        );
         answers.forEach((answer, index) => expectCompleteAnswer(answer, more[index]!));
         expect(Object.keys(await extra.ran()).length).to.equal(had);
         extra.signal("SIGTERM");
@@ -76,13 +78,13 @@
         });
         const before = await rig.decodes();
         const firstToken = new Promise<void>(resolve => {
-            void rig.caller(0).ask(nonIdempotentCall, () => resolve()).then(() => resolve());
+            void rig.caller(0).requestCompletion(nonIdempotentCall, () => resolve()).then(() => resolve());
         });
         await firstToken;
         await rig.entry(0).kill();
-        const again = await rig.caller(1).ask(nonIdempotentCall);
+        const again = await rig.caller(1).requestCompletion(nonIdempotentCall);
         expect(again.error?.outcome, JSON.stringify(again)).to.equal("unknown");
-        const third = await rig.caller(2).ask(nonIdempotentCall);
+        const third = await rig.caller(2).requestCompletion(nonIdempotentCall);
         expect(third.error?.outcome).to.equal("unknown");
         expect(await rig.decodes() - before).to.equal(1);
         await until("the engines to release the request", async () => {
@@ -100,7 +102,9 @@
         const before = await rig.decodes();
         frozen.signal("SIGSTOP");
         const revision = await rig.apply(0, [model], "withdraws the second model");
-        const waiting = [1, 2, 3].map(index => rig.caller(2).ask(call(`old ${index}`, { model: secondModel })));
+        const waiting = [1, 2, 3].map(index =>
+            rig.caller(2).requestCompletion(call(`old ${index}`, { model: secondModel }))
+        );
         await pause(50);
         frozen.signal("SIGCONT");
         for (const answer of await Promise.all(waiting)) {
@@ -121,7 +125,7 @@
         let started = 0;
         const running = calls.map(modelCall => {
             let counted = false;
-            return rig.caller(1).ask(modelCall, () => {
+            return rig.caller(1).requestCompletion(modelCall, () => {
                 started += counted ? 0 : 1;
                 counted = true;
             });
@@ -129,8 +133,8 @@
         await until("all streams to run", async () => started === calls.length);
         stopped.signal("SIGTERM");
         await until("the daemon to report not ready", async () => !(await stopped.isReady()));
-        const late = await rig.caller(1).ask(call("too late"));
-        expect(late.whole).to.equal(false);
+        const late = await rig.caller(1).requestCompletion(call("too late"));
+        expect(late.complete).to.equal(false);
         expect(late.status === 0 || late.error?.outcome === "not_run", JSON.stringify(late)).to.equal(true);
         (await Promise.all(running)).forEach((answer, index) => expectCompleteAnswer(answer, calls[index]!));
         expect(await stopped.end()).to.deep.equal({ code: 0, signal: undefined });
@@ -140,7 +144,7 @@
         const modelCall = call("cut", { stream: true, maxTokens: 120 });
         const stopped = rig.entry(1);
         let firstToken = false;
-        const running = rig.caller(1).ask(modelCall, () => {
+        const running = rig.caller(1).requestCompletion(modelCall, () => {
             firstToken = true;
         });
         await until("the stream to run", async () => firstToken);
@@ -148,8 +152,8 @@
         await until("the daemon to report not ready", async () => !(await stopped.isReady()));
         stopped.signal("SIGTERM");
         expect(await stopped.end()).to.deep.equal({ code: 7, signal: undefined });
-        const { error, whole } = await running;
-        expect(whole).to.equal(false);
+        const { error, complete } = await running;
+        expect(complete).to.equal(false);
         expect(error?.outcome).to.equal("failed_after_starting");
         expect(stopped.output()).to.include(`"cut":["${error?.request_id}"]`);
     });
@@ -158,8 +162,8 @@
         await rig.apply(0, [model, "draft-3"], "adds a model that no engine carries");
         const modelCall = call("a new model", { model: "draft-3" });
         const answer = await until("the new model to be served", async () => {
-            const tried = await rig.caller(1).askUntilRun(modelCall);
-            return tried.whole && tried;
+            const tried = await rig.caller(1).requestCompletionWithRetries(modelCall);
+            return tried.complete && tried;
         });
         expectCompleteAnswer(answer, modelCall);
         const at = rig.entry(2).operators;
@@ -213,7 +217,7 @@
 
     it("keeps its configuration and its run records across a power loss of all hosts", async () => {
         const nonIdempotentCall = call("kept letter", { key: "letter-2" });
-        const first = await rig.caller(0).askUntilRun(nonIdempotentCall);
+        const first = await rig.caller(0).requestCompletionWithRetries(nonIdempotentCall);
         expectCompleteAnswer(first, nonIdempotentCall);
         const revision = await rig.apply(0, [model], "before the loss of power");
         await Promise.all(rig.deployment.daemons().map(daemon => daemon.kill()));
@@ -225,7 +229,7 @@
         });
         expect(status.revision).to.equal(revision);
         const before = await rig.decodes();
-        const again = await rig.caller(1).askUntilRun(nonIdempotentCall);
+        const again = await rig.caller(1).requestCompletionWithRetries(nonIdempotentCall);
         expectCompleteAnswer(again, nonIdempotentCall);
         expect(again.replayed).to.equal(true);
         expect(await rig.decodes()).to.equal(before);
--- a/playground/__tests__/repeatedCrashes.spec.ts
+++ b/playground/__tests__/repeatedCrashes.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { pause, setUpLimit } from "../harness/index.js";
+import { pause, setUpTimeoutMilliseconds } from "../harness/index.js";
 import { call, Rig } from "./rig.js";
 
 const crashingPrompt = "a prompt that no engine survives";
@@ -12,10 +12,10 @@
     this.timeout(60_000);
     let rig: Rig;
     before(async function() {
-        this.timeout(setUpLimit);
+        this.timeout(setUpTimeoutMilliseconds);
         rig = await Rig.create(false, { diesUnder: crashingPrompt });
         await Promise.all(extraEngines.map(id => rig.addEngine(id, "decode", { diesUnder: crashingPrompt })));
-        await rig.deployment.backendsReady(extraEngines, undefined, setUpLimit);
+        await rig.deployment.waitForBackends(extraEngines, undefined, setUpTimeoutMilliseconds);
     });
     after(() => rig?.close());
 
@@ -27,12 +27,12 @@
 
     it("is refused by all entry daemons once three engines have crashed while running it", async () => {
         for (let entryIndex = 0; await crashedCount() < 3; entryIndex++) {
-            await rig.caller(entryIndex % 3).ask(call(crashingPrompt));
+            await rig.caller(entryIndex % 3).requestCompletion(call(crashingPrompt));
         }
         await pause(crashPropagationMilliseconds);
         const before = await crashedCount();
         const answers = await Promise.all(
-            [0, 1, 2].map(entryIndex => rig.caller(entryIndex).ask(call(crashingPrompt))),
+            [0, 1, 2].map(entryIndex => rig.caller(entryIndex).requestCompletion(call(crashingPrompt))),
         );
         expect(await crashedCount()).to.equal(before);
         expect(before).to.equal(3);
@@ -40,7 +40,7 @@
             Array.from({ length: 3 }, () => [503, "not_run"]),
         );
         expect(answers.every(({ error }) => (error?.retry_after ?? 0) > 60)).to.equal(true);
-        const other = await rig.caller(1).askUntilRun(call("a prompt like any other"));
-        expect(other.whole).to.equal(true);
+        const other = await rig.caller(1).requestCompletionWithRetries(call("a prompt like any other"));
+        expect(other.complete).to.equal(true);
     });
 });
--- a/playground/__tests__/rig.ts
+++ b/playground/__tests__/rig.ts
@@ -1,6 +1,6 @@
 import { mkdir, writeFile } from "node:fs/promises";
 import * as path from "node:path";
-import { type Backend, Caller, Deployment, type ModelCall, setUpLimit } from "../harness/index.js";
+import { type Backend, Caller, Deployment, type ModelCall, setUpTimeoutMilliseconds } from "../harness/index.js";
 
 /** The model that every configuration of these tests contains. */
 export const model = "draft";
@@ -47,9 +47,9 @@
                 ...[1, 2].map(index => rig.addEngine(`decode-${index}`, "decode", overrides)),
                 rig.deployment.addBackend("service", { id: "policy-1", ...{ service: "policy" } }),
             ]);
-            await rig.apply(0, [model, secondModel], "", setUpLimit);
+            await rig.apply(0, [model, secondModel], "", setUpTimeoutMilliseconds);
             const backends = ["prefill-1", "prefill-2", "decode-1", "decode-2", "policy-1"];
-            await rig.deployment.backendsReady(backends, undefined, setUpLimit);
+            await rig.deployment.waitForBackends(backends, undefined, setUpTimeoutMilliseconds);
             return rig;
         }
         catch (error) {
@@ -120,7 +120,7 @@
         return ran.flatMap(attempts => Object.values(attempts)).filter(attempt => attempt.decodes > 0).length;
     }
 
-    /** Metrics of every entry daemon and attempts held by every engine. Printed on a failure: logs alone don't show what waits. */
+    /** Metrics of all entry daemons and attempts held by all engines. Printed on failure: logs alone don't show what waits. */
     async diagnostics(): Promise<string> {
         const entries = this.deployment.entries.map(async entry => {
             const answer = await fetch(`http://${entry.operators}/metrics`, { signal: AbortSignal.timeout(2_000) });
--- a/playground/celeste/run.ts
+++ b/playground/celeste/run.ts
@@ -43,7 +43,7 @@
         ...engines.map(engine => deployment.addBackend("engine", engine)),
         ...services.map(service => deployment.addBackend("service", service)),
     ]);
-    await deployment.backendsReady([...engines, ...services].map(backend => backend.id));
+    await deployment.waitForBackends([...engines, ...services].map(backend => backend.id));
     print(`${engines.length} engines and ${services.length} services announced themselves after ${seconds(started)}\n`);
 }
 
--- a/playground/celeste/scenes.ts
+++ b/playground/celeste/scenes.ts
@@ -35,10 +35,17 @@
         stream: true,
         organisation: "agents",
     }));
-    const whole = scene("dossier summary, whole", summary, await callers[0]!.askUntilRun(summary));
-    const streamed = scene("eligibility check, streamed chat", check, await callers[1]!.askUntilRun(check));
+    const whole = scene("dossier summary, whole", summary, await callers[0]!.requestCompletionWithRetries(summary));
+    const streamed = scene(
+        "eligibility check, streamed chat",
+        check,
+        await callers[1]!.requestCompletionWithRetries(check),
+    );
     const answers = await Promise.all(
-        burst.map(async (call, index) => ({ call, answer: await callers[index % callers.length]!.askUntilRun(call) })),
+        burst.map(async (call, index) => ({
+            call,
+            answer: await callers[index % callers.length]!.requestCompletionWithRetries(call),
+        })),
     );
     return [
         whole,
@@ -56,8 +63,8 @@
         key: "claim-4711",
     };
     const before = await decodeCount(deployment);
-    const first = await callers[0]!.askUntilRun(letter);
-    const resent = await callers[2]!.askUntilRun(letter);
+    const first = await callers[0]!.requestCompletionWithRetries(letter);
+    const resent = await callers[2]!.requestCompletionWithRetries(letter);
     const decodes = await decodeCount(deployment) - before;
     const again = scene("claim letter sent again to another entry daemon", letter, resent);
     const once = decodes === 1 && resent.replayed;
@@ -68,8 +75,8 @@
 }
 
 async function playLookups(deployment: Deployment, callers: readonly Caller[]): Promise<Scene[]> {
-    const lookup = await callers[3]!.service("GET", "/policy/status/certificate-9");
-    const order = () => callers[1]!.service("POST", "/policy/issue", "issue-9");
+    const lookup = await callers[3]!.requestService("GET", "/policy/status/certificate-9");
+    const order = () => callers[1]!.requestService("POST", "/policy/issue", "issue-9");
     const first = await order();
     const second = await order();
     const runs = await issuedTimes(deployment, "issue-9");
@@ -82,13 +89,13 @@
 
 function scene(name: string, call: ModelCall, answer: CallerAnswer): Scene {
     const expected = Caller.expected(call);
-    const right = answer.whole && answer.text === expected;
+    const right = answer.complete && answer.text === expected;
     const wrong = answer.error === undefined ? `got ${JSON.stringify(answer.text)}` : JSON.stringify(answer.error);
     const shown = right ? answer.text.slice(0, 48) : `${wrong}, expected ${JSON.stringify(expected)}`;
     return { name, right, shown, firstToken: answer.firstToken, total: answer.total };
 }
 
-function plain(name: string, answer: Awaited<ReturnType<Caller["service"]>>, right: boolean): Scene {
+function plain(name: string, answer: Awaited<ReturnType<Caller["requestService"]>>, right: boolean): Scene {
     return { name, right, shown: JSON.stringify(answer.body), firstToken: undefined, total: answer.total };
 }
 
@@ -100,6 +107,6 @@
 
 async function issuedTimes(deployment: Deployment, key: string): Promise<number> {
     const services = [...deployment.backends.values()].filter(backend => backend.id.startsWith("policy"));
-    const runs = await Promise.all(services.map(service => service.runs()));
+    const runs = await Promise.all(services.map(service => service.runCounts()));
     return runs.reduce((sum, counts) => sum + (counts[key] ?? 0), 0);
 }
--- a/playground/harness/addresses.ts
+++ b/playground/harness/addresses.ts
@@ -1,20 +1,20 @@
 import * as net from "node:net";
 
-/** Hands out loopback hosts that no other deployment of this machine uses, and ports that the system chooses. */
+/** Allocates loopback hosts in a random 127.x.y network, to avoid other deployments on this machine, and free ports. */
 export class Addresses {
-    private constructor(private readonly network: string) {}
+    private constructor(private readonly subnet: string) {}
 
     static create(): Addresses {
         const part = (): number => 1 + Math.floor(Math.random() * 254);
         return new Addresses(`127.${part()}.${part()}`);
     }
 
-    /** The loopback host with the given last number. */
+    /** The loopback host with the given last octet. */
     host(last: number): string {
-        return `${this.network}.${last}`;
+        return `${this.subnet}.${last}`;
     }
 
-    /** An address with a port that was free a moment ago; a daemon keeps it over its restarts. */
+    /** An address with a port that was free when it was checked; a daemon keeps it across its restarts. */
     async free(host: string): Promise<{ host: string; port: number; }> {
         const server = net.createServer();
         await new Promise<void>((resolve, reject) => {
--- a/playground/harness/backend.ts
+++ b/playground/harness/backend.ts
@@ -2,50 +2,50 @@
 import type { GivenOrder } from "../standins/orderWork.js";
 import type { AttemptRan } from "../standins/ran.js";
 import type { Fault } from "../standins/settings.js";
-import { Program, type ProgramEnd } from "./program.js";
+import { Program, type ProgramExit } from "./program.js";
 
 const sources = {
     engine: fileURLToPath(new URL("../standins/engine.ts", import.meta.url)),
     service: fileURLToPath(new URL("../standins/service.ts", import.meta.url)),
 };
 
-/** A stand-in for a backend server as a real process. */
+/** A backend server stand-in that runs as a real process. */
 export class Backend {
     private constructor(
         readonly id: string,
         private readonly program: Program,
-        /** Base of its HTTP interface. */
+        /** Base URL of its HTTP interface. */
         readonly url: string,
     ) {}
 
-    /** Starts it and waits until it listens. */
+    /** Starts the process and waits until it listens. */
     static async create(kind: keyof typeof sources, settings: { readonly id: string; }): Promise<Backend> {
         const program = Program.create(settings.id, ["--import=tsx", sources[kind], JSON.stringify(settings)]);
         const { url } = JSON.parse(await program.line(/"ready":true/)) as { url: string; };
         return new Backend(settings.id, program, url);
     }
 
-    /** What each attempt made the engine do. */
+    /** The work that the engine did, by attempt. */
     async ran(): Promise<Record<string, AttemptRan>> {
         return await this.read("/engine/v1/test/ran") as Record<string, AttemptRan>;
     }
 
-    /** Attempts that hold a slot or memory of the engine. */
+    /** Attempts that hold a slot or memory at the engine. */
     async held(): Promise<readonly string[]> {
         return (await this.read("/engine/v1/test/held") as { active: string[]; }).active;
     }
 
-    /** The orders that the engine was given, in their order. */
+    /** The orders that the engine received, in order of arrival. */
     async orders(): Promise<readonly GivenOrder[]> {
         return await this.read("/engine/v1/test/orders") as GivenOrder[];
     }
 
-    /** How often each key ran at a plain service. */
-    async runs(): Promise<Record<string, number>> {
+    /** Number of runs by key at a plain service. */
+    async runCounts(): Promise<Record<string, number>> {
         return await this.read("/test/runs") as Record<string, number>;
     }
 
-    /** Switches a fault on. */
+    /** Injects a fault. */
     async fault(fault: Partial<Fault>): Promise<void> {
         const answer = await fetch(`${this.url}/fault`, { method: "POST", body: JSON.stringify(fault) });
         await answer.text();
@@ -55,8 +55,8 @@
         this.program.signal(signal);
     }
 
-    /** Settles once the process has ended. */
-    end(): Promise<ProgramEnd> {
+    /** Resolves once the process has exited. */
+    end(): Promise<ProgramExit> {
         return this.program.end();
     }
 
--- a/playground/harness/caller.ts
+++ b/playground/harness/caller.ts
@@ -2,7 +2,7 @@
 import { readModelRequest } from "../../packages/basilpaddle/src/node/daemon/entry/modelRequest.js";
 import type { EntrySettings, ErrorBody } from "../../packages/basilpaddle/src/node/index.js";
 import { answerOf } from "../standins/answer.js";
-import { at, type Daemon } from "./daemon.js";
+import { type Daemon, formatAddress } from "./daemon.js";
 import { pause } from "./wait.js";
 
 /** A model request as a caller sends it. */
@@ -17,23 +17,23 @@
     readonly key?: string;
 };
 
-/** What a caller got. */
+/** The outcome of one request, as its caller sees it. */
 export type CallerAnswer = {
-    /** 0 where the connection broke before an answer. */
+    /** HTTP status; 0 if the connection broke before a response. */
     readonly status: number;
     readonly text: string;
-    /** Whether the answer came to its end. */
-    readonly whole: boolean;
+    /** Whether the answer arrived to its end. */
+    readonly complete: boolean;
     readonly replayed: boolean;
     readonly error: ErrorBody["error"] | undefined;
-    /** Milliseconds to the first token and to the end. */
+    /** Milliseconds to the first token of a stream; `total` holds those to the end of the answer. */
     readonly firstToken: number | undefined;
     readonly total: number;
 };
 
-type Delta = { choices: [{ text?: string; delta?: { content?: string; }; finish_reason?: string | null; }]; };
+type StreamChunk = { choices: [{ text?: string; delta?: { content?: string; }; finish_reason?: string | null; }]; };
 
-/** Calls entry daemons as an application of a team does. */
+/** A client application that sends requests to an entry daemon. */
 export class Caller {
     private constructor(private readonly entry: Daemon<EntrySettings>) {}
 
@@ -41,36 +41,36 @@
         return new Caller(entry);
     }
 
-    /** The answer that the stand-ins give to the call, and no other. */
+    /** The only correct answer to the call: the stand-ins derive it from the prompt. */
     static expected(call: ModelCall): string {
-        const request = readModelRequest(formOf(call), bodyOf(call)).unsafeCoerce();
+        const request = readModelRequest(requestForm(call), requestBody(call)).unsafeCoerce();
         return answerOf(request.prompt, call.maxTokens).join("");
     }
 
-    /** Asks a model once. `onToken` is called with the text so far. */
-    async ask(call: ModelCall, onToken: (text: string) => void = () => {}): Promise<CallerAnswer> {
+    /** Sends a model request once. `onToken` is called with the text received so far. */
+    async requestCompletion(call: ModelCall, onToken: (text: string) => void = () => {}): Promise<CallerAnswer> {
         const started = performance.now();
         const path = call.chat === true ? "/v1/chat/completions" : "/v1/completions";
         try {
-            const response = await fetch(`http://${at(this.entry.settings.callers)}${path}`, {
+            const response = await fetch(`http://${formatAddress(this.entry.settings.callers)}${path}`, {
                 method: "POST",
-                headers: headersOf(call),
-                body: JSON.stringify(bodyOf(call)),
+                headers: requestHeaders(call),
+                body: JSON.stringify(requestBody(call)),
             });
             return await (call.stream === true && response.status === 200
                 ? readStream(response, started, onToken)
-                : readWhole(response, started));
+                : readUnstreamed(response, started));
         }
         catch (error) {
-            return broken(String(error), started);
+            return brokenConnection(String(error), started);
         }
     }
 
-    /** Asks again, as any caller may, while the answer is that the request was not run. */
-    async askUntilRun(call: ModelCall, limit = 20_000): Promise<CallerAnswer> {
+    /** Retries a model request while its outcome is `not_run`, which any caller may do. The limit is in milliseconds. */
+    async requestCompletionWithRetries(call: ModelCall, limit = 20_000): Promise<CallerAnswer> {
         const end = performance.now() + limit;
         for (;;) {
-            const answer = await this.ask(call);
+            const answer = await this.requestCompletion(call);
             if (answer.error?.outcome !== "not_run" || performance.now() > end) {
                 return answer;
             }
@@ -78,32 +78,35 @@
         }
     }
 
-    /** Calls a plain service. */
-    async service(
+    /** Sends a request to a plain service. */
+    async requestService(
         method: "GET" | "POST",
         path: string,
         key?: string,
     ): Promise<{ status: number; body: unknown; total: number; }> {
         const started = performance.now();
         const headers: Record<string, string> = key === undefined ? {} : { "idempotency-key": key };
-        const response = await fetch(`http://${at(this.entry.settings.callers)}${path}`, { method, headers });
+        const response = await fetch(`http://${formatAddress(this.entry.settings.callers)}${path}`, {
+            method,
+            headers,
+        });
         const text = await response.text();
-        return { status: response.status, body: parse(text), total: performance.now() - started };
+        return { status: response.status, body: parseJson(text), total: performance.now() - started };
     }
 }
 
-function formOf(call: ModelCall): "chat" | "completion" {
+function requestForm(call: ModelCall): "chat" | "completion" {
     return call.chat === true ? "chat" : "completion";
 }
 
-function bodyOf(call: ModelCall): object {
+function requestBody(call: ModelCall): object {
     const { model, prompt, maxTokens: max_tokens, stream = false } = call;
     return call.chat === true
         ? { model, max_tokens, stream, messages: [{ role: "user", content: prompt }] }
         : { model, max_tokens, stream, prompt };
 }
 
-function headersOf(call: ModelCall): Record<string, string> {
+function requestHeaders(call: ModelCall): Record<string, string> {
     return {
         "content-type": "application/json",
         ...(call.organisation === undefined ? {} : { "basilpaddle-organisation": call.organisation }),
@@ -111,15 +114,15 @@
     };
 }
 
-async function readWhole(response: Response, started: number): Promise<CallerAnswer> {
-    const body = parse(await response.text()) as ErrorBody & {
+async function readUnstreamed(response: Response, started: number): Promise<CallerAnswer> {
+    const body = parseJson(await response.text()) as ErrorBody & {
         choices?: [{ text?: string; message?: { content: string; }; }];
     };
     const choice = body.choices?.[0];
     return {
         status: response.status,
         text: choice?.text ?? choice?.message?.content ?? "",
-        whole: choice !== undefined,
+        complete: choice !== undefined,
         replayed: response.headers.get("basilpaddle-replayed") === "true",
         error: body.error,
         firstToken: undefined,
@@ -129,16 +132,16 @@
 
 async function readStream(response: Response, started: number, onToken: (text: string) => void): Promise<CallerAnswer> {
     let text = "";
-    let whole = false;
+    let complete = false;
     let firstToken: number | undefined;
     let error: ErrorBody["error"] | undefined;
     const parser = createParser({
         onEvent: ({ data }) => {
             if (data === "[DONE]") {
-                whole = true;
+                complete = true;
                 return;
             }
-            const delta = JSON.parse(data) as Delta & Partial<ErrorBody>;
+            const delta = JSON.parse(data) as StreamChunk & Partial<ErrorBody>;
             error ??= delta.error;
             const added = delta.choices?.[0].text ?? delta.choices?.[0].delta?.content ?? "";
             if (added !== "") {
@@ -155,18 +158,18 @@
         }
     }
     catch {
-        whole = false;
+        complete = false;
     }
     const replayed = response.headers.get("basilpaddle-replayed") === "true";
-    return { status: response.status, text, whole, replayed, error, firstToken, total: performance.now() - started };
+    return { status: response.status, text, complete, replayed, error, firstToken, total: performance.now() - started };
 }
 
-function broken(message: string, started: number): CallerAnswer {
+function brokenConnection(message: string, started: number): CallerAnswer {
     const error = { code: "internal", outcome: "unknown", message } as const;
     return {
         status: 0,
         text: "",
-        whole: false,
+        complete: false,
         replayed: false,
         error,
         firstToken: undefined,
@@ -174,7 +177,7 @@
     };
 }
 
-function parse(text: string): unknown {
+function parseJson(text: string): unknown {
     try {
         return JSON.parse(text);
     }
--- a/playground/harness/daemon.ts
+++ b/playground/harness/daemon.ts
@@ -2,32 +2,32 @@
 import { fileURLToPath } from "node:url";
 import { resolveSettings } from "../../packages/basilpaddle/src/node/daemon/start/index.js";
 import { type ControlSettings, type EntrySettings, formatFinding } from "../../packages/basilpaddle/src/node/index.js";
-import { Program, type ProgramEnd } from "./program.js";
+import { Program, type ProgramExit } from "./program.js";
 import { until } from "./wait.js";
 
-/** The program as it is built and shipped. */
+/** Path of the built program. */
 export const bin = fileURLToPath(new URL("../../packages/basilpaddle/bin/basilpaddle.js", import.meta.url));
 
 type Address = { readonly host: string; readonly port: number; };
 
-/** Writes an address as `host:port`. */
-export function at({ host, port }: Address): string {
+/** Formats an address as `host:port`. */
+export function formatAddress({ host, port }: Address): string {
     return `${host}:${port}`;
 }
 
-/** A daemon as a real process, which can be started again with the same settings. */
+/** A daemon that runs as a real process and can be restarted with the same settings. */
 export class Daemon<S extends ControlSettings | EntrySettings = ControlSettings | EntrySettings> {
     private program: Program | undefined;
-    private earlier = "";
+    private previousOutput = "";
 
     private constructor(readonly settings: S, private readonly file: string) {}
 
-    /** Writes the settings file and resolves it; doesn't start the process. */
+    /** Writes and resolves the settings file; doesn't start the process. Throws if the settings have findings. */
     static async create<S extends ControlSettings | EntrySettings>(
-        written: Readonly<Record<string, unknown>>,
+        settingsInput: Readonly<Record<string, unknown>>,
         file: string,
     ): Promise<Daemon<S>> {
-        await writeFile(file, JSON.stringify(written, undefined, 4));
+        await writeFile(file, JSON.stringify(settingsInput, undefined, 4));
         const resolved = await resolveSettings(file);
         return resolved.caseOf({
             Left: findings => {
@@ -41,18 +41,18 @@
         return this.settings.name;
     }
 
-    /** Operators' address. */
+    /** Address of the operators' interface. */
     get operators(): string {
-        return at(this.settings.operators);
+        return formatAddress(this.settings.operators);
     }
 
     get settingsFile(): string {
         return this.file;
     }
 
-    /** Starts the process, without waiting for anything. */
+    /** Starts the process without waiting until it is ready. */
     start(): void {
-        this.earlier = this.output();
+        this.previousOutput = this.output();
         this.program = Program.create(this.name, [bin, this.settings.role, "--settings", this.file]);
     }
 
@@ -60,11 +60,11 @@
         return this.program?.isRunning() === true;
     }
 
-    /** Waits until its readiness probe answers with 200. */
+    /** Waits until the readiness probe returns 200; the limit is in milliseconds. */
     async ready(limit?: number): Promise<void> {
-        await until(`${this.name} ready`, async () => {
+        await until(`${this.name} to be ready`, async () => {
             if (!this.isRunning()) {
-                throw new Error(`${this.name} has ended:\n${this.output()}`);
+                throw new Error(`${this.name} exited before it was ready:\n${this.output()}`);
             }
             return this.isReady();
         }, limit);
@@ -84,13 +84,13 @@
         await this.program?.kill();
     }
 
-    /** Settles once the process has ended. */
-    async end(): Promise<ProgramEnd> {
+    /** Resolves once the process has exited. */
+    async end(): Promise<ProgramExit> {
         return await this.program?.end() ?? { code: undefined, signal: undefined };
     }
 
-    /** All that it has logged, over its restarts. */
+    /** Output of the daemon across its restarts. */
     output(): string {
-        return this.earlier + (this.program?.output() ?? "");
+        return this.previousOutput + (this.program?.output() ?? "");
     }
 }
--- a/playground/harness/relay.ts
+++ b/playground/harness/relay.ts
@@ -1,15 +1,15 @@
 import * as net from "node:net";
 
 type Address = { readonly host: string; readonly port: number; };
-/** The way of bytes through a relay: from whoever connected, or to it. */
+/** Direction of bytes through a relay: `there` is from the connecting client to the target, `back` the reverse. */
 export type Direction = "there" | "back";
-const bothWays: readonly Direction[] = ["there", "back"];
+const bothDirections: readonly Direction[] = ["there", "back"];
 
-/** One connection that came to a relay, and the one that it made for it. */
-class Passage {
-    private readonly silent = new Set<Direction>();
+/** A connection accepted by a relay, paired with the relay's own connection to the target. */
+class RelayedConnection {
+    private readonly stalled = new Set<Direction>();
     private delay = 0;
-    /** When the last delayed bytes of a direction are due: bytes never overtake each other. */
+    /** When the last delayed bytes of each direction are due, in milliseconds; keeps bytes in order when the delay shrinks. */
     private readonly dueAt: Record<Direction, number> = { there: 0, back: 0 };
 
     constructor(
@@ -17,29 +17,29 @@
         private readonly to: net.Socket,
         private readonly onEnd: () => void,
     ) {
-        this.carry("there", from, to);
-        this.carry("back", to, from);
+        this.forward("there", from, to);
+        this.forward("back", to, from);
     }
 
-    /** Host that the connection came from. */
+    /** Host of the connecting client. */
     get source(): string {
         return this.from.remoteAddress ?? "";
     }
 
-    /** Bytes stay where they are, and so does the word that a side has closed: nobody hears that anything is wrong. */
-    silence(direction: Direction): void {
-        this.silent.add(direction);
-        this.sender(direction).pause();
+    /** Stops forwarding bytes and closes in this direction, so that neither side can detect the fault from its connection. */
+    stall(direction: Direction): void {
+        this.stalled.add(direction);
+        this.sourceOf(direction).pause();
     }
 
-    /** Lets bytes wait for so many milliseconds. */
-    slow(delay: number): void {
+    /** Delays bytes by the given milliseconds. */
+    setDelay(delay: number): void {
         this.delay = delay;
     }
 
     heal(): void {
         this.delay = 0;
-        this.silent.clear();
+        this.stalled.clear();
         if (this.from.destroyed || this.to.destroyed) {
             this.destroy();
             return;
@@ -48,7 +48,7 @@
         this.to.resume();
     }
 
-    /** Ends both sides with a reset: a plain end would pass for an end in good order. */
+    /** Resets both connections: a FIN would look like an orderly close. */
     reset(): void {
         this.from.resetAndDestroy();
         this.to.resetAndDestroy();
@@ -61,20 +61,20 @@
         this.onEnd();
     }
 
-    private sender(direction: Direction): net.Socket {
+    private sourceOf(direction: Direction): net.Socket {
         return direction === "there" ? this.from : this.to;
     }
 
-    private carry(direction: Direction, source: net.Socket, sink: net.Socket): void {
+    private forward(direction: Direction, source: net.Socket, sink: net.Socket): void {
         source.on("data", chunk => {
-            this.later(direction, () => {
+            this.afterDelay(direction, () => {
                 if (!sink.destroyed && !sink.write(chunk)) {
                     source.pause();
                 }
             });
         });
         sink.on("drain", () => {
-            if (!this.silent.has(direction)) {
+            if (!this.stalled.has(direction)) {
                 source.resume();
             }
         });
@@ -83,15 +83,15 @@
                 this.reset();
             }
         });
-        source.on("end", () => this.later(direction, () => sink.end()));
+        source.on("end", () => this.afterDelay(direction, () => sink.end()));
         source.on("close", () => {
-            if (this.silent.size === 0) {
-                this.later(direction, () => this.destroy());
+            if (this.stalled.size === 0) {
+                this.afterDelay(direction, () => this.destroy());
             }
         });
     }
 
-    private later(direction: Direction, act: () => void): void {
+    private afterDelay(direction: Direction, act: () => void): void {
         const now = performance.now();
         const due = Math.max(this.dueAt[direction], now + this.delay);
         this.dueAt[direction] = due;
@@ -105,21 +105,21 @@
 }
 
 /**
- * A TCP relay that does what a bad network does: goes silent in one direction or both without closing a connection, for
- * everybody or for one source only, delays, and resets.
+ * A TCP relay that injects network faults: it stops forwarding in one or both directions without closing connections, for
+ * all sources or for one source only; delays bytes; and resets connections.
  */
 export class Relay {
-    private readonly passages = new Set<Passage>();
-    /** Directions that are silent, by source; the empty source stands for everybody. */
-    private readonly silent = new Map<string, Set<Direction>>();
+    private readonly connections = new Set<RelayedConnection>();
+    /** Stalled directions by source host; the empty string means all sources. */
+    private readonly stalledBySource = new Map<string, Set<Direction>>();
     private delay = 0;
     private target: Address | undefined;
 
     private constructor(private readonly server: net.Server) {
-        server.on("connection", socket => this.pass(socket));
+        server.on("connection", socket => this.accept(socket));
     }
 
-    /** Listens; with port 0 the system chooses one. */
+    /** Starts listening; with port 0 the system chooses one. */
     static async create(host: string, port = 0): Promise<Relay> {
         const server = net.createServer({ noDelay: true, allowHalfOpen: true });
         await new Promise<void>((resolve, reject) => {
@@ -129,81 +129,85 @@
         return new Relay(server);
     }
 
-    /** Where it listens. */
+    /** The address on which the relay listens. */
     get address(): Address {
         const { address, port } = this.server.address() as net.AddressInfo;
         return { host: address, port };
     }
 
-    /** Names the address that it relays to. */
+    /** Sets the address to which new connections are relayed. */
     to(target: Address): void {
         this.target = target;
     }
 
-    /** Lets nothing through any more, over old connections and new ones; over all directions when none is named. */
+    /** Stops forwarding on existing and new connections, in the given directions or, without any, in both. */
     silence(...directions: readonly Direction[]): void {
         this.silenceFrom("", ...directions);
     }
 
-    /** The same for connections that come from one host. */
+    /** Stops forwarding on connections from one source host only. */
     silenceFrom(source: string, ...directions: readonly Direction[]): void {
-        const silent = this.silent.get(source) ?? new Set<Direction>();
-        this.silent.set(source, silent);
-        for (const direction of directions.length === 0 ? bothWays : directions) {
-            silent.add(direction);
+        const stalled = this.stalledBySource.get(source) ?? new Set<Direction>();
+        this.stalledBySource.set(source, stalled);
+        for (const direction of directions.length === 0 ? bothDirections : directions) {
+            stalled.add(direction);
         }
-        this.passages.forEach(passage => this.impair(passage));
+        this.connections.forEach(connection => this.applyFaults(connection));
     }
 
-    /** Lets bytes wait for so many milliseconds, on old connections and new ones. */
+    /** Delays bytes by the given milliseconds, on existing and new connections. */
     slow(delay: number): void {
         this.delay = delay;
-        this.passages.forEach(passage => passage.slow(delay));
+        this.connections.forEach(connection => connection.setDelay(delay));
     }
 
     /** Resets every open connection. */
     reset(): void {
-        [...this.passages].forEach(passage => passage.reset());
+        [...this.connections].forEach(connection => connection.reset());
     }
 
-    /** Lets everything through again, what waited first. */
+    /** Removes all stalls and delays; buffered bytes are forwarded first. */
     heal(): void {
-        this.silent.clear();
+        this.stalledBySource.clear();
         this.delay = 0;
-        this.passages.forEach(passage => passage.heal());
+        this.connections.forEach(connection => connection.heal());
     }
 
-    /** The same for connections that come from one host. */
+    /** Removes the stalls of one source host; stalls and delays for all sources stay. */
     healFrom(source: string): void {
-        this.silent.delete(source);
-        this.passages.forEach(passage => {
-            if (passage.source === source) {
-                passage.heal();
-                this.impair(passage);
+        this.stalledBySource.delete(source);
+        this.connections.forEach(connection => {
+            if (connection.source === source) {
+                connection.heal();
+                this.applyFaults(connection);
             }
         });
     }
 
     close(): void {
         this.server.close();
-        this.passages.forEach(passage => passage.destroy());
+        this.connections.forEach(connection => connection.destroy());
     }
 
-    private impair(passage: Passage): void {
-        passage.slow(this.delay);
-        for (const source of ["", passage.source]) {
-            this.silent.get(source)?.forEach(direction => passage.silence(direction));
+    private applyFaults(connection: RelayedConnection): void {
+        connection.setDelay(this.delay);
+        for (const source of ["", connection.source]) {
+            this.stalledBySource.get(source)?.forEach(direction => connection.stall(direction));
         }
     }
 
-    private pass(from: net.Socket): void {
+    private accept(from: net.Socket): void {
         if (this.target === undefined) {
             from.destroy();
             return;
         }
         const to = net.connect({ ...this.target, noDelay: true, allowHalfOpen: true });
-        const passage: Passage = new Passage(from, to, () => this.passages.delete(passage));
-        this.passages.add(passage);
-        this.impair(passage);
+        const connection: RelayedConnection = new RelayedConnection(
+            from,
+            to,
+            () => this.connections.delete(connection),
+        );
+        this.connections.add(connection);
+        this.applyFaults(connection);
     }
 }
--- a/playground/harness/wait.ts
+++ b/playground/harness/wait.ts
@@ -1,12 +1,18 @@
-/** Milliseconds for a set-up: processes start one after the other, and slowly beside load; nothing of the service is judged by it. */
-export const setUpLimit = 240_000;
+/**
+ * Timeout of a test set-up. Long, as processes start one after another, and slowly on a loaded machine; no property of
+ * the service is tested by it.
+ */
+export const setUpTimeoutMilliseconds = 240_000;
 
-/** Waits for the given milliseconds. */
+/** Resolves after the given milliseconds. */
 export function pause(milliseconds: number): Promise<void> {
     return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-/** Asks again and again until the answer is there; fails with the name of what was waited for. */
+/**
+ * Polls until the result is neither `undefined` nor `false`, also after errors of a poll. Fails after `limit` milliseconds
+ * with the name of the condition and the last error as its cause.
+ */
 export async function until<T>(what: string, ask: () => Promise<T | undefined | false>, limit = 30_000): Promise<T> {
     const end = performance.now() + limit;
     let last: unknown;
@@ -22,5 +28,5 @@
         }
         await pause(25);
     }
-    throw new Error(`${what} didn't come about in ${limit} ms`, { cause: last });
+    throw new Error(`timed out waiting for ${what} after ${limit} ms`, { cause: last });
 }
