--- a/playground/celeste/plan.ts
+++ b/playground/celeste/plan.ts
@@ -5,10 +5,10 @@
 const models = [{ name: model, version: "2026-11", adapters: ["arrears"] }];
 const failureDomains = ["ciudad-vieja", "pocitos", "carrasco"] as const;
 
-/** A deployment in the shape of Celeste's, with fewer copies. */
+/** A deployment with the structure of Celeste's and fewer copies. */
 export const celeste: DeploymentPlan = { cluster: "celeste", failureDomains, controls: 3, entries: 4 };
 
-/** Stand-ins for engines: a prefill in each failure domain, and four decodes. */
+/** Engine stand-ins: one prefill engine in each failure domain, and four decode engines. */
 export const engines = [
     ...failureDomains.map((failureDomain, index) => ({
         id: `prefill-${index + 1}`,
@@ -22,7 +22,7 @@
     })),
 ].map(engine => ({ ...engine, pool: "drafting", models, tokenTime: 20, promptTokenTime: 0.25 }));
 
-/** Stand-ins for the agent-facing policy service. */
+/** Stand-ins for the policy service that the agents use. */
 export const services = failureDomains.map((failureDomain, index) => ({
     id: `policy-${index + 1}`,
     service: "policy",
--- a/playground/celeste/run.sh
+++ b/playground/celeste/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Brings up a small deployment on loopback, serves real requests, prints answers and times, and stops by itself.
+# Starts a small deployment on loopback, sends it requests, prints answers and times, and exits.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 exec node --import=tsx playground/celeste/run.ts
--- a/playground/celeste/run.ts
+++ b/playground/celeste/run.ts
@@ -1,12 +1,12 @@
 import { fileURLToPath } from "node:url";
 import { Deployment } from "../harness/index.js";
 import { celeste, engines, services } from "./plan.js";
-import { playScenes, type Scene } from "./scenes.js";
+import { runScenarios, type ScenarioResult } from "./scenarios.js";
 
 const configuration = fileURLToPath(new URL("configuration", import.meta.url));
 const print = (text: string): boolean => process.stdout.write(`${text}\n`);
 
-/** Brings the deployment up, plays the scenes, shuts down in order, and tells whether all was right. */
+/** Starts the deployment, runs the scenarios, shuts down in order, and returns whether everything passed. */
 async function run(): Promise<boolean> {
     const started = performance.now();
     print("starting 3 control and 4 entry daemons");
@@ -15,13 +15,13 @@
         print(`ready after ${seconds(started)}`);
         await apply(deployment);
         await startBackends(deployment);
-        const scenes = await playScenes(deployment);
-        printScenes(scenes);
+        const scenarios = await runScenarios(deployment);
+        printScenarios(scenarios);
         print((await deployment.command("status", "--at", deployment.entries[0]!.operators)).output);
         const ended = await shutDown(deployment);
-        const right = scenes.every(scene => scene.right) && ended;
-        print(`${right ? "all was right" : "NOT ALL WAS RIGHT"}, after ${seconds(started)}`);
-        return right;
+        const passed = scenarios.every(scenario => scenario.passed) && ended;
+        print(`${passed ? "all checks passed" : "NOT ALL CHECKS PASSED"}, after ${seconds(started)}`);
+        return passed;
     }
     finally {
         await deployment.close();
@@ -33,7 +33,7 @@
     const applied = await deployment.command("config", "apply", configuration, "--operator", "playground", "--at", at);
     print(applied.output.trim());
     if (applied.code !== 0) {
-        throw new Error(`config apply ended with ${applied.code}`);
+        throw new Error(`config apply exited with code ${applied.code}`);
     }
 }
 
@@ -44,18 +44,18 @@
         ...services.map(service => deployment.addBackend("service", service)),
     ]);
     await deployment.waitForBackends([...engines, ...services].map(backend => backend.id));
-    print(`${engines.length} engines and ${services.length} services announced themselves after ${seconds(started)}\n`);
+    print(`${engines.length} engines and ${services.length} services ready after ${seconds(started)}\n`);
 }
 
-function printScenes(scenes: readonly Scene[]): void {
-    for (const { name, right, shown, firstToken, total } of scenes) {
+function printScenarios(scenarios: readonly ScenarioResult[]): void {
+    for (const { name, passed, detail, firstToken, total } of scenarios) {
         const first = firstToken === undefined ? "" : `first token ${firstToken.toFixed(0)} ms, `;
-        print(`${right ? "right" : "WRONG"}  ${name}: ${first}whole ${total.toFixed(0)} ms\n       ${shown}`);
+        print(`${passed ? "passed" : "FAILED"}  ${name}: ${first}total ${total.toFixed(0)} ms\n       ${detail}`);
     }
     print("");
 }
 
-/** Ends the entry daemons before the control daemons, which they close their sessions with. */
+/** Stops the entry daemons before the control daemons, since they close their sessions there. */
 async function shutDown(deployment: Deployment): Promise<boolean> {
     const codes: (number | undefined)[] = [];
     for (const daemons of [deployment.entries, deployment.controls]) {
@@ -63,7 +63,7 @@
         const ends = await Promise.all(daemons.map(daemon => daemon.end()));
         codes.push(...ends.map(end => end.code));
     }
-    print(`all daemons were told to stop; exit codes ${codes.join(", ")}`);
+    print(`sent SIGTERM to all daemons; exit codes ${codes.join(", ")}`);
     return codes.every(code => code === 0);
 }
 
