--- a/simulation/experiment/__tests__/experiment.spec.ts
+++ b/simulation/experiment/__tests__/experiment.spec.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import * as path from "node:path";
-import { ownDay } from "../../places/day.js";
+import { bundledDay } from "../../places/day.js";
 import { differenceOf } from "../difference.js";
 import { type Experiment, playExperiment } from "../experiment.js";
 import { InlinePlayer, ThreadPlayer } from "../player.js";
@@ -31,7 +31,7 @@
 });
 
 describe("an experiment", () => {
-    const day = ownDay("hanbit");
+    const day = bundledDay("hanbit");
     const experiment: Experiment = {
         days: [{ name: "hanbit", day: { ...day, workload: { ...day.workload, length: 8_000 } } }],
         variants: [unchanged, { name: "half of the memory", tuning: { fill: 0.5 } }],
--- a/simulation/experiment/player.ts
+++ b/simulation/experiment/player.ts
@@ -1,7 +1,7 @@
 import { Worker } from "node:worker_threads";
 import type { Day } from "../places/day.js";
+import { simulateDay } from "../places/daySimulation.js";
 import type { PoolOutcome } from "../places/outcome.js";
-import { playDay } from "../places/play.js";
 import type { Variant } from "./variant.js";
 
 /** One day under one variant with one seed. */
@@ -62,7 +62,7 @@
 
 /** Plays one task here. */
 export function playTask({ day, variant, seed }: Task): PoolOutcome {
-    return playDay(day, seed, variant.tuning);
+    return simulateDay(day, seed, variant.tuning);
 }
 
 function ask(thread: Worker, task: Task): Promise<PoolOutcome> {
--- a/simulation/places/__tests__/randomDays.spec.ts
+++ b/simulation/places/__tests__/randomDays.spec.ts
@@ -1,13 +1,13 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
-import { type Day, daySchema, ownDay } from "../day.js";
-import { Play, playDay } from "../play.js";
+import { bundledDay, type Day, daySchema } from "../day.js";
+import { DaySimulation, simulateDay } from "../daySimulation.js";
 
-const { pool, workload } = ownDay("hanbit");
-/** Milliseconds of a random day, and in which all of its calls have ended after it. */
+const { pool, workload } = bundledDay("hanbit");
+/** Milliseconds of a random day, and the time after it by which all of its requests have ended. */
 const length = 6_000;
-const settled = 40_000;
-const tick = 5;
+const settleMilliseconds = 40_000;
+const tickMilliseconds = 5;
 
 const fault = fc.record({
     at: fc.integer({ min: 0, max: length }),
@@ -15,7 +15,7 @@
     part: fc.double({ min: 0.05, max: 1, noNaN: true }),
 });
 
-/** Days of small pools in which engines crash and turn slow, one after the other and at once. */
+/** Days of small pools whose engines crash and slow down, in sequence and at the same time. */
 const days: fc.Arbitrary<Day> = fc.record({
     prefill: fc.integer({ min: 1, max: 3 }),
     decode: fc.integer({ min: 1, max: 6 }),
@@ -48,39 +48,39 @@
     });
 });
 
-describe("random days on emulated pools", function() {
+describe("random simulated days", function() {
     this.timeout(120_000);
 
-    it("leave no place held and nobody waiting, and end every request in one way", () => {
+    it("leave no grant held and no request waiting, and end every request with exactly one result", () => {
         fc.assert(
             fc.property(days, fc.integer({ min: 1, max: 1_000 }), (day, seed) => {
-                const play = Play.create(day, seed);
-                for (let now = 0; now < length + settled; now += tick) {
-                    play.pass(now);
+                const simulation = DaySimulation.create(day, seed);
+                for (let now = 0; now < length + settleMilliseconds; now += tickMilliseconds) {
+                    simulation.advanceTo(now);
                 }
-                expect(play.standing()).to.deep.equal({ waiting: 0, held: 0, mostHeldTokens: 0 });
-                const { requests, inTime, late, unserved, lost } = play.outcome();
+                expect(simulation.status()).to.deep.equal({ waiting: 0, held: 0, mostHeldTokens: 0 });
+                const { requests, inTime, late, unserved, lost } = simulation.outcome();
                 expect(inTime + late + unserved + lost).to.be.closeTo(requests === 0 ? 0 : 1, 1e-9);
             }),
             { numRuns: 100, seed: 7 },
         );
     });
 
-    it("earn no more with engines that crash than without", () => {
+    it("earn less worth with engine crashes than without", () => {
         fc.assert(
             fc.property(fc.integer({ min: 1, max: 1_000 }), seed => {
-                const calm = ownDay("celeste");
+                const calm = bundledDay("celeste");
                 const faults = [{ kind: "crash" as const, at: 3_000, lasts: 4_000, part: 0.6 }];
-                expect(playDay({ ...calm, faults }, seed).worth).to.be.below(playDay(calm, seed).worth);
+                expect(simulateDay({ ...calm, faults }, seed).worth).to.be.below(simulateDay(calm, seed).worth);
             }),
             { numRuns: 5, seed: 7 },
         );
     });
 });
 
-describe("files of days", () => {
-    it("are refused with the place of what is wrong", () => {
-        const day = ownDay("large-crashes");
+describe("day files", () => {
+    it("are rejected with the path of each error", () => {
+        const day = bundledDay("large-crashes");
         const wrong = { ...day, pool: { ...day.pool, decode: 0 }, faults: [{ kind: "flood", at: 1 }], extra: 1 };
         const places = daySchema.safeParse(wrong).error!.issues.map(issue => issue.path.join("."));
         expect(places).to.have.members(["pool.decode", "faults.0.kind", ""]);
--- a/simulation/places/day.ts
+++ b/simulation/places/day.ts
@@ -6,26 +6,26 @@
 import type { Finding } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { readCheckedFile } from "../checkedFile.js";
 
-/** Days that come with the project. */
-const daysFolder = fileURLToPath(new URL("./days/", import.meta.url));
+/** Directory of the days that are bundled with the project. */
+const bundledDaysDirectory = fileURLToPath(new URL("./days/", import.meta.url));
 
 const milliseconds = z.number().min(0);
 const part = z.number().min(0).max(1);
 
-/** Times of an engine, as its makers publish them. */
+/** Performance figures of an engine, as its vendor publishes them. */
 export const engineFiguresSchema = z.strictObject({
-    /** Milliseconds of one step, and what each run in it adds. */
+    /** Milliseconds of one decode step, and the additional milliseconds for each run in the batch. */
     step: z.number().positive(),
     stepPerRun: milliseconds,
-    /** Prompt tokens that are read in a millisecond by an engine that only reads. */
+    /** Prompt tokens that a dedicated prefill engine processes in a millisecond. */
     promptTokensPerMillisecond: z.number().positive(),
-    /** Milliseconds that a reading takes beside its tokens. */
+    /** Fixed milliseconds of a prefill, independent of its tokens. */
     readingOverhead: milliseconds,
-    /** Tokens that one event of an answer holds. */
+    /** Tokens in one event of an answer's stream. */
     eventTokens: z.int().positive(),
     cacheTokens: z.int().positive(),
     slots: z.int().positive(),
-    /** Milliseconds for which the result of a reading is kept. */
+    /** Milliseconds for which the result of a prefill is kept. */
     handleLife: milliseconds,
 });
 
@@ -34,87 +34,91 @@
     prefill: z.int().positive(),
     decode: z.int().positive(),
     figures: engineFiguresSchema,
-    /** How many times longer each third engine takes: one pool's hosts differ. */
+    /** Slowdown factor of every third engine, as the hosts of one pool differ. */
     slowThird: z.number().min(1),
-    /** Gateways that place alone, each within its part of every engine. @default a leader places for all */
+    /** Gateways that decide locally, each within its share of every engine. @default a leader decides for all */
     gateways: z.int().positive().optional(),
 });
 
-/** Requests of one pool, as its operators describe them. */
+/** Distribution of the requests of one pool, as its operators describe it. */
 export const workloadSchema = z.strictObject({
-    /** Usual requests a second. */
+    /** Requests per second outside of bursts. */
     rate: z.number().positive(),
-    /** Milliseconds of the whole. */
+    /** Duration of the day in milliseconds. */
     length: milliseconds,
-    /** Spans in which requests come at so many times the usual rate. */
+    /** Intervals in which the request rate is multiplied by `times`. */
     bursts: z.array(z.strictObject({ at: milliseconds, lasts: milliseconds, times: z.number().positive() })),
-    /** Mean tokens of a prompt, and the spread of its logarithm. */
+    /** Mean tokens of a prompt, and the standard deviation of their logarithm. */
     promptTokens: z.number().positive(),
     promptSpread: z.number().min(0),
     mostPromptTokens: z.int().positive(),
-    /** Requests of another kind among them, whose prompts are longer. @default none */
+    /** A fraction of the requests that has longer prompts. @default none */
     longPrompts: z.strictObject({ part, tokens: z.number().positive() }).optional(),
-    /** Mean tokens of an answer, and the spread of its logarithm. */
+    /** Mean tokens of an answer, and the standard deviation of their logarithm. */
     answerTokens: z.number().positive(),
     answerSpread: z.number().min(0),
     mostAnswerTokens: z.int().positive(),
-    /** Spread of the logarithm of the callers' guess of their answers' tokens. */
+    /** Standard deviation of the logarithm of the error in the callers' estimates of their answers' tokens. */
     guessSpread: z.number().min(0),
-    /** Milliseconds from the first attempt to the first event that are in time. */
+    /** Milliseconds from the first attempt within which the first event is in time. */
     target: z.number().positive(),
 });
 
 const span = { at: milliseconds, lasts: milliseconds, part };
 
-/** What befalls a part of the engines, drawn by the day's seed. */
+/** A fault of a fraction of the engines, which are selected at random by the seed. */
 export const engineFaultSchema = z.discriminatedUnion("kind", [
-    /** They end at once and lose what they hold; others come in their place after a while. */
+    /** They crash and lose their runs; replacements start after `lasts` milliseconds. */
     z.strictObject({ kind: z.literal("crash"), ...span }),
-    /** They take so many times longer. */
+    /** They take `times` times as long. */
     z.strictObject({ kind: z.literal("slow"), ...span, times: z.number().min(1) }),
 ]);
 
-/** A day: a pool, its requests, and what goes wrong. */
+/** A day: a pool, its requests, and the faults of its engines. */
 export const daySchema = z.strictObject({
-    /** What the day is for. */
+    /** Purpose of the day. */
     about: z.string(),
     pool: poolSchema,
     workload: workloadSchema,
     faults: z.array(engineFaultSchema).default([]),
 });
 
-/** Times of an engine. */
+/** Performance figures of an engine. */
 export type EngineFigures = z.infer<typeof engineFiguresSchema>;
 /** A pool of engines. */
 export type EmulatedPool = z.infer<typeof poolSchema>;
-/** Requests of one pool. */
+/** Distribution of the requests of one pool. */
 export type Workload = z.infer<typeof workloadSchema>;
-/** What befalls a part of the engines. */
+/** A fault of a fraction of the engines. */
 export type EngineFault = z.infer<typeof engineFaultSchema>;
-/** A day: a pool, its requests, and what goes wrong. */
+/** A day: a pool, its requests, and the faults of its engines. */
 export type Day = z.infer<typeof daySchema>;
 
-/** Reads a day from a file; gives all that is wrong with it. */
+/** Reads a day from a file; returns all findings if the file is invalid. */
 export function readDay(file: string): Either<readonly Finding[], Day> {
     return readCheckedFile(file, daySchema);
 }
 
-/** Names of the days that come with the project. */
+/** Names of the days that are bundled with the project. */
 export function dayNames(): readonly string[] {
-    return readdirSync(daysFolder).filter(name => name.endsWith(".json")).map(name => path.basename(name, ".json"));
+    return readdirSync(bundledDaysDirectory).filter(name => name.endsWith(".json")).map(name =>
+        path.basename(name, ".json")
+    );
 }
 
-/** The file of a day: one of the project's by its name, else a path. */
+/** The file of a day, given the name of a bundled day or a path. */
 export function dayFile(name: string): string {
-    return dayNames().includes(name) ? path.join(daysFolder, `${name}.json`) : name;
+    return dayNames().includes(name) ? path.join(bundledDaysDirectory, `${name}.json`) : name;
 }
 
-/** A day that comes with the project; one that is damaged is a fault of the program. */
-export function ownDay(name: string): Day {
+/** Reads a bundled day. @throws Error if its file is invalid */
+export function bundledDay(name: string): Day {
     return readDay(dayFile(name)).caseOf({
         Left: findings => {
             throw new Error(
-                `the day ${name} is damaged: ${findings.map(({ place, cause }) => `${place} ${cause}`).join("; ")}`,
+                `the bundled day ${name} is invalid: ${
+                    findings.map(({ place, cause }) => `${place} ${cause}`).join("; ")
+                }`,
             );
         },
         Right: day => day,
--- a/simulation/places/engines.ts
+++ b/simulation/places/engines.ts
@@ -1,117 +1,118 @@
 import type { EngineFigures } from "./day.js";
 
-/** Part of its speed at which a decode engine reads prompts itself. */
-const selfReadSpeed = 0.5;
+/** Prefill speed of a decode engine, relative to a prefill engine. */
+const localPrefillSpeedFraction = 0.5;
 
-/** An engine that reads prompts, one after the other. */
+/** A prefill engine that processes prompts one at a time. */
 export class EmulatedPrefill {
-    private freeAt = 0;
+    private availableAt = 0;
 
     constructor(private readonly figures: EngineFigures, public slowness: number) {}
 
-    /** Takes a prompt; gives when it will be read. */
-    read(tokens: number, now: number): number {
+    /** Queues a prompt; returns the time at which its prefill finishes. */
+    enqueue(tokens: number, now: number): number {
         const { promptTokensPerMillisecond, readingOverhead } = this.figures;
         const work = (readingOverhead + tokens / promptTokensPerMillisecond) * this.slowness;
-        this.freeAt = Math.max(now, this.freeAt) + work;
-        return this.freeAt;
+        this.availableAt = Math.max(now, this.availableAt) + work;
+        return this.availableAt;
     }
 }
 
 type Run = {
     readonly name: string;
-    /** Tokens of KV cache held. */
+    /** Tokens in the KV cache. */
     tokens: number;
-    /** Tokens still to come, those of a prompt to be read here among them, weighed by their time. */
-    left: number;
-    /** Tokens left at which the first event has come. */
+    /** Remaining decode steps, including the steps that a prefill on this engine takes. */
+    remainingSteps: number;
+    /** Remaining steps at which the first event is sent. */
     readonly firstAt: number;
-    hasBegun: boolean;
+    hasFirstEvent: boolean;
 };
 
-/** What came about at a decode engine. */
+/** A run at a decode engine sent its first event or finished. */
 export type RunProgress = { readonly name: string; readonly kind: "first" | "done"; };
 
-/** An engine that makes answers in batches; where its memory runs out, the newest run is put back and read in anew. */
+/** A decode engine with continuous batching. When its KV cache is full, the newest run is preempted and computed again later. */
 export class EmulatedDecode {
     private runs: Run[] = [];
-    private waiting: Run[] = [];
-    /** Tokens that were read again after a run was put back. */
-    readAgain = 0;
+    private preempted: Run[] = [];
+    /** Tokens that were computed again after preemptions. */
+    recomputedPromptTokens = 0;
 
     constructor(private readonly figures: EngineFigures, public slowness: number) {}
 
     /**
-     * Begins a run; `unread`: tokens of its prompt that this engine reads itself. Gives whether it takes the run: a prompt
-     * that was read elsewhere is turned away where there is no memory for it.
+     * Starts a run, or rejects it if its prompt was prefilled elsewhere and doesn't fit into the KV cache.
+     * @param tokensToPrefill tokens of the prompt that this engine prefills itself
+     * @returns whether the run was started
      */
-    begin(name: string, promptTokens: number, answerTokens: number, unread: number): boolean {
-        if (unread === 0 && this.held() + promptTokens > this.figures.cacheTokens) {
+    tryStart(name: string, promptTokens: number, answerTokens: number, tokensToPrefill: number): boolean {
+        if (tokensToPrefill === 0 && this.usedTokens() + promptTokens > this.figures.cacheTokens) {
             return false;
         }
-        const left = answerTokens + this.readingSteps(unread);
+        const remainingSteps = answerTokens + this.prefillStepCount(tokensToPrefill);
         const firstAt = Math.max(0, answerTokens - this.figures.eventTokens);
-        this.runs.push({ name, tokens: promptTokens, left, firstAt, hasBegun: false });
+        this.runs.push({ name, tokens: promptTokens, remainingSteps, firstAt, hasFirstEvent: false });
         return true;
     }
 
-    /** Lets time pass. Gives what came about. */
-    pass(milliseconds: number): RunProgress[] {
+    /** Advances all runs of the batch; returns their progress. */
+    advance(milliseconds: number): RunProgress[] {
         const { step, stepPerRun } = this.figures;
-        const made = milliseconds / ((step + stepPerRun * this.runs.length) * this.slowness);
+        const generatedTokens = milliseconds / ((step + stepPerRun * this.runs.length) * this.slowness);
         const progress: RunProgress[] = [];
         for (const run of this.runs) {
-            run.left -= made;
-            run.tokens += made;
-            if (!run.hasBegun && run.left <= run.firstAt) {
-                run.hasBegun = true;
+            run.remainingSteps -= generatedTokens;
+            run.tokens += generatedTokens;
+            if (!run.hasFirstEvent && run.remainingSteps <= run.firstAt) {
+                run.hasFirstEvent = true;
                 progress.push({ name: run.name, kind: "first" });
             }
-            if (run.left <= 0) {
+            if (run.remainingSteps <= 0) {
                 progress.push({ name: run.name, kind: "done" });
             }
         }
-        this.runs = this.runs.filter(run => run.left > 0);
-        this.makeRoom();
+        this.runs = this.runs.filter(run => run.remainingSteps > 0);
+        this.preemptOrResume();
         return progress;
     }
 
-    /** Ends at once with all that it holds; gives the names of its runs. */
+    /** Discards all runs and returns their names. */
     crash(): string[] {
-        const lost = [...this.runs, ...this.waiting].map(({ name }) => name);
+        const lost = [...this.runs, ...this.preempted].map(({ name }) => name);
         this.runs = [];
-        this.waiting = [];
+        this.preempted = [];
         return lost;
     }
 
-    /** Ends a run whose caller has gone. */
+    /** Cancels a run whose caller disconnected. */
     drop(name: string): void {
         this.runs = this.runs.filter(run => run.name !== name);
-        this.waiting = this.waiting.filter(run => run.name !== name);
+        this.preempted = this.preempted.filter(run => run.name !== name);
     }
 
-    private held(): number {
+    private usedTokens(): number {
         return this.runs.reduce((sum, run) => sum + run.tokens, 0);
     }
 
-    private makeRoom(): void {
-        let held = this.held();
-        while (held > this.figures.cacheTokens && this.runs.length > 1) {
+    private preemptOrResume(): void {
+        let used = this.usedTokens();
+        while (used > this.figures.cacheTokens && this.runs.length > 1) {
             const last = this.runs.pop()!;
-            held -= last.tokens;
-            this.waiting.push(last);
+            used -= last.tokens;
+            this.preempted.push(last);
         }
-        const next = this.waiting[0];
-        if (next !== undefined && held + next.tokens < this.figures.cacheTokens) {
-            this.waiting.shift();
-            this.readAgain += next.tokens;
-            next.left += this.readingSteps(next.tokens);
+        const next = this.preempted[0];
+        if (next !== undefined && used + next.tokens < this.figures.cacheTokens) {
+            this.preempted.shift();
+            this.recomputedPromptTokens += next.tokens;
+            next.remainingSteps += this.prefillStepCount(next.tokens);
             this.runs.push(next);
         }
     }
 
-    /** Steps that the reading of a prompt takes here. */
-    private readingSteps(tokens: number): number {
-        return tokens / (this.figures.promptTokensPerMillisecond * selfReadSpeed) / this.figures.step;
+    /** Decode steps that take as long as the prefill of a prompt on this engine. */
+    private prefillStepCount(tokens: number): number {
+        return tokens / (this.figures.promptTokensPerMillisecond * localPrefillSpeedFraction) / this.figures.step;
     }
 }
--- a/simulation/places/fleet.ts
+++ b/simulation/places/fleet.ts
@@ -3,34 +3,34 @@
 import type { Day, EmulatedPool, EngineFault } from "./day.js";
 import { EmulatedDecode, EmulatedPrefill } from "./engines.js";
 
-/** Milliseconds after its end in which an engine is announced as silent: three heartbeats. */
-const silentAfter = 3_600;
+/** An engine is announced as silent this long after its crash: three heartbeats. */
+const silenceTimeoutMilliseconds = 3_600;
 const failureDomains = ["a", "b", "c"];
-/** Sets the draw of the engines that faults befall apart from the draw of the requests. */
-const faultSeed = 7_919;
+/** Multiplied with the day's seed, so that the selection of faulty engines is independent of the generated requests. */
+const faultSeedFactor = 7_919;
 
-/** What the fleet tells of, and by what it lets time pass. */
+/** Callbacks of a fleet, and the scheduler that it uses. */
 export type FleetHooks = {
-    /** Has something done at a time. */
+    /** Schedules `act` at the given time. */
     readonly at: (time: number, act: (now: number) => void) => void;
-    /** Engines are announced anew. */
+    /** Called with all engines whenever the announcement of one changes. */
     readonly onAnnounced: (announced: readonly Announced[]) => void;
-    /** An engine ended with these runs. */
-    readonly onLost: (runs: readonly string[], now: number) => void;
+    /** Called with the names of the runs that a crashed engine lost. */
+    readonly onRunsLost: (runs: readonly string[], now: number) => void;
 };
 
 type Stage = "prefill" | "decode";
 
-/** The engines of a pool over a day: what they are, what is announced of them, and what befalls them. */
+/** The engines of a pool during a day, with their announcements and faults. */
 export class Fleet {
     private readonly prefills = new Map<string, EmulatedPrefill>();
     private readonly decodes = new Map<string, EmulatedDecode>();
     private announced: Announced[] = [];
-    private readAgainBefore = 0;
+    private recomputedTokensOfCrashedEngines = 0;
 
     private constructor(private readonly pool: EmulatedPool, private readonly hooks: FleetHooks) {}
 
-    /** Makes a day's engines and announces them; their faults follow from the seed. */
+    /** Creates and announces a day's engines; the seed selects the engines that its faults affect. */
     static create(day: Day, seed: number, hooks: FleetHooks): Fleet {
         const fleet = new Fleet(day.pool, hooks);
         const { prefill, decode } = day.pool;
@@ -38,37 +38,40 @@
             const stage = number < prefill ? "prefill" : "decode";
             fleet.add(`${stage}-${number}`, number, stage);
         }
-        const random = SeededRandomness.create(seed * faultSeed);
+        const random = SeededRandomness.create(seed * faultSeedFactor);
         for (const fault of day.faults) {
-            const drawn = fleet.announced.map(({ id }) => ({ id, rank: random.fraction() }));
-            const struck = drawn.sort((one, other) => one.rank - other.rank).slice(
+            const ranked = fleet.announced.map(({ id }) => ({ id, rank: random.fraction() }));
+            const affected = ranked.sort((one, other) => one.rank - other.rank).slice(
                 0,
-                Math.ceil(fault.part * drawn.length),
+                Math.ceil(fault.part * ranked.length),
             );
-            struck.forEach(({ id }) => fleet.schedule(id, fault));
+            affected.forEach(({ id }) => fleet.scheduleFault(id, fault));
         }
         hooks.onAnnounced(fleet.announced);
         return fleet;
     }
 
-    /** The engine that reads prompts under the name; undefined where it has ended. */
+    /** The prefill engine with this id; undefined after it crashed. */
     prefill(id: string): EmulatedPrefill | undefined {
         return this.prefills.get(id);
     }
 
-    /** The engine that makes runs under the name; undefined where it has ended. */
+    /** The decode engine with this id; undefined after it crashed. */
     decode(id: string): EmulatedDecode | undefined {
         return this.decodes.get(id);
     }
 
-    /** All engines that make runs. */
-    running(): readonly EmulatedDecode[] {
+    /** All decode engines that are up. */
+    decodeEngines(): readonly EmulatedDecode[] {
         return [...this.decodes.values()];
     }
 
-    /** Tokens that were read again after runs were put back. */
-    readAgain(): number {
-        return this.running().reduce((sum, engine) => sum + engine.readAgain, this.readAgainBefore);
+    /** Tokens that were computed again after preemptions, including those of crashed engines. */
+    totalRecomputedTokens(): number {
+        return this.decodeEngines().reduce(
+            (sum, engine) => sum + engine.recomputedPromptTokens,
+            this.recomputedTokensOfCrashedEngines,
+        );
     }
 
     private add(id: string, number: number, stage: Stage): void {
@@ -92,46 +95,46 @@
         }];
     }
 
-    private schedule(id: string, fault: EngineFault): void {
+    private scheduleFault(id: string, fault: EngineFault): void {
         const { at } = this.hooks;
         if (fault.kind === "crash") {
             at(fault.at, now => this.crash(id, now));
-            at(fault.at + Math.min(fault.lasts, silentAfter), () => this.silence(id));
+            at(fault.at + Math.min(fault.lasts, silenceTimeoutMilliseconds), () => this.announceSilent(id));
             at(fault.at + fault.lasts, () => this.replace(id));
             return;
         }
-        at(fault.at, () => this.slow(id, fault.times));
-        at(fault.at + fault.lasts, () => this.slow(id, 1 / fault.times));
+        at(fault.at, () => this.multiplySlowdown(id, fault.times));
+        at(fault.at + fault.lasts, () => this.multiplySlowdown(id, 1 / fault.times));
     }
 
     private crash(id: string, now: number): void {
         const decode = this.decodes.get(id);
-        this.readAgainBefore += decode?.readAgain ?? 0;
+        this.recomputedTokensOfCrashedEngines += decode?.recomputedPromptTokens ?? 0;
         this.prefills.delete(id);
         this.decodes.delete(id);
-        this.hooks.onLost(decode?.crash() ?? [], now);
+        this.hooks.onRunsLost(decode?.crash() ?? [], now);
     }
 
-    /** An engine that ended is missed, or another one is heard of at its address. */
-    private silence(id: string): void {
+    /** Announces a crashed engine as silent, at its timeout or when its replacement starts. */
+    private announceSilent(id: string): void {
         this.announced = this.announced.map(engine => engine.id === id ? { ...engine, state: "silent" } : engine);
         this.hooks.onAnnounced(this.announced);
     }
 
-    /** An engine that ended starts again, as another one at the same address. */
+    /** Starts and announces a replacement of a crashed engine, with a new id at the same address. */
     private replace(id: string): void {
-        const before = this.announced.find(engine => engine.id === id);
-        const next = `${id}+`;
-        // One that was struck twice comes back once.
-        const isBack = this.announced.some(engine => engine.id === next);
-        if (before?.stage === undefined || isBack) {
+        const previous = this.announced.find(engine => engine.id === id);
+        const replacementId = `${id}+`;
+        // An engine that is affected by two crash faults is replaced once.
+        const isReplaced = this.announced.some(engine => engine.id === replacementId);
+        if (previous?.stage === undefined || isReplaced) {
             return;
         }
-        this.add(next, Number(id.replace(/\D/g, "")), before.stage);
+        this.add(replacementId, Number(id.replace(/\D/g, "")), previous.stage);
         this.hooks.onAnnounced(this.announced);
     }
 
-    private slow(id: string, times: number): void {
+    private multiplySlowdown(id: string, times: number): void {
         const engine = this.prefills.get(id) ?? this.decodes.get(id);
         if (engine !== undefined) {
             engine.slowness *= times;
--- a/simulation/places/main.ts
+++ b/simulation/places/main.ts
@@ -1,13 +1,13 @@
-// Plays days with bursts on emulated pools and prints what callers got: a round of the placing costs seconds.
+// Simulates the bundled days and prints the results for the callers. Lets a change of the placement be tried in seconds.
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
-import { dayNames, ownDay } from "./day.js";
+import { bundledDay, dayNames } from "./day.js";
+import { simulateDay } from "./daySimulation.js";
 import type { PoolOutcome } from "./outcome.js";
-import { playDay } from "./play.js";
 
 const options = await yargs(hideBin(process.argv))
     .usage("npm run places -- --seeds 5")
-    .option("seeds", { type: "number", default: 5, describe: "days to play for each deployment" })
+    .option("seeds", { type: "number", default: 5, describe: "number of seeds for each day" })
     .option("first", { type: "number", default: 1, describe: "the first seed" })
     .strict()
     .parse();
@@ -21,7 +21,7 @@
 for (const name of dayNames()) {
     const outcomes = Array.from(
         { length: options.seeds },
-        (_, number) => playDay(ownDay(name), options.first + number),
+        (_, number) => simulateDay(bundledDay(name), options.first + number),
     );
     const columns = [
         mean(outcomes, outcome => outcome.inTime),
--- a/simulation/places/outcome.ts
+++ b/simulation/places/outcome.ts
@@ -1,87 +1,94 @@
 import type { Workload } from "./day.js";
 import { type EmulatedRequest, worth } from "./workload.js";
 
-/** What became of all requests of a day. */
+/** Results of all requests of a day. */
 export type PoolOutcome = {
     readonly requests: number;
-    /** Parts of the requests: first event in time, late, never; lost are those whose answer broke off. */
+    /** Fractions of the requests: first event in time, late, never; `lost` are those whose engine crashed during the run. */
     readonly inTime: number;
     readonly late: number;
     readonly unserved: number;
     readonly lost: number;
-    /** Worth earned of what was owed; late answers count a fifth. */
+    /** Earned fraction of the total worth of all requests; late answers count a fifth. */
     readonly worth: number;
-    /** The same of the two worst spans of two seconds, by the requests' arrival. */
+    /** The same fraction, as the mean of the two worst windows of two seconds by arrival time. */
     readonly worstWindows: number;
-    /** Tokens read again or in vain, of all prompt tokens. */
+    /** Tokens that were computed again or whose result wasn't used, relative to all prompt tokens. */
     readonly readAgain: number;
-    /** Runs that engines turned away, for each request. */
+    /** Runs that engines rejected, per request. */
     readonly turnedAway: number;
-    /** Parts in time by the third of the requests with the shortest answers, the middle and the longest. */
+    /** Fractions in time of the thirds of the requests with the shortest, middle and longest answers. */
     readonly bySize: readonly [number, number, number];
-    /** The same by prompts: the shorter half, the next four tenths, and the longest tenth. */
+    /** The same by prompt length: the shorter half, the next four tenths, and the longest tenth. */
     readonly byPrompt: readonly [number, number, number];
 };
 
-/** How one request ended. */
-export type CallEnd = {
+/** Result of one request. */
+export type CallResult = {
     readonly request: EmulatedRequest;
     readonly firstAt: number | undefined;
-    /** Whether its answer broke off, or never began at an engine that ended. */
+    /** Whether its engine crashed during the run, before or after the first event. */
     readonly lost: boolean;
 };
 
-/** Work that engines did in vain. */
-export type Waste = { readonly turnedAway: number; readonly readAgainTokens: number; };
+/** Rejected runs, and tokens that engines computed again or for nothing. */
+export type WastedWork = { readonly turnedAway: number; readonly wastedPromptTokens: number; };
 
-const lateWorth = 0.2;
-/** Milliseconds of a span that is looked at by itself, and how many of the worst are taken. */
-const windowLength = 2_000;
-const worstCount = 2;
+const lateWorthFraction = 0.2;
+/** Length of the windows for `worstWindows`, and how many of the worst are averaged. */
+const windowMilliseconds = 2_000;
+const worstWindowCount = 2;
 
-/** Sums a day up. */
-export function outcomeOf(calls: readonly CallEnd[], workload: Workload, waste: Waste): PoolOutcome {
-    const isInTime = (call: CallEnd): boolean => {
+/** Summarises the results of a day. */
+export function outcomeOf(calls: readonly CallResult[], workload: Workload, waste: WastedWork): PoolOutcome {
+    const isInTime = (call: CallResult): boolean => {
         return !call.lost && call.firstAt !== undefined && call.firstAt - call.request.at <= workload.target;
     };
-    const isServed = (call: CallEnd): boolean => !call.lost && call.firstAt !== undefined;
-    const earned = (some: readonly CallEnd[]): number => {
+    const isServed = (call: CallResult): boolean => !call.lost && call.firstAt !== undefined;
+    const earned = (some: readonly CallResult[]): number => {
         const owed = some.reduce((sum, { request }) => sum + worth(request, workload), 0);
         const value = some.filter(isServed).reduce((sum, call) => {
-            return sum + worth(call.request, workload) * (isInTime(call) ? 1 : lateWorth);
+            return sum + worth(call.request, workload) * (isInTime(call) ? 1 : lateWorthFraction);
         }, 0);
         return owed === 0 ? 1 : value / owed;
     };
-    const part = (some: readonly CallEnd[], of: readonly CallEnd[]): number => some.length / Math.max(1, of.length);
-    const partsInTime = (by: (call: CallEnd) => number, cuts: readonly [number, number]): [number, number, number] => {
+    const fraction = (some: readonly CallResult[], of: readonly CallResult[]): number =>
+        some.length / Math.max(1, of.length);
+    const fractionsInTime = (
+        by: (call: CallResult) => number,
+        quantiles: readonly [number, number],
+    ): [number, number, number] => {
         const sorted = [...calls].sort((one, other) => by(one) - by(other));
-        const [first, second] = cuts.map(cut => Math.ceil(cut * sorted.length)) as [number, number];
+        const [first, second] = quantiles.map(cut => Math.ceil(cut * sorted.length)) as [number, number];
         const groups = [sorted.slice(0, first), sorted.slice(first, second), sorted.slice(second)];
-        return groups.map(group => part(group.filter(isInTime), group)) as [number, number, number];
+        return groups.map(group => fraction(group.filter(isInTime), group)) as [number, number, number];
     };
     const promptTokens = calls.reduce((sum, { request }) => sum + request.promptTokens, 0);
     return {
         requests: calls.length,
-        inTime: part(calls.filter(isInTime), calls),
-        late: part(calls.filter(call => isServed(call) && !isInTime(call)), calls),
-        unserved: part(calls.filter(call => !call.lost && call.firstAt === undefined), calls),
-        lost: part(calls.filter(({ lost }) => lost), calls),
+        inTime: fraction(calls.filter(isInTime), calls),
+        late: fraction(calls.filter(call => isServed(call) && !isInTime(call)), calls),
+        unserved: fraction(calls.filter(call => !call.lost && call.firstAt === undefined), calls),
+        lost: fraction(calls.filter(({ lost }) => lost), calls),
         worth: earned(calls),
         worstWindows: worstWindows(calls, workload.length, earned),
-        readAgain: waste.readAgainTokens / Math.max(1, promptTokens),
+        readAgain: waste.wastedPromptTokens / Math.max(1, promptTokens),
         turnedAway: waste.turnedAway / Math.max(1, calls.length),
-        bySize: partsInTime(({ request }) => request.answerTokens, [1 / 3, 2 / 3]),
-        byPrompt: partsInTime(({ request }) => request.promptTokens, [0.5, 0.9]),
+        bySize: fractionsInTime(({ request }) => request.answerTokens, [1 / 3, 2 / 3]),
+        byPrompt: fractionsInTime(({ request }) => request.promptTokens, [0.5, 0.9]),
     };
 }
 
 function worstWindows(
-    calls: readonly CallEnd[],
+    calls: readonly CallResult[],
     length: number,
-    earned: (some: readonly CallEnd[]) => number,
+    earned: (some: readonly CallResult[]) => number,
 ): number {
-    const windows: CallEnd[][] = Array.from({ length: Math.max(1, Math.ceil(length / windowLength)) }, () => []);
-    calls.forEach(call => windows[Math.floor(call.request.at / windowLength)]?.push(call));
-    const worst = windows.map(earned).sort((one, other) => one - other).slice(0, worstCount);
+    const windows: CallResult[][] = Array.from(
+        { length: Math.max(1, Math.ceil(length / windowMilliseconds)) },
+        () => [],
+    );
+    calls.forEach(call => windows[Math.floor(call.request.at / windowMilliseconds)]?.push(call));
+    const worst = windows.map(earned).sort((one, other) => one - other).slice(0, worstWindowCount);
     return worst.reduce((sum, window) => sum + window, 0) / worst.length;
 }
--- a/simulation/places/workload.ts
+++ b/simulation/places/workload.ts
@@ -1,22 +1,22 @@
 import { type Randomness, SeededRandomness } from "../../packages/basilpaddle/src/node/utils/index.js";
 import type { Workload } from "./day.js";
 
-/** One caller's request. */
+/** A generated request. */
 export type EmulatedRequest = {
     readonly name: string;
     readonly at: number;
     readonly promptTokens: number;
     readonly answerTokens: number;
-    readonly guessedTokens: number;
+    readonly estimatedAnswerTokens: number;
 };
 
-/** Tokens of answer count as much as so many of a prompt in a request's worth. */
-const answerWeight = 10;
-const fixedWorth = 0.3;
+/** Prompt tokens that one answer token counts as in the worth of a request. */
+const answerTokenWeight = 10;
+const fixedWorthFraction = 0.3;
 const millisecondsInSecond = 1_000;
 
-/** Draws all requests of a workload; the same seed gives the same. */
-export function drawRequests(workload: Workload, seed: number): EmulatedRequest[] {
+/** Generates all requests of a workload, with exponential intervals. Deterministic for a given seed. */
+export function generateRequests(workload: Workload, seed: number): EmulatedRequest[] {
     const random = SeededRandomness.create(seed);
     const requests: EmulatedRequest[] = [];
     for (let at = 0;;) {
@@ -28,28 +28,29 @@
         const { promptSpread, mostPromptTokens, answerTokens, answerSpread, mostAnswerTokens, longPrompts } = workload;
         const isLong = longPrompts !== undefined && random.fraction() < longPrompts.part;
         const promptTokens = isLong ? longPrompts.tokens : workload.promptTokens;
-        const answer = spread(random, answerTokens, answerSpread, mostAnswerTokens);
+        const answer = logNormalSample(random, answerTokens, answerSpread, mostAnswerTokens);
         requests.push({
             name: `r-${requests.length}`,
             at,
-            promptTokens: spread(random, promptTokens, promptSpread, mostPromptTokens),
+            promptTokens: logNormalSample(random, promptTokens, promptSpread, mostPromptTokens),
             answerTokens: answer,
-            guessedTokens: Math.round(answer * Math.exp(workload.guessSpread * normal(random))),
+            estimatedAnswerTokens: Math.round(answer * Math.exp(workload.guessSpread * standardNormalSample(random))),
         });
     }
 }
 
-/** What a request is worth in time, against a mean one of the workload. */
+/** Worth of a request that is served in time, relative to a request of mean size; part of it is independent of the size. */
 export function worth(request: EmulatedRequest, workload: Workload): number {
-    const size = request.promptTokens + answerWeight * request.answerTokens;
-    return fixedWorth + (1 - fixedWorth) * size / (workload.promptTokens + answerWeight * workload.answerTokens);
+    const size = request.promptTokens + answerTokenWeight * request.answerTokens;
+    return fixedWorthFraction
+        + (1 - fixedWorthFraction) * size / (workload.promptTokens + answerTokenWeight * workload.answerTokens);
 }
 
-function spread(random: Randomness, mean: number, deviation: number, most: number): number {
-    const drawn = mean * Math.exp(deviation * normal(random) - deviation * deviation / 2);
-    return Math.max(1, Math.round(Math.min(most, drawn)));
+function logNormalSample(random: Randomness, mean: number, deviation: number, maximum: number): number {
+    const sample = mean * Math.exp(deviation * standardNormalSample(random) - deviation * deviation / 2);
+    return Math.max(1, Math.round(Math.min(maximum, sample)));
 }
 
-function normal(random: Randomness): number {
+function standardNormalSample(random: Randomness): number {
     return Math.sqrt(-2 * Math.log(1 - random.fraction())) * Math.cos(2 * Math.PI * random.fraction());
 }
