--- a/simulation/requests/fakePlacement.ts
+++ b/simulation/requests/fakePlacement.ts
@@ -8,16 +8,17 @@
 } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import type { FakeEngine } from "./fakes.js";
 
-/** A fake placement: the first engines that aren't to be avoided. It counts what stays reserved. */
+/** A fake placement that assigns the first engines not listed in `avoid`, and records reservations and reports. */
 export class FakePlacement extends Placement {
     readonly reserved = new Map<string, Demand>();
     readonly demands: Demand[] = [];
     readonly told: Progress[] = [];
     readonly loads: LoadReport[] = [];
-    /** Decode engines that had proved to be full. */
+    /** Decode engines that callers reported as full. */
     readonly full: string[] = [];
-    /** Decode engine that is given in place of a full one; none where there is no other. */
+    /** Decode engine that replaces a full one; undefined if there is no other. */
     spare: string | undefined;
+    /** Returned in place of an assignment. */
     refusal: Decision | undefined;
     /** Awaited before each decision. */
     queue: (signal: AbortSignal) => Promise<void> = () => Promise.resolve();
@@ -38,10 +39,10 @@
         if (signal.aborted) {
             return refused("callerGone");
         }
-        const pick = (role: string) =>
+        const firstAvailable = (role: string) =>
             this.engines.find(({ announcement: { id, role: own } }) => own === role && !demand.avoid.includes(id));
-        const prefill = pick("prefill")?.announcement.id;
-        const decode = pick("decode")?.announcement.id;
+        const prefill = firstAvailable("prefill")?.announcement.id;
+        const decode = firstAvailable("decode")?.announcement.id;
         if (this.refusal !== undefined || prefill === undefined || decode === undefined) {
             return this.refusal ?? refused("noBackend");
         }
--- a/simulation/requests/fakes.ts
+++ b/simulation/requests/fakes.ts
@@ -21,50 +21,51 @@
     viewSchema,
 } from "../../packages/basilpaddle/src/node/protocol/index.js";
 
-/** What a stage of a fake engine does in place of its work. */
+/** Fault to inject into one stage of a fake engine. */
 export type Fault =
-    /** Proves that it ran nothing. */
+    /** Responds that nothing was run. */
     | "refuse"
-    /** Proves that it ran nothing, as it has no free slot. */
+    /** Responds that nothing was run, as there is no free slot. */
     | "full"
-    /** Only import: proves that it ran nothing, as the prefill's result isn't kept any more. */
+    /** Only import: responds that nothing was run, as the result of the prefill was evicted. */
     | "evicted"
-    /** Runs it, and says that it failed. */
+    /** Runs the stage and reports a failure. */
     | "fail"
-    /** The connection breaks before the engine has the request. */
+    /** The connection breaks before the engine receives the request. */
     | "loseBefore"
-    /** The connection breaks after the engine ran it; it holds what it made. */
+    /** The connection breaks after the engine ran the stage; the engine keeps the result. */
     | "loseAfter"
-    /** Runs it and never answers. */
+    /** Runs the stage and never responds. */
     | "hang"
     /** Only decode: the stream breaks after two tokens. */
     | "cut"
-    /** Only decode: one token is left out, or comes twice. */
+    /** Only decode: one token is missing, or every token is sent twice. */
     | "gap"
     | "repeat"
-    /** Only decode: the end comes before the last token. */
+    /** Only decode: the end event is sent in place of the last token. */
     | "short"
-    /** Only decode: the end names an offset below that of the last token. */
+    /** Only decode: the offset in the end event is lower than that of the last token. */
     | "early";
 export type Stage = "prefill" | "import" | "decode";
 
 const failure = (kind: EngineFailure["kind"], message: string, code?: string): Either<EngineFailure, never> =>
     Left({ kind, code, message });
 
-/** A fake engine that counts what it ran and what it holds, by attempt. */
+/** A fake engine that records the stages it ran and the attempts it holds resources for. */
 export class FakeEngine extends Engine {
     readonly ran: { readonly stage: Stage; readonly attempt: string; readonly prompt: string; }[] = [];
     readonly holds = new Set<string>();
-    /** Faults still to come, by stage, in their order. */
+    /** Faults to inject into the next calls of each stage, in order; undefined injects none. */
     readonly faults: Record<Stage, (Fault | undefined)[]> = { prefill: [], import: [], decode: [] };
+    /** Number of the next cancels whose response is lost. */
     lostCancels = 0;
     cancels = 0;
     tokens = ["one", " two", " three", " four"];
     /** Awaited before each token. */
     beat: () => Promise<void> = () => Promise.resolve();
-    /** Called as soon as a stage has begun. */
+    /** Called when a stage begins. */
     begun: (stage: Stage) => void = () => undefined;
-    private readonly cancelled = new Map<string, () => void>();
+    private readonly onCancel = new Map<string, () => void>();
 
     constructor(readonly announcement: Announcement) {
         super();
@@ -81,7 +82,7 @@
 
     override async *decode(attempt: string, offset: number, signal: AbortSignal) {
         this.begun("decode");
-        // As the wire has it: offset 0 starts, and only what was started can be resumed.
+        // As in the protocol: offset 0 starts a run, and only a started run can be resumed.
         if (offset > 0 && !this.ran.some(ran => ran.stage === "decode" && ran.attempt === attempt)) {
             yield failure("failed", `can't decode from ${offset}`);
             return;
@@ -147,7 +148,7 @@
             return Promise.resolve(failure("unknown", "lost"));
         }
         this.holds.delete(attempt);
-        this.cancelled.get(attempt)?.();
+        this.onCancel.get(attempt)?.();
         return Promise.resolve(Right({ released: true }));
     }
 
@@ -221,7 +222,7 @@
     });
 }
 
-/** A view with one pool, one marked route, and the given backend servers. */
+/** A view with one pool, one route for non-idempotent requests, and the given backend servers. */
 export function viewOf(backends: readonly Announcement[], declaration: object = {}): View {
     return viewSchema.parse({
         index: 1,
@@ -248,13 +249,13 @@
     answer?: KeptAnswer;
 };
 
-/** A fake control client over a quorum that tests can take away. */
+/** A fake control client that applies commands itself; tests can withdraw its confirmation and lose its proposals. */
 export class FakeControl extends ControlClient {
     confirmed = true;
     readonly runs = new Map<string, FakeRun>();
     readonly commands: Command[] = [];
     readonly renewals: string[] = [];
-    /** Proposals still to be lost: before or after the quorum held them. */
+    /** The next proposals are lost, before or after they are committed. */
     readonly lost: ("before" | "after")[] = [];
     private readonly listeners = new Set<(view: View) => void>();
 
--- a/simulation/requests/rig.ts
+++ b/simulation/requests/rig.ts
@@ -29,8 +29,8 @@
 import { FakePlacement } from "./fakePlacement.js";
 import { announcement, FakeControl, FakeEngine, viewOf } from "./fakes.js";
 
-/** Gathers what a caller gets. */
-export class GatheredAnswer extends Answer {
+/** Records the answer that a caller receives. */
+export class RecordingAnswer extends Answer {
     readonly texts: string[] = [];
     finishes = 0;
 
@@ -47,7 +47,7 @@
     }
 }
 
-/** Time that runs a hundred times as fast for pauses, so that backoffs cost a test nothing. */
+/** A clock whose timers fire after a hundredth of their delay, so that tests don't wait for backoffs. */
 class FastClock extends SystemClock {
     static override create(): FastClock {
         return new FastClock();
@@ -58,9 +58,9 @@
     }
 }
 
-/** A request's driver with two prefill and two decode engines behind it. */
+/** A request driver with fakes of two prefill and two decode engines, the placement and the control client. */
 export class Rig {
-    answer = new GatheredAnswer();
+    answer = new RecordingAnswer();
     scope = RequestScope.create();
 
     private constructor(
@@ -113,7 +113,7 @@
     }
 
     drive(extra: Partial<Work>): Promise<RequestEnd> {
-        this.answer = new GatheredAnswer();
+        this.answer = new RecordingAnswer();
         const now = this.parts.clock.monotonic();
         const work: Work = {
             requestId: "r",
@@ -134,12 +134,12 @@
         return RequestDriver.drive(this.parts, work, this.answer, this.scope);
     }
 
-    /** All that engines ran, as `stage attempt`. */
+    /** All stages that the engines ran, as `stage attempt`. */
     ran(): string[] {
         return this.engines.flatMap(engine => engine.ran.map(({ stage, attempt }) => `${stage} ${attempt}`));
     }
 
-    /** All that is still held. A prefill result that was handed over is evicted by its engine. */
+    /** Attempts with reservations or resources that weren't released. A transferred prefill result doesn't count: its engine evicts it. */
     held(): string[] {
         const handedOver = new Set(
             this.engines.flatMap(engine => engine.ran.filter(ran => ran.stage === "import").map(ran => ran.attempt)),
@@ -154,11 +154,11 @@
 
     mark(id: string, state: "leaving" | "gone"): void {
         const view = this.control.view();
-        const known = view.backends[id] as (typeof view.backends)[string];
-        this.control.setView({ ...view, backends: { ...view.backends, [id]: { ...known, state } } });
+        const registered = view.backends[id] as (typeof view.backends)[string];
+        this.control.setView({ ...view, backends: { ...view.backends, [id]: { ...registered, state } } });
     }
 
-    /** Settles once every cancel is confirmed and every record decided. */
+    /** Waits until every cancel is confirmed and every run record is decided. */
     async settled(): Promise<void> {
         await until("cancels confirmed", () => this.parts.cancellations.outstanding === 0);
         await until("records decided", () => this.parts.runs.undecided === 0);
--- a/simulation/requests/runs.ts
+++ b/simulation/requests/runs.ts
@@ -21,27 +21,27 @@
     "short",
     "early",
 ];
-const wholeText = "one two three four";
+const fullText = "one two three four";
 
-/** What the caller is told of what ran. */
+/** The outcome that a refusal reports to the caller; undefined if the request wasn't refused. */
 export function outcomeOf(end: RequestEnd): Outcome | undefined {
     return end.kind === "refused" ? end.refusal.outcome : undefined;
 }
 
-/** What must hold of every request, whatever happened to it. */
+/** Asserts the invariants of every request, independent of the injected faults. */
 export function assertConditions(rig: Rig, end: RequestEnd): void {
-    const told = rig.answer.texts.join("");
-    expect(wholeText.startsWith(told), `the text has gaps or doubles: ${told}`).to.equal(true);
+    const received = rig.answer.texts.join("");
+    expect(fullText.startsWith(received), `the text has missing or repeated tokens: ${received}`).to.equal(true);
     expect(rig.answer.finishes).to.equal(end.kind === "finished" ? 1 : 0);
     if (end.kind === "finished") {
-        expect(told).to.equal(wholeText);
+        expect(received).to.equal(fullText);
     }
     if (outcomeOf(end) === "notRun") {
-        expect(rig.ran(), "told as not run").to.deep.equal([]);
+        expect(rig.ran(), "stages that ran despite the outcome notRun").to.deep.equal([]);
     }
 }
 
-const plan = fc.record({
+const scenario = fc.record({
     faults: fc.array(
         fc.record({
             engine: fc.constantFrom("p1", "p2", "d1", "d2"),
@@ -63,9 +63,9 @@
     lostCancels: fc.integer({ min: 0, max: 3 }),
 });
 
-/** The conditions hold under random faults, stops and lost proposals. */
+/** Property: the invariants hold under random faults, stops and lost proposals, and nothing remains held afterwards. */
 export function requestRuns(tally = new Tally()) {
-    return fc.asyncProperty(plan, async ({ faults: chosen, stop, resume, nonIdempotent, ...rest }) => {
+    return fc.asyncProperty(scenario, async ({ faults: chosen, stop, resume, nonIdempotent, ...rest }) => {
         const rig = Rig.create({ abilities: { resume } });
         rig.control.lost.push(...rest.lost);
         for (const { engine, stage, fault } of chosen) {
@@ -75,8 +75,8 @@
             engine.lostCancels = rest.lostCancels;
             engine.begun = stage => stage === stop?.stage && rig.scope.stop(stop.reason);
         }
-        const hangs = chosen.some(({ fault }) => fault === "hang");
-        const deadline = setTimeout(() => rig.scope.stop("deadlineExceeded"), hangs ? 20 : 5_000);
+        const includesHang = chosen.some(({ fault }) => fault === "hang");
+        const deadline = setTimeout(() => rig.scope.stop("deadlineExceeded"), includesHang ? 20 : 5_000);
         const end = await rig.drive(nonIdempotent ? { run: { key: "k", digest: "d" } } : {});
         clearTimeout(deadline);
         assertConditions(rig, end);
