--- a/simulation/scheduling/bench.ts
+++ b/simulation/scheduling/bench.ts
@@ -8,7 +8,7 @@
 const pool = poolSchema.parse({ models: [{ name: "draft", version: "v1" }], copies: { prefill: 1, decode: 1 } });
 const organisation = { share: 1, openRequests: 100 };
 
-/** The scheduler of one pool, with what it decided. */
+/** A scheduler of one pool with a simulated clock, which records the decisions. */
 export class Bench {
     readonly scheduler: PoolScheduler;
     readonly decisions = new Map<string, Decision>();
@@ -27,8 +27,8 @@
         }
     }
 
-    ask(wanted: Demand): void {
-        this.step({ kind: "demand", demand: wanted });
+    ask(request: Demand): void {
+        this.step({ kind: "demand", demand: request });
     }
 
     pass(milliseconds: number): void {
--- a/simulation/scheduling/runs.ts
+++ b/simulation/scheduling/runs.ts
@@ -6,7 +6,7 @@
 import { demand, engine } from "./samples.js";
 
 const slots = 2;
-const step = fc.oneof(
+const actionArbitrary = fc.oneof(
     { weight: 5, arbitrary: fc.record({ kind: fc.constant("ask" as const), id: fc.nat(40), book: fc.nat(3) }) },
     {
         weight: 8,
@@ -53,12 +53,12 @@
     },
 );
 
-/** Never holds more than the slots, and holds nothing after all ended. */
+/** Property: the reservations of an engine stay within their bound, and none remains after all requests are withdrawn. */
 export function schedulingRuns(tally = new Tally()) {
     return fc.property(
-        fc.array(step, { minLength: 20, maxLength: 200 }),
+        fc.array(actionArbitrary, { minLength: 20, maxLength: 200 }),
         fc.constantFrom("goodput" as const, "prefill" as const),
-        (steps, weighting) => {
+        (actions, weighting) => {
             const engines = (state: EngineEntry["state"], incarnation: number): EngineEntry[] => [
                 engine("p1", "prefill"),
                 engine("d1", "decode", { slots }),
@@ -66,16 +66,16 @@
             ];
             const bench = new Bench(engines("ready", 1), weighting);
             const owner = { daemon: "entry-1", incarnation: "i1" };
-            const asked = new Set<string>();
+            const requestedAttempts = new Set<string>();
             let sequence = 0;
-            for (const one of steps) {
-                switch (one.kind) {
+            for (const action of actions) {
+                switch (action.kind) {
                     case "ask":
-                        if (!asked.has(`a${one.id}`)) {
-                            asked.add(`a${one.id}`);
+                        if (!requestedAttempts.has(`a${action.id}`)) {
+                            requestedAttempts.add(`a${action.id}`);
                             bench.ask(
-                                demand(`a${one.id}`, {
-                                    organisation: `book-${one.book}`,
+                                demand(`a${action.id}`, {
+                                    organisation: `book-${action.book}`,
                                     firstTokenWithin: 5_000,
                                 }),
                             );
@@ -84,23 +84,23 @@
                     case "stage":
                         bench.step({
                             kind: "progress",
-                            progress: { attempt: `a${one.id}`, stage: one.stage as "failed", tokens: 0 },
+                            progress: { attempt: `a${action.id}`, stage: action.stage as "failed", tokens: 0 },
                         });
                         break;
                     case "withdraw":
-                        bench.step({ kind: "withdraw", attempt: `a${one.id}` });
+                        bench.step({ kind: "withdraw", attempt: `a${action.id}` });
                         break;
                     case "pass":
-                        bench.pass(one.milliseconds);
+                        bench.pass(action.milliseconds);
                         break;
                     case "report":
                         bench.step({
                             kind: "load",
                             report: {
-                                id: one.engine,
+                                id: action.engine,
                                 incarnation: 1,
                                 sequence: sequence++,
-                                active: one.ids.map(id => `a${id}`),
+                                active: action.ids.map(id => `a${id}`),
                                 queuedTokens: 0,
                             },
                         });
@@ -108,36 +108,36 @@
                     case "engine":
                         bench.step({
                             kind: "engines",
-                            engines: engines(one.state as "ready", one.incarnation),
+                            engines: engines(action.state as "ready", action.incarnation),
                         });
                         break;
                     case "full":
-                        if (asked.has(`a${one.id}`)) {
+                        if (requestedAttempts.has(`a${action.id}`)) {
                             const holding = {
                                 prefill: "p1",
-                                decode: one.engine,
+                                decode: action.engine,
                                 stage: "prefilled",
                                 tokens: 0,
                             } as const;
-                            bench.scheduler.move({ demand: demand(`a${one.id}`), ...holding }, bench.now);
+                            bench.scheduler.move({ demand: demand(`a${action.id}`), ...holding }, bench.now);
                         }
                         break;
                     case "sessions":
-                        bench.step({ kind: "sessions", open: one.open ? [owner] : [] });
+                        bench.step({ kind: "sessions", open: action.open ? [owner] : [] });
                         break;
                 }
                 const { held, waiting } = bench.scheduler.standing();
-                // One more than the slots may be reserved for each answer that is expected to end in time.
+                // Beyond the slots, one more reservation is allowed for each answer that is expected to end in time.
                 expect(Math.max(0, ...held.values())).to.be.at.most(2 * slots);
-                expect(waiting).to.be.at.most(asked.size);
+                expect(waiting).to.be.at.most(requestedAttempts.size);
             }
-            for (const attempt of asked) {
+            for (const attempt of requestedAttempts) {
                 bench.step({ kind: "withdraw", attempt });
             }
-            const left = bench.scheduler.standing();
-            expect([...left.held.values()].every(count => count === 0)).to.equal(true);
-            expect(left.waiting).to.equal(0);
-            tally.add(steps.length);
+            const finalStatus = bench.scheduler.standing();
+            expect([...finalStatus.held.values()].every(count => count === 0)).to.equal(true);
+            expect(finalStatus.waiting).to.equal(0);
+            tally.add(actions.length);
         },
     );
 }
--- a/simulation/scheduling/samples.ts
+++ b/simulation/scheduling/samples.ts
@@ -1,11 +1,11 @@
 import type { EngineEntry } from "../../packages/basilpaddle/src/node/coordination/scheduling/scheduler.js";
 import { announcementSchema, type Demand, demandSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
 
-/** An engine that is ready and carries the model `draft`. */
+/** An engine that is ready and serves the model `draft`. */
 export function engine(
     id: string,
     role: "prefill" | "decode",
-    more: { readonly slots?: number; readonly incarnation?: number; readonly failureDomain?: string; } = {},
+    overrides: { readonly slots?: number; readonly incarnation?: number; readonly failureDomain?: string; } = {},
 ): EngineEntry {
     const announcement = announcementSchema.parse({
         id,
@@ -16,13 +16,13 @@
         pool: "drafts",
         models: [{ name: "draft", version: "v1" }],
         slots: 2,
-        ...more,
+        ...overrides,
     });
     return { announcement, state: "ready" };
 }
 
-/** A demand of 1000 prompt tokens and 100 output tokens with generous targets. */
-export function demand(attempt: string, more: Partial<Demand> = {}): Demand {
+/** A scheduling request of 1000 prompt tokens and 100 expected output tokens with generous targets. */
+export function demand(attempt: string, overrides: Partial<Demand> = {}): Demand {
     return demandSchema.parse({
         attempt,
         owner: { daemon: "entry-1", incarnation: "i1" },
@@ -38,6 +38,6 @@
         priority: 100,
         firstTokenWithin: 2_000,
         deadlineWithin: 60_000,
-        ...more,
+        ...overrides,
     });
 }
