--- a/simulation/view/deployment.ts
+++ b/simulation/view/deployment.ts
@@ -1,15 +1,15 @@
-/** Entry daemons and control daemons together in a fake world, with the invariant checked all along. */
+/** Entry daemons and control daemons in one simulation, which checks the invariant at every start of work. */
 import { PeerControlClient } from "../../packages/basilpaddle/src/node/coordination/view/viewClient.js";
 import { type Command, type Timing, timingSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { createSilentLogger, SeededRandomness } from "../../packages/basilpaddle/src/node/utils/index.js";
 import { Group, type Voter } from "./voters.js";
 import { FakeNetwork, Process, World } from "./world.js";
 
-/** How often a daemon wants to start work, in milliseconds. */
-const workInterval = 25;
+/** Interval at which a daemon attempts to start work. */
+const workIntervalMilliseconds = 25;
 const logger = createSilentLogger();
 
-/** Started work on a view that lacks an accepted change. */
+/** A daemon started work on a view that lacks an accepted change. */
 export class StaleStart extends Error {}
 
 export class Daemon {
@@ -17,19 +17,19 @@
     started = 0;
 
     constructor(private readonly deployment: Deployment, readonly process: Process) {
-        this.client = this.create();
-        this.work();
+        this.client = this.createClient();
+        this.attemptRepeatedly();
     }
 
-    /** The process ends without a word and starts anew. */
+    /** Crashes and restarts the process. */
     restart(): void {
         this.process.crash();
         this.process.restart();
-        this.client = this.create();
-        this.work();
+        this.client = this.createClient();
+        this.attemptRepeatedly();
     }
 
-    /** Starts work if it may, and checks that nothing accepted is missing. */
+    /** Starts work if the client permits it. @throws StaleStart if the view lacks an accepted change */
     tryStart(): void {
         if (!this.client.mayStart()) {
             return;
@@ -43,12 +43,12 @@
         }
     }
 
-    private work(): void {
+    private attemptRepeatedly(): void {
         this.tryStart();
-        this.process.after(workInterval, () => this.work());
+        this.process.after(workIntervalMilliseconds, () => this.attemptRepeatedly());
     }
 
-    private create(): PeerControlClient {
+    private createClient(): PeerControlClient {
         const { world, group, timing } = this.deployment;
         const { name, start } = this.process;
         return PeerControlClient.create({
@@ -86,21 +86,21 @@
         return this.group.voters[place]!;
     }
 
-    /** An operator's change, brought to whichever voters believe that they lead. */
+    /** Proposes an operator's change to every voter that believes it is the leader. */
     change(): void {
         const command: Command = { kind: "markBackend", id: "x", incarnation: 0, mark: "gone", by: "operator", at: 0 };
         for (const voter of this.group.voters) {
-            voter.process.perform(voter.process.start, () => void voter.propose(command));
+            voter.process.runUnlessRestarted(voter.process.start, () => void voter.propose(command));
         }
     }
 
-    /** Loses everything between two processes for a while. */
+    /** Drops all messages between two processes, in both directions, for `duration` milliseconds. */
     separate(one: Process, other: Process, duration: number): void {
         this.world.cut(one.name, other.name, duration);
         this.world.cut(other.name, one.name, duration);
     }
 
-    /** Goes on for some milliseconds. */
+    /** Advances the simulation by `duration` milliseconds. */
     async run(duration: number): Promise<void> {
         await this.world.run(this.world.now + duration);
     }
--- a/simulation/view/runs.ts
+++ b/simulation/view/runs.ts
@@ -2,48 +2,48 @@
 import type { Tally } from "../subject.js";
 import { Deployment } from "./deployment.js";
 
-/** Voters at the beginning; the others join by a change of membership. */
+/** Initial voters; the others join by a membership change. */
 const members = 3;
 const voters = 5;
 const daemons = 2;
 
-const place = (count: number): fc.Arbitrary<number> => fc.integer({ min: 0, max: count - 1 });
+const indexBelow = (count: number): fc.Arbitrary<number> => fc.integer({ min: 0, max: count - 1 });
 const duration = fc.oneof(fc.integer({ min: 20, max: 1_000 }), fc.integer({ min: 1_000, max: 7_000 }));
-const blinking = fc.record({
+const lostQuorumFault = fc.record({
     kind: fc.constant("blink" as const),
-    daemon: place(daemons),
-    spared: place(3),
+    daemon: indexBelow(daemons),
+    spared: indexBelow(3),
     grow: fc.boolean(),
     lead: fc.integer({ min: 0, max: 2_500 }),
     downtime: fc.integer({ min: 200, max: 900 }),
     cutAfter: fc.integer({ min: 0, max: 700 }),
 });
 const fault = fc.oneof(
-    fc.record({ kind: fc.constant("crash" as const), voter: place(voters), duration }),
+    fc.record({ kind: fc.constant("crash" as const), voter: indexBelow(voters), duration }),
     fc.record({ kind: fc.constant("crashMost" as const), duration }),
     fc.record({ kind: fc.constant("roll" as const), duration }),
-    fc.record({ kind: fc.constant("freeze" as const), voter: place(voters), duration }),
-    fc.record({ kind: fc.constant("freezeDaemon" as const), daemon: place(daemons), duration }),
-    fc.record({ kind: fc.constant("restartDaemon" as const), daemon: place(daemons) }),
+    fc.record({ kind: fc.constant("freeze" as const), voter: indexBelow(voters), duration }),
+    fc.record({ kind: fc.constant("freezeDaemon" as const), daemon: indexBelow(daemons), duration }),
+    fc.record({ kind: fc.constant("restartDaemon" as const), daemon: indexBelow(daemons) }),
     fc.record({
         kind: fc.constant("cut" as const),
-        daemon: place(daemons),
-        voter: place(voters),
+        daemon: indexBelow(daemons),
+        voter: indexBelow(voters),
         back: fc.boolean(),
         duration,
     }),
     fc.record({
         kind: fc.constant("cutOff" as const),
-        daemon: place(daemons),
+        daemon: indexBelow(daemons),
         mask: fc.integer({ min: 1, max: 31 }),
         duration,
     }),
     fc.record({ kind: fc.constant("split" as const), mask: fc.integer({ min: 1, max: 30 }), duration }),
-    fc.record({ kind: fc.constant("voters" as const), voter: place(voters) }),
-    blinking,
+    fc.record({ kind: fc.constant("voters" as const), voter: indexBelow(voters) }),
+    lostQuorumFault,
     fc.record({
         kind: fc.constant("stun" as const),
-        daemon: place(daemons),
+        daemon: indexBelow(daemons),
         duration: fc.integer({ min: 20, max: 2_500 }),
     }),
     fc.record({ kind: fc.constant("loss" as const), part: fc.constantFrom(0, 0.02, 0.2) }),
@@ -54,15 +54,15 @@
     maxLength: 25,
 });
 
-/** Changes come at random, so that an accepted one falls between any two faults. */
-function keepChanging(deployment: Deployment): void {
+/** Proposes changes at random intervals, so that one can be accepted between any two faults. */
+function proposeChangesPeriodically(deployment: Deployment): void {
     deployment.change();
     deployment.world.at(deployment.world.now + 100 + 900 * deployment.world.randomness.fraction(), () => {
-        keepChanging(deployment);
+        proposeChangesPeriodically(deployment);
     });
 }
 
-function cutOff(deployment: Deployment, daemon: number, mask: number, duration: number): void {
+function cutFromVoters(deployment: Deployment, daemon: number, mask: number, duration: number): void {
     deployment.group.voters.filter((_, at) => (mask >> at) & 1).forEach(voter => {
         deployment.separate(deployment.daemons[daemon]!.process, voter.process, duration);
     });
@@ -70,30 +70,32 @@
 
 function changeVoters(deployment: Deployment, voter: number): void {
     const { name } = deployment.voter(voter).process;
-    deployment.group.voters.forEach(each => each.process.perform(each.process.start, () => each.changeVoters(name)));
+    deployment.group.voters.forEach(each =>
+        each.process.runUnlessRestarted(each.process.start, () => each.changeVoters(name))
+    );
 }
 
 /**
- * The worst that a lost quorum can do: a daemon sees two voters refuse while it is cut from those that go on, and is cut
- * off wholly before it can hear of them again. With `grow` the group has two more voters that the daemon never heard of.
+ * The worst case of a lost quorum: two voters refuse a daemon's connections while it is cut off from the remaining ones, and
+ * it is cut off from all voters before the two are reachable again. With `grow`, two voters join that are unknown to the daemon.
  */
-function blink(deployment: Deployment, fault: Extract<Fault, { kind: "blink"; }>): void {
+function injectLostQuorum(deployment: Deployment, fault: Extract<Fault, { kind: "blink"; }>): void {
     const { world } = deployment;
     const refusing = [0, 1, 2].filter(voter => voter !== fault.spared);
     if (fault.grow) {
-        cutOff(deployment, fault.daemon, 31, fault.lead);
+        cutFromVoters(deployment, fault.daemon, 31, fault.lead);
         [3, 4].forEach((voter, at) => world.at(world.now + 300 * at, () => changeVoters(deployment, voter)));
     }
     world.at(world.now + fault.lead, () => {
         refusing.forEach(voter => deployment.voter(voter).crash(fault.downtime));
-        cutOff(deployment, fault.daemon, 24 | 1 << fault.spared, 5_000);
+        cutFromVoters(deployment, fault.daemon, 24 | 1 << fault.spared, 5_000);
     });
-    world.at(world.now + fault.lead + fault.cutAfter, () => cutOff(deployment, fault.daemon, 31, 5_000));
+    world.at(world.now + fault.lead + fault.cutAfter, () => cutFromVoters(deployment, fault.daemon, 31, 5_000));
 }
 
 function inject(deployment: Deployment, fault: Fault): void {
     const { group, world } = deployment;
-    const masked = (mask: number) => group.voters.filter((_, at) => (mask >> at) & 1);
+    const selectedVoters = (mask: number) => group.voters.filter((_, at) => (mask >> at) & 1);
     switch (fault.kind) {
         case "crash":
             return deployment.voter(fault.voter).crash(fault.duration);
@@ -119,20 +121,22 @@
             return world.cut(from!, to!, fault.duration);
         }
         case "cutOff":
-            return cutOff(deployment, fault.daemon, fault.mask, fault.duration);
+            return cutFromVoters(deployment, fault.daemon, fault.mask, fault.duration);
         case "split":
-            return masked(fault.mask).forEach(one => {
-                masked(~fault.mask).forEach(other => deployment.separate(one.process, other.process, fault.duration));
+            return selectedVoters(fault.mask).forEach(one => {
+                selectedVoters(~fault.mask).forEach(other =>
+                    deployment.separate(one.process, other.process, fault.duration)
+                );
             });
         case "voters":
             return changeVoters(deployment, fault.voter);
         case "blink":
-            return blink(deployment, fault);
+            return injectLostQuorum(deployment, fault);
         case "stun":
             deployment.daemons[fault.daemon]!.process.freeze(fault.duration);
-            return world.at(world.now + fault.duration, () => cutOff(deployment, fault.daemon, 31, 5_000));
+            return world.at(world.now + fault.duration, () => cutFromVoters(deployment, fault.daemon, 31, 5_000));
         case "loss":
-            world.loss = fault.part;
+            world.lossFraction = fault.part;
     }
 }
 
@@ -143,7 +147,7 @@
 ): Promise<void> {
     const deployment = new Deployment({ seed, controls: voters, members, daemons });
     await deployment.run(2_000);
-    keepChanging(deployment);
+    proposeChangesPeriodically(deployment);
     for (const { after, fault } of faults) {
         await deployment.run(after);
         inject(deployment, fault);
@@ -155,20 +159,20 @@
     tally.add(deployment.world.steps);
 }
 
-/** No daemon starts work without an accepted change, whatever mix of faults there is. */
+/** Property: no daemon starts work on a view that lacks an accepted change, under random sequences of faults. */
 export function anyFaultRuns(tally: Tally): fc.IAsyncProperty<unknown> {
     return fc.asyncProperty(fc.nat(), schedule, (seed, faults) => runFaults(seed, faults, tally)) as fc.IAsyncProperty<
         unknown
     >;
 }
 
-/** Nor when a lost quorum comes back behind its back. */
+/** Property: the same holds if the quorum is lost and recovers while the daemon is cut off. */
 export function lostQuorumRuns(tally: Tally): fc.IAsyncProperty<unknown> {
     const after = fc.integer({ min: 0, max: 2_000 });
     const property = fc.asyncProperty(
         fc.nat(),
         after,
-        blinking,
+        lostQuorumFault,
         (seed, wait, fault) => runFaults(seed, [{ after: wait, fault }], tally),
     );
     return property as fc.IAsyncProperty<unknown>;
--- a/simulation/view/voters.ts
+++ b/simulation/view/voters.ts
@@ -1,11 +1,11 @@
 /**
- * A simple model of the control daemons, as the view lease needs them: logs that survive crashes, elections, commit by a
- * quorum, silence after a start, and the rule by which a leader calls a change accepted.
+ * A simplified model of the control daemons with what the view lease depends on: logs that survive crashes, elections, commits
+ * by a quorum, silence after a start, and the rule by which a leader answers a change as accepted.
  */
 import { Hearing, InForce } from "../../packages/basilpaddle/src/node/coordination/supervisor/index.js";
 import type { Command, Incarnation, PeerRequest, Timing } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { ViewState } from "../../packages/basilpaddle/src/node/state/index.js";
-import type { Answerer, Process, World } from "./world.js";
+import type { Process, Server, World } from "./world.js";
 
 type Entry = { readonly term: number; readonly command?: Command; readonly voters?: readonly string[]; };
 type Append = {
@@ -15,10 +15,10 @@
     readonly sentAt: number;
 };
 
-/** Steps that one answer carries at most; a daemon that lacks more gets a snapshot. */
-const stepsLimit = 10;
+/** Maximum steps in one answer; a daemon that lacks more receives a snapshot. */
+const maxSteps = 10;
 
-/** The control daemons together, and what the operators were told. */
+/** All control daemons, and the changes that operators received as accepted. */
 export class Group {
     /** View indexes that were answered `accepted`. */
     readonly accepted = new Set<number>();
@@ -28,11 +28,11 @@
     constructor(readonly timing: Timing, processes: readonly Process[], members: number) {
         const names = processes.slice(0, members).map(process => process.name);
         this.voters = processes.map(process => new Voter(this, process, [{ term: 0, voters: names }]));
-        this.voters.forEach(voter => voter.begin());
+        this.voters.forEach(voter => voter.recover());
     }
 
-    /** Two leaders that commit different entries at one place would be a fault of the model itself. */
-    noteCommit(index: number, term: number): void {
+    /** Throws if entries of different terms are committed at one index, which would be a fault of the model itself. */
+    checkCommit(index: number, term: number): void {
         if ((this.committed.get(index) ?? term) !== term) {
             throw new Error(`the model committed terms ${this.committed.get(index)} and ${term} at ${index}`);
         }
@@ -41,7 +41,7 @@
 }
 
 /** One control daemon. */
-export class Voter implements Answerer {
+export class Voter implements Server {
     private term = 0;
     private votedIn = 0;
     private appendTerm = 0;
@@ -52,9 +52,9 @@
     private leaderHeardAt = 0;
     private votes = new Set<string>();
     private acknowledged = new Map<string, { sentAt: number; length: number; }>();
-    private hearing = Hearing.create();
+    private liveness = Hearing.create();
     private inForce: InForce;
-    private unaccepted = new Map<number, { committedAt: number; readyAt: number | undefined; }>();
+    private pendingChanges = new Map<number, { committedAt: number; inForceAt: number | undefined; }>();
     private state = ViewState.create();
     private applied = 1;
 
@@ -62,15 +62,15 @@
         this.inForce = InForce.create(group.timing, process.monotonic());
     }
 
-    /** A start of the process: what was synced is there, the rest is gone. */
-    begin(): void {
+    /** Starts the process: synced state (term, vote, log) remains, volatile state is reset. */
+    recover(): void {
         this.commit = 1;
         this.applied = 1;
         this.state = ViewState.create();
         this.leading = false;
-        this.hearing = Hearing.create();
+        this.liveness = Hearing.create();
         this.inForce = InForce.create(this.group.timing, this.process.monotonic());
-        this.unaccepted = new Map();
+        this.pendingChanges = new Map();
         this.leaderHeardAt = this.process.monotonic();
         this.tick();
     }
@@ -83,7 +83,7 @@
         this.process.world.at(this.process.world.now + duration, () => {
             this.process.restart();
             this.startedAt = this.process.monotonic();
-            this.begin();
+            this.recover();
         });
     }
 
@@ -95,18 +95,18 @@
         return this.leading && this.process.alive;
     }
 
-    /** An operator's change, or another command. */
+    /** Appends a command if this voter leads. @returns its index, else undefined */
     propose(command: Command): number | undefined {
         return this.leading ? this.append({ term: this.term, command }) : undefined;
     }
 
-    /** Adds or removes one voter, no sooner after the last such change than a view lease. */
+    /** Adds or removes one voter, at the earliest a view lease with drift after the last such change or the election. */
     changeVoters(name: string): void {
-        const { at, voters } = this.newestVoters();
-        const settled = this.commit > at && this.log[this.commit - 1]!.term === this.term;
-        const quiet =
-            this.process.monotonic() - Math.max(this.leadingSince, this.votersCommittedAt) > this.leaseAndDrift();
-        if (!this.leading || !settled || !quiet || name === this.process.name) {
+        const { at, voters } = this.latestMembership();
+        const isCommittedInTerm = this.commit > at && this.log[this.commit - 1]!.term === this.term;
+        const isPauseOver =
+            this.process.monotonic() - Math.max(this.leadingSince, this.votersCommittedAt) > this.viewLeaseWithDrift();
+        if (!this.leading || !isCommittedInTerm || !isPauseOver || name === this.process.name) {
             return;
         }
         const others = voters.filter(voter => voter !== name);
@@ -118,8 +118,8 @@
     answer(body: unknown, reply: (answer: unknown) => void): void {
         const request = body as PeerRequest;
         if (request.kind === "confirmView") {
-            this.hearing.heardSession(request.session, request, this.process.monotonic());
-            reply(this.viewAnswer(request.applied, request.wantsSteps));
+            this.liveness.heardSession(request.session, request, this.process.monotonic());
+            reply(this.viewReply(request.applied, request.wantsSteps));
         }
         if (request.kind === "propose") {
             const index = this.propose(request.command);
@@ -145,8 +145,8 @@
         }
     }
 
-    private viewAnswer(applied: number, wantsSteps: boolean): unknown {
-        const { voters } = this.newestVoters();
+    private viewReply(applied: number, wantsSteps: boolean): unknown {
+        const { voters } = this.latestMembership();
         const view = this.state.view();
         const steps = this.log.slice(0, this.applied)
             .flatMap(({ command }, place) => command === undefined ? [] : [{ index: place + 1, command }])
@@ -160,8 +160,8 @@
             term: this.term,
             appendedView: this.log.findLastIndex(entry => entry.command !== undefined) + 1,
             committedView: view.index,
-            ...(behind && steps.length <= stepsLimit ? { steps } : {}),
-            ...(behind && steps.length > stepsLimit ? { snapshot: view } : {}),
+            ...(behind && steps.length <= maxSteps ? { steps } : {}),
+            ...(behind && steps.length > maxSteps ? { snapshot: view } : {}),
         };
     }
 
@@ -175,31 +175,31 @@
         const { timing } = this.group;
         const now = this.process.monotonic();
         if (this.leading) {
-            this.lead(now);
+            this.leaderTick(now);
         }
         else {
-            const patience = timing.electionTimeout * (1 + this.process.world.randomness.fraction());
-            if (!this.silent() && now - this.leaderHeardAt > patience) {
-                this.stand(now);
+            const timeoutMilliseconds = timing.electionTimeout * (1 + this.process.world.randomness.fraction());
+            if (!this.isInStartupSilence() && now - this.leaderHeardAt > timeoutMilliseconds) {
+                this.startElection(now);
             }
         }
         this.process.after(timing.heartbeatInterval, () => this.tick());
     }
 
-    private lead(now: number): void {
-        if (this.quorumSince(now - this.group.timing.electionTimeout, 0) === false) {
+    private leaderTick(now: number): void {
+        if (this.quorumAcknowledgedSince(now - this.group.timing.electionTimeout, 0) === false) {
             this.leading = false;
             this.leaderHeardAt = now;
             return;
         }
         this.closeSilentSessions(now);
-        this.accept(now);
+        this.acceptChanges(now);
         this.sendAppends();
     }
 
-    /** Whether a quorum acknowledged, in answer to something sent after the given moment, a log of the given length. */
-    private quorumSince(sentAfter: number, length: number): boolean {
-        const { voters } = this.newestVoters();
+    /** Whether a quorum acknowledged a log of at least the given length, in answer to a message sent at or after `sentAfter`. */
+    private quorumAcknowledgedSince(sentAfter: number, length: number): boolean {
+        const { voters } = this.latestMembership();
         const held = voters.filter(voter => {
             const last = this.acknowledged.get(voter);
             return voter === this.process.name
@@ -210,7 +210,7 @@
 
     private closeSilentSessions(now: number): void {
         for (const { session } of Object.values(this.state.view().sessions)) {
-            const heardAt = Math.max(this.leadingSince, this.hearing.session(session)?.heardAt ?? 0);
+            const heardAt = Math.max(this.leadingSince, this.liveness.session(session)?.heardAt ?? 0);
             const appended = this.log.slice(this.applied).some(entry => entry.command?.kind === "closeSession");
             if (now - heardAt > this.group.timing.sessionTimeout && !appended) {
                 this.append({ term: this.term, command: { kind: "closeSession", session, reason: "silent", at: 0 } });
@@ -218,29 +218,29 @@
         }
     }
 
-    private accept(now: number): void {
-        for (const [index, change] of this.unaccepted) {
-            if (change.readyAt === undefined && this.isInForce(index, change.committedAt, now)) {
-                change.readyAt = now;
+    private acceptChanges(now: number): void {
+        for (const [index, change] of this.pendingChanges) {
+            if (change.inForceAt === undefined && this.isInForce(index, change.committedAt, now)) {
+                change.inForceAt = now;
             }
-            if (change.readyAt !== undefined && this.quorumSince(change.readyAt, 0)) {
-                this.unaccepted.delete(index);
+            if (change.inForceAt !== undefined && this.quorumAcknowledgedSince(change.inForceAt, 0)) {
+                this.pendingChanges.delete(index);
                 this.group.accepted.add(index);
             }
         }
     }
 
     private isInForce(index: number, heldAt: number, now: number): boolean {
-        const { inForce, hearing, leadingSince } = this;
-        return inForce.status({ index, heldAt }, leadingSince, this.state.view(), hearing, now).kind === "inForce";
+        const { inForce, liveness, leadingSince } = this;
+        return inForce.status({ index, heldAt }, leadingSince, this.state.view(), liveness, now).kind === "inForce";
     }
 
-    private leaseAndDrift(): number {
+    private viewLeaseWithDrift(): number {
         return this.group.timing.viewLease * (1 + this.group.timing.clockDrift);
     }
 
-    private stand(now: number): void {
-        const { voters } = this.newestVoters();
+    private startElection(now: number): void {
+        const { voters } = this.latestMembership();
         if (!voters.includes(this.process.name)) {
             return;
         }
@@ -250,35 +250,35 @@
         this.votes = new Set([this.process.name]);
         const { term, log } = this;
         for (const voter of this.others()) {
-            this.tell(voter, () => voter.vote(this, term, log));
+            this.sendTo(voter, () => voter.handleVoteRequest(this, term, log));
         }
     }
 
-    private vote(candidate: Voter, term: number, log: readonly Entry[]): void {
+    private handleVoteRequest(candidate: Voter, term: number, log: readonly Entry[]): void {
         const now = this.process.monotonic();
-        const hasLeader = this.leading || now - this.leaderHeardAt < this.group.timing.electionTimeout;
+        const leaderIsAlive = this.leading || now - this.leaderHeardAt < this.group.timing.electionTimeout;
         const last = this.log.at(-1)!;
         const behind = log.at(-1)!.term < last.term || (log.at(-1)!.term === last.term && log.length < this.log.length);
-        if (this.silent() || hasLeader || term <= this.votedIn || term < this.term || behind) {
+        if (this.isInStartupSilence() || leaderIsAlive || term <= this.votedIn || term < this.term || behind) {
             return;
         }
         this.term = term;
         this.votedIn = term;
-        this.tell(candidate, () => candidate.counted(this.process.name, term));
+        this.sendTo(candidate, () => candidate.handleVote(this.process.name, term));
     }
 
-    private counted(voter: string, term: number): void {
-        if (this.leading || term !== this.term || this.silent()) {
+    private handleVote(voter: string, term: number): void {
+        if (this.leading || term !== this.term || this.isInStartupSilence()) {
             return;
         }
         this.votes.add(voter);
-        const { voters } = this.newestVoters();
+        const { voters } = this.latestMembership();
         if (voters.filter(name => this.votes.has(name)).length * 2 > voters.length) {
             this.leading = true;
             this.leadingSince = this.process.monotonic();
-            this.unaccepted.forEach(change => change.readyAt = undefined);
-            const granted = { sentAt: this.leadingSince, length: 0 };
-            this.acknowledged = new Map([...this.votes].map(name => [name, granted]));
+            this.pendingChanges.forEach(change => change.inForceAt = undefined);
+            const voteAcknowledgement = { sentAt: this.leadingSince, length: 0 };
+            this.acknowledged = new Map([...this.votes].map(name => [name, voteAcknowledgement]));
             this.append({ term });
         }
     }
@@ -291,12 +291,12 @@
             sentAt: this.process.monotonic(),
         };
         for (const voter of this.others()) {
-            this.tell(voter, () => voter.appended(this, append));
+            this.sendTo(voter, () => voter.handleAppend(this, append));
         }
     }
 
-    private appended(leader: Voter, append: Append): void {
-        if (this.silent() || append.term < this.term) {
+    private handleAppend(leader: Voter, append: Append): void {
+        if (this.isInStartupSilence() || append.term < this.term) {
             return;
         }
         this.term = append.term;
@@ -307,10 +307,10 @@
             this.appendTerm = append.term;
         }
         this.apply(Math.min(append.commit, this.log.length));
-        this.tell(leader, () => leader.acknowledge(this.process.name, append));
+        this.sendTo(leader, () => leader.handleAcknowledgement(this.process.name, append));
     }
 
-    private acknowledge(voter: string, append: Append): void {
+    private handleAcknowledgement(voter: string, append: Append): void {
         if (!this.leading || append.term !== this.term) {
             return;
         }
@@ -320,7 +320,7 @@
             length: Math.max(before.length, append.log.length),
         });
         for (let index = this.log.length; index > this.commit; index--) {
-            if (this.log[index - 1]!.term === this.term && this.quorumSince(0, index)) {
+            if (this.log[index - 1]!.term === this.term && this.quorumAcknowledgedSince(0, index)) {
                 this.commitUpTo(index);
             }
         }
@@ -330,7 +330,7 @@
         const now = this.process.monotonic();
         for (let index = this.commit + 1; index <= commit; index++) {
             const entry = this.log[index - 1]!;
-            this.group.noteCommit(index, entry.term);
+            this.group.checkCommit(index, entry.term);
             if (entry.voters !== undefined) {
                 this.votersCommittedAt = now;
             }
@@ -348,13 +348,13 @@
                 this.state.apply(this.applied + 1, command);
                 const after = this.openIncarnations();
                 if (command.kind === "openSession") {
-                    this.hearing.heardSession(command.session, { applied: 0, revision: 0 }, now);
+                    this.liveness.heardSession(command.session, { applied: 0, revision: 0 }, now);
                 }
                 if (before.some(session => !after.includes(session))) {
                     this.inForce.noteClosing(now);
                 }
-                // Followers remember too when they learned of a commit: one that is elected next may accept the change.
-                this.unaccepted.set(this.applied + 1, { committedAt: now, readyAt: undefined });
+                // Followers also record when they learned of a commit, as the next leader may have to accept the change.
+                this.pendingChanges.set(this.applied + 1, { committedAt: now, inForceAt: undefined });
             }
         }
     }
@@ -363,12 +363,12 @@
         return this.openSessions().map(session => JSON.stringify(session));
     }
 
-    /** A voter takes no part for a while after its start, so that a refused connection proves something. */
-    private silent(): boolean {
+    /** A restarted voter doesn't vote, append or campaign for two election timeouts, so that a refused connection is evidence. */
+    private isInStartupSilence(): boolean {
         return this.process.monotonic() - this.startedAt < 2 * this.group.timing.electionTimeout;
     }
 
-    private newestVoters(): { readonly at: number; readonly voters: readonly string[]; } {
+    private latestMembership(): { readonly at: number; readonly voters: readonly string[]; } {
         const at = this.log.findLastIndex(entry => entry.voters !== undefined);
         return { at, voters: this.log[at]!.voters! };
     }
@@ -377,9 +377,9 @@
         return this.group.voters.filter(voter => voter !== this);
     }
 
-    private tell(other: Voter, action: () => void): void {
+    private sendTo(other: Voter, action: () => void): void {
         const { process } = other;
         const world: World = this.process.world;
-        world.carry(this.process, process, () => process.perform(process.start, action));
+        world.deliver(this.process, process, () => process.runUnlessRestarted(process.start, action));
     }
 }
--- a/simulation/view/world.ts
+++ b/simulation/view/world.ts
@@ -1,4 +1,4 @@
-/** A fake world for random runs: one true time, processes with clocks of their own, and a network that fails. */
+/** Discrete-event simulation for random runs: one global time, processes with drifting clocks, and a lossy network. */
 import { type Either, Left, Right } from "purify-ts";
 import TinyQueue from "tinyqueue";
 import { Link, type LinkFailure, Network } from "../../packages/basilpaddle/src/node/transport/index.js";
@@ -8,10 +8,10 @@
 
 export class World {
     now = 0;
-    /** Events that happened. */
+    /** Number of processed events. */
     steps = 0;
-    /** Part of the messages that get lost. */
-    loss = 0;
+    /** Fraction of the messages that are lost. */
+    lossFraction = 0;
     readonly randomness: SeededRandomness;
     private readonly cuts = new Map<string, number>();
     private readonly events = new TinyQueue<Event>([], (a, b) => a.time - b.time || a.order - b.order);
@@ -25,15 +25,15 @@
         this.events.push({ time: Math.max(time, this.now), order: this.order++, action });
     }
 
-    /** Loses what goes from one process to the other for a while. */
+    /** Drops messages from one process to the other for `duration` milliseconds. */
     cut(from: string, to: string, duration: number): void {
         this.cuts.set(`${from}>${to}`, this.now + duration);
     }
 
-    /** Brings a message from one process to another, late, or never. */
-    carry(from: Process, to: Process, action: () => void): void {
+    /** Delivers a message from one process to another after a random delay, unless it is lost. */
+    deliver(from: Process, to: Process, action: () => void): void {
         const cut = (): boolean => (this.cuts.get(`${from.name}>${to.name}`) ?? 0) > this.now;
-        if (cut() || this.randomness.fraction() < this.loss) {
+        if (cut() || this.randomness.fraction() < this.lossFraction) {
             return;
         }
         const delay = 0.5 + 4 * this.randomness.fraction() ** 4 * (this.randomness.fraction() < 0.05 ? 100 : 1);
@@ -44,33 +44,33 @@
         });
     }
 
-    /** Goes on until the given time; promises settle between two events. */
+    /** Processes events until the given time; promises settle between two events. */
     async run(until: number): Promise<void> {
         for (let next = this.events.peek(); next !== undefined && next.time <= until; next = this.events.peek()) {
             this.events.pop();
             this.steps++;
             this.now = next.time;
             next.action();
-            await settle();
+            await drainMicrotasks();
         }
         this.now = until;
     }
 }
 
-/** Lets every promise that can settle do so: the longest chain between two events is far shorter. */
-async function settle(): Promise<void> {
+/** Settles all promises that can: the longest chain of promises between two events is far shorter than the loop. */
+async function drainMicrotasks(): Promise<void> {
     for (let turn = 0; turn < 12; turn++) {
         await Promise.resolve();
     }
 }
 
-/** A process that crashes, starts again, freezes, and has a clock that runs a little fast or slow. */
+/** A process that can crash, restart and freeze, and whose clock runs slightly fast or slow. */
 export class Process extends Clock {
     alive = true;
-    /** Counts the starts. */
+    /** Number of restarts. */
     start = 0;
     private frozenUntil = 0;
-    private waiting: (() => void)[] = [];
+    private deferred: (() => void)[] = [];
 
     constructor(readonly world: World, readonly name: string, private readonly rate: number) {
         super();
@@ -88,22 +88,22 @@
         const { start } = this;
         let cancelled = false;
         this.world.at(this.world.now + milliseconds / this.rate, () => {
-            this.perform(start, () => cancelled || callback());
+            this.runUnlessRestarted(start, () => cancelled || callback());
         });
         return () => cancelled = true;
     }
 
-    frozen(): boolean {
+    isFrozen(): boolean {
         return this.world.now < this.frozenUntil;
     }
 
-    /** Runs the action in this process unless it has ended since the given start; a frozen one does so when it wakes. */
-    perform(start: number, action: () => void): void {
+    /** Runs the action unless the process has crashed or restarted since the given start; defers it while frozen. */
+    runUnlessRestarted(start: number, action: () => void): void {
         if (!this.alive || start !== this.start) {
             return;
         }
-        if (this.frozen()) {
-            this.waiting.push(() => this.perform(start, action));
+        if (this.isFrozen()) {
+            this.deferred.push(() => this.runUnlessRestarted(start, action));
             return;
         }
         action();
@@ -112,10 +112,10 @@
     freeze(duration: number): void {
         this.frozenUntil = Math.max(this.frozenUntil, this.world.now + duration);
         this.world.at(this.frozenUntil, () => {
-            if (!this.frozen()) {
-                const { waiting } = this;
-                this.waiting = [];
-                waiting.forEach(action => action());
+            if (!this.isFrozen()) {
+                const { deferred } = this;
+                this.deferred = [];
+                deferred.forEach(action => action());
             }
         });
     }
@@ -123,7 +123,7 @@
     crash(): void {
         this.alive = false;
         this.frozenUntil = 0;
-        this.waiting = [];
+        this.deferred = [];
     }
 
     restart(): void {
@@ -132,48 +132,48 @@
     }
 }
 
-/** A process that answers requests over links. */
-export type Answerer = { readonly process: Process; answer(body: unknown, reply: (answer: unknown) => void): void; };
+/** A simulated process that answers requests over links. */
+export type Server = { readonly process: Process; answer(body: unknown, reply: (answer: unknown) => void): void; };
 
 export class FakeNetwork extends Network {
-    constructor(private readonly client: Process, private readonly servers: readonly Answerer[]) {
+    constructor(private readonly client: Process, private readonly servers: readonly Server[]) {
         super();
     }
 
-    /** The port is the place in the list of servers. */
+    /** The port is the index in the list of servers. */
     override link(address: { readonly port: number; }): Link {
         return new FakeLink(this.client, this.servers[address.port]!);
     }
 }
 
 class FakeLink extends Link {
-    private readonly waiting = new Set<(answer: Either<LinkFailure, unknown>) => void>();
+    private readonly pending = new Set<(answer: Either<LinkFailure, unknown>) => void>();
 
-    constructor(private readonly client: Process, private readonly server: Answerer) {
+    constructor(private readonly client: Process, private readonly server: Server) {
         super();
     }
 
     override request(body: unknown, timeout: number): Promise<Either<LinkFailure, unknown>> {
         return new Promise(resolve => {
             const settle = (answer: Either<LinkFailure, unknown>): void => {
-                this.waiting.delete(settle);
+                this.pending.delete(settle);
                 resolve(answer);
             };
-            this.waiting.add(settle);
+            this.pending.add(settle);
             const fail = (kind: LinkFailure["kind"]) => (): void => settle(Left({ kind, message: kind }));
             const { process } = this.server;
             this.client.after(timeout, fail("timeout"));
             const back = (action: () => void): void => {
                 const { start } = this.client;
-                this.client.world.carry(process, this.client, () => this.client.perform(start, action));
+                this.client.world.deliver(process, this.client, () => this.client.runUnlessRestarted(start, action));
             };
-            this.client.world.carry(this.client, process, () => {
+            this.client.world.deliver(this.client, process, () => {
                 if (!process.alive) {
                     back(fail("refused"));
                     return;
                 }
                 const reply = (answer: unknown): void => back(() => settle(Right(answer)));
-                process.perform(process.start, () => this.server.answer(body, reply));
+                process.runUnlessRestarted(process.start, () => this.server.answer(body, reply));
             });
         });
     }
@@ -183,6 +183,6 @@
     }
 
     override close(): void {
-        this.waiting.forEach(settle => settle(Left({ kind: "closed", message: "closed" })));
+        this.pending.forEach(settle => settle(Left({ kind: "closed", message: "closed" })));
     }
 }
