--- a/simulation/agreement/fault.ts
+++ b/simulation/agreement/fault.ts
@@ -12,14 +12,15 @@
     "handOver",
 ] as const;
 
-/** Something that goes wrong for a while. */
+/** A temporary fault. */
 export type Fault = {
     readonly kind: (typeof kinds)[number];
-    /** Milliseconds after the fault before; with 0 both come at once. */
+    /** Milliseconds after the previous fault; 0 injects both at the same time. */
     readonly after: number;
+    /** Duration in milliseconds. */
     readonly lasting: number;
     readonly host: number;
-    /** The far end, where the fault has one. */
+    /** The second host, for faults between two hosts. */
     readonly other: number;
 };
 
@@ -30,7 +31,7 @@
     fc.integer({ min: 1_500, max: 6_000 }),
 );
 
-/** A run: its seed, the number of hosts, and what goes wrong. */
+/** Arbitrary for runs: the seed, the number of hosts, and the faults. */
 export const runs = fc.record({
     seed: fc.integer({ min: 1, max: 0x7fff_ffff }),
     size: fc.constantFrom(3, 3, 5),
@@ -46,5 +47,5 @@
     ),
 });
 
-/** What describes one run. */
+/** Parameters of one run. */
 export type Run = { readonly seed: number; readonly size: number; readonly faults: readonly Fault[]; };
--- a/simulation/agreement/host.ts
+++ b/simulation/agreement/host.ts
@@ -8,15 +8,15 @@
 import { step } from "../../packages/basilpaddle/src/node/coordination/agreement/step.js";
 import { recover } from "../../packages/basilpaddle/src/node/coordination/agreement/storage.js";
 import type { Randomness } from "../../packages/basilpaddle/src/node/utils/index.js";
-import { type Checks, type Durable, hold, nextDigest } from "./checks.js";
+import { assertInvariant, type DurableState, type InvariantChecker, nextDigest } from "./checks.js";
 
-/** The default times of a deployment. */
+/** The default timing of a deployment. */
 export const timing = { heartbeatInterval: 100, electionTimeout: 600, viewLease: 1_500, clockDrift: 0.02 };
-/** Few entries between snapshots and small chunks, so that both are met often. */
-const compactAfter = 25;
-const entriesKept = 8;
+/** Few entries between snapshots and small chunks, so that snapshots and their transfer in chunks are exercised often. */
+const compactAfterEntries = 25;
+const entriesKeptAfterCompaction = 8;
 const chunkBytes = 40;
-/** Entries of two terms seldom come in one message, so that one of them can be missing. */
+/** One entry for each message, so that entries of two terms seldom share one and one of them can be missing. */
 const batchEntries = 1;
 
 type Write = Extract<Effect, { kind: "write" | "save"; }>;
@@ -28,34 +28,34 @@
     digest: string;
     readonly confirmations: Map<number, { readonly term: number; readonly askedAt: number; }>;
 };
-/** What a host asks of the world around it. */
-export type Surroundings = {
+/** The simulated clock, network and disk that a host uses. */
+export type HostEnvironment = {
     readonly now: () => number;
     readonly send: (from: Host, to: string, message: Extract<Effect, { kind: "send"; }>["message"]) => void;
     readonly written: (host: Host, process: Process, write: Write) => void;
 };
 
-/** A host with its disk, and at times a process. */
+/** A host with its disk, and a process while it runs. */
 export class Host {
     process: Process | undefined;
     identity: string;
-    durable: Durable;
-    /** A disk that was lost. */
-    away: { readonly identity: string; readonly durable: Durable; } | undefined;
-    /** Writes on their way to the disk. */
+    durable: DurableState;
+    /** The disk that was replaced, which can be reattached. */
+    detachedDisk: { readonly identity: string; readonly durable: DurableState; } | undefined;
+    /** Writes that aren't on disk yet, in order. */
     pending: Write[] = [];
     frozenUntil = 0;
-    diskFreeAt = 0;
+    diskIdleAt = 0;
     slowDiskUntil = 0;
-    /** Its own monotonic clock starts anywhere. */
+    /** Offset of its monotonic clock, which starts at a random value. */
     private readonly clockOffset: number;
 
     private constructor(
         readonly name: string,
         private readonly names: readonly string[],
-        private readonly checks: Checks,
+        private readonly checks: InvariantChecker,
         private readonly randomness: Randomness,
-        private readonly surroundings: Surroundings,
+        private readonly surroundings: HostEnvironment,
     ) {
         this.identity = `${name}#test`;
         this.durable = emptyDisk(this.identity, { voters: names.map(other => `${other}#test`), learners: [] });
@@ -65,9 +65,9 @@
     static create(
         name: string,
         names: readonly string[],
-        checks: Checks,
+        checks: InvariantChecker,
         randomness: Randomness,
-        surroundings: Surroundings,
+        surroundings: HostEnvironment,
     ): Host {
         return new Host(name, names, checks, randomness, surroundings);
     }
@@ -89,41 +89,44 @@
         };
     }
 
-    /** Ends the process. Of what was on its way to the disk, any part of the front may have got there. */
+    /** Ends the process. A random prefix of the pending writes reaches the disk, and the next one possibly in part. */
     kill(): void {
         this.process = undefined;
-        const arrived = this.pending.splice(0, this.randomness.integer(0, this.pending.length));
-        arrived.forEach(write => this.store(write));
-        const [torn] = this.pending;
-        if (torn?.kind === "write") {
-            this.store({ ...torn, records: torn.records.slice(0, this.randomness.integer(0, torn.records.length)) });
+        const completed = this.pending.splice(0, this.randomness.integer(0, this.pending.length));
+        completed.forEach(write => this.store(write));
+        const [partialWrite] = this.pending;
+        if (partialWrite?.kind === "write") {
+            this.store({
+                ...partialWrite,
+                records: partialWrite.records.slice(0, this.randomness.integer(0, partialWrite.records.length)),
+            });
         }
-        else if (torn?.kind === "save" && this.randomness.integer(0, 1) === 1) {
-            this.durable.snapshot = torn.snapshot;
+        else if (partialWrite?.kind === "save" && this.randomness.integer(0, 1) === 1) {
+            this.durable.snapshot = partialWrite.snapshot;
         }
         this.pending = [];
-        this.diskFreeAt = 0;
+        this.diskIdleAt = 0;
     }
 
-    /** Ends the process, and its disk comes back empty: the next start has another identity. */
+    /** Ends the process and replaces the disk by an empty one, so that the next start has a new identity. */
     loseDisk(): void {
         this.kill();
-        this.away = { identity: this.identity, durable: this.durable };
+        this.detachedDisk = { identity: this.identity, durable: this.durable };
         this.identity = `${this.name}#${this.randomness.identifier()}`;
         this.durable = emptyDisk(this.identity, { voters: [], learners: [] });
     }
 
-    /** The disk that was lost before comes back, with the identity on it; the present one goes. */
-    bringBackDisk(): void {
+    /** Ends the process and swaps the disk for the one that was replaced before, which has its own identity. */
+    reattachDisk(): void {
         this.kill();
         const { identity, durable } = this;
-        this.identity = this.away!.identity;
-        this.durable = this.away!.durable;
-        this.away = { identity, durable };
+        this.identity = this.detachedDisk!.identity;
+        this.durable = this.detachedDisk!.durable;
+        this.detachedDisk = { identity, durable };
     }
 
-    /** The first write on its way to the disk has got there. */
-    writeArrived(): Write {
+    /** Stores the oldest pending write and returns it. */
+    completeWrite(): Write {
         const write = this.pending.shift()!;
         this.store(write);
         return write;
@@ -131,24 +134,24 @@
 
     handle(event: AgreementEvent): void {
         const process = this.process!;
-        step(process.state, event, this.clock()).forEach(effect => this.carryOut(process, effect));
-        if (process.applied - (process.state.snapshot?.description.index ?? 0) >= compactAfter) {
+        step(process.state, event, this.clock()).forEach(effect => this.executeEffect(process, effect));
+        if (process.applied - (process.state.snapshot?.description.index ?? 0) >= compactAfterEntries) {
             const data = Buffer.from(process.digest, "hex");
-            this.handle({ kind: "compact", index: process.applied, data, keep: entriesKept });
+            this.handle({ kind: "compact", index: process.applied, data, keep: entriesKeptAfterCompaction });
         }
     }
 
-    /** This host's clock at a time of the world. */
+    /** The current time of this host's clock. */
     clock(): number {
         return this.surroundings.now() + this.clockOffset;
     }
 
-    /** The time of the world at a time of this host's clock. */
-    worldTime(clock: number): number {
+    /** Converts a time of this host's clock to simulated time. */
+    simulatedTime(clock: number): number {
         return clock - this.clockOffset;
     }
 
-    private carryOut(process: Process, effect: Effect): void {
+    private executeEffect(process: Process, effect: Effect): void {
         switch (effect.kind) {
             case "write":
             case "save":
@@ -156,7 +159,10 @@
                 this.surroundings.written(this, process, effect);
                 return;
             case "restore":
-                hold(effect.snapshot.description.index > process.applied, "a snapshot led back");
+                assertInvariant(
+                    effect.snapshot.description.index > process.applied,
+                    "a snapshot isn't newer than the applied state",
+                );
                 process.applied = effect.snapshot.description.index;
                 process.digest = digestOf(effect.snapshot.data);
                 this.checks.digest(process.applied, process.digest);
@@ -175,7 +181,7 @@
                 return;
             case "leadership":
                 if (effect.leading) {
-                    this.checks.leads(this.identity, process.state.term, this.surroundings.now());
+                    this.checks.becameLeader(this.identity, process.state.term, this.surroundings.now());
                 }
                 return;
             case "confirmed": {
@@ -194,7 +200,7 @@
     private check(process: Process, effect: Extract<Effect, { kind: "send"; }>): void {
         this.checks.sent(this.identity, effect.to, effect.message, this.durable);
         const age = this.surroundings.now() - process.startedAt;
-        hold(age >= 2 * timing.electionTimeout, `${this.identity} takes part ${age} ms after its start`);
+        assertInvariant(age >= 2 * timing.electionTimeout, `${this.identity} sends messages ${age} ms after its start`);
     }
 
     private store(write: Write): void {
@@ -206,7 +212,7 @@
     }
 }
 
-function emptyDisk(owner: string, membership: Membership): Durable {
+function emptyDisk(owner: string, membership: Membership): DurableState {
     const records: LogRecord[] = [{ kind: "base", owner, base: { index: 0, term: 0, membership, view: 0 } }];
     return { records, snapshot: undefined };
 }
--- a/simulation/agreement/runs.ts
+++ b/simulation/agreement/runs.ts
@@ -3,7 +3,7 @@
 import { type Run, runs } from "./fault.js";
 import { World } from "./world.js";
 
-/** The agreement protocol keeps its promises under random faults, and the group gets whole again. */
+/** Property: the agreement protocol keeps its invariants under random faults, and the group recovers afterwards. */
 export function agreementRuns(tally = new Tally()): ReturnType<typeof fc.property<[Run]>> {
     return fc.property(runs, ({ seed, size, faults }) => {
         tally.add(World.create(seed, size).run(faults));
--- a/simulation/agreement/world.ts
+++ b/simulation/agreement/world.ts
@@ -2,24 +2,27 @@
 import { nameOf } from "../../packages/basilpaddle/src/node/coordination/agreement/entry.js";
 import { deadline } from "../../packages/basilpaddle/src/node/coordination/agreement/step.js";
 import { SeededRandomness } from "../../packages/basilpaddle/src/node/utils/index.js";
-import { Checks, hold } from "./checks.js";
+import { assertInvariant, InvariantChecker } from "./checks.js";
 import type { Fault } from "./fault.js";
 import { Host, type Process } from "./host.js";
 
-type Happening = { readonly at: number; readonly order: number; readonly run: () => void; };
+type ScheduledEvent = { readonly at: number; readonly order: number; readonly run: () => void; };
 
-/** Simulated milliseconds after the last fault within which the group must be whole again. */
-const recoveryLimit = 60_000;
+/** Simulated time after the last fault within which the group must recover. */
+const recoveryLimitMilliseconds = 60_000;
 
 /** Hosts, their network and their disks under one simulated clock. The same seed and faults give the same run. */
 export class World {
-    private readonly queue = new TinyQueue<Happening>([], (one, other) => one.at - other.at || one.order - other.order);
+    private readonly queue = new TinyQueue<ScheduledEvent>(
+        [],
+        (one, other) => one.at - other.at || one.order - other.order,
+    );
     private readonly randomness;
-    private readonly checks = Checks.create();
+    private readonly checks = InvariantChecker.create();
     private readonly hosts: Host[];
     private readonly cuts = new Map<string, number>();
-    private readonly wakes = new Map<Process, number>();
-    private roughUntil = 0;
+    private readonly tickTimes = new Map<Process, number>();
+    private degradedUntil = 0;
     private now = 0;
     private order = 0;
     private token = 0;
@@ -34,7 +37,7 @@
                     const identity = from.identity;
                     this.deliver(from.name, nameOf(to), () => ({ kind: "message", from: identity, message }), to);
                 },
-                written: (host, process) => this.diskWorks(host, process),
+                written: (host, process) => this.scheduleDiskWrite(host, process),
             });
         });
     }
@@ -43,29 +46,32 @@
         return new World(seed, ["a", "b", "c", "d", "e"].slice(0, size));
     }
 
-    /** Plays the faults, then mends everything, and sees that the group gets whole again. Gives the steps made. */
+    /** Injects the faults, heals them all, and checks that the group recovers. Returns the number of handled events. */
     run(faults: readonly Fault[]): number {
         this.hosts.forEach(host => this.start(host));
         this.propose();
         let at = 3_000;
         for (const fault of faults) {
             at += fault.after;
-            this.at(at, () => this.inflict(fault));
+            this.at(at, () => this.inject(fault));
         }
         this.runUntil(at + 4_000, () => false);
-        this.mend();
-        const end = this.now + recoveryLimit;
-        this.runUntil(end, () => this.isWhole());
-        hold(this.isWhole(), `the group isn't whole ${recoveryLimit} ms after the last fault: ${this.describe()}`);
+        this.healAllFaults();
+        const end = this.now + recoveryLimitMilliseconds;
+        this.runUntil(end, () => this.isRecovered());
+        assertInvariant(
+            this.isRecovered(),
+            `the group hasn't recovered ${recoveryLimitMilliseconds} ms after the last fault: ${this.describe()}`,
+        );
         return this.stepCount;
     }
 
     private runUntil(end: number, done: () => boolean): void {
-        for (let looked = 0; this.queue.length > 0 && this.queue.peek()!.at <= end; looked += 1) {
+        for (let eventCount = 0; this.queue.length > 0 && this.queue.peek()!.at <= end; eventCount += 1) {
             const next = this.queue.pop()!;
             this.now = next.at;
             next.run();
-            if (looked % 50 === 0 && done()) {
+            if (eventCount % 50 === 0 && done()) {
                 return;
             }
         }
@@ -79,11 +85,11 @@
     private start(host: Host): void {
         if (host.process === undefined) {
             host.start();
-            this.watchDeadline(host, host.process!);
+            this.scheduleTick(host, host.process!);
         }
     }
 
-    /** Hands an event to a process once it isn't frozen, unless it has ended by then. */
+    /** Passes an event to a process, delayed while its host is frozen; drops it if the process has ended. */
     private handle(host: Host, process: Process, makeEvent: () => Parameters<Host["handle"]>[0]): void {
         if (host.process !== process) {
             return;
@@ -94,53 +100,53 @@
         }
         this.stepCount += 1;
         host.handle(makeEvent());
-        this.watchDeadline(host, process);
+        this.scheduleTick(host, process);
     }
 
-    private watchDeadline(host: Host, process: Process): void {
-        const due = Math.max(host.worldTime(deadline(process.state)), this.now + 1);
-        if (due >= (this.wakes.get(process) ?? Number.POSITIVE_INFINITY)) {
+    private scheduleTick(host: Host, process: Process): void {
+        const due = Math.max(host.simulatedTime(deadline(process.state)), this.now + 1);
+        if (due >= (this.tickTimes.get(process) ?? Number.POSITIVE_INFINITY)) {
             return;
         }
-        this.wakes.set(process, due);
+        this.tickTimes.set(process, due);
         this.at(due, () => {
-            if (this.wakes.get(process) === due) {
-                this.wakes.delete(process);
+            if (this.tickTimes.get(process) === due) {
+                this.tickTimes.delete(process);
                 this.handle(host, process, () => ({ kind: "tick" }));
             }
         });
     }
 
     private deliver(from: string, to: string, makeEvent: () => Parameters<Host["handle"]>[0], receiver: string): void {
-        const rough = this.now < this.roughUntil;
-        if ((this.cuts.get(`${from}>${to}`) ?? 0) > this.now || (rough && this.randomness.fraction() < 0.1)) {
+        const isDegraded = this.now < this.degradedUntil;
+        if ((this.cuts.get(`${from}>${to}`) ?? 0) > this.now || (isDegraded && this.randomness.fraction() < 0.1)) {
             return;
         }
-        const copies = this.randomness.fraction() < (rough ? 0.2 : 0.01) ? 2 : 1;
+        const copies = this.randomness.fraction() < (isDegraded ? 0.2 : 0.01) ? 2 : 1;
         for (let copy = 0; copy < copies; copy += 1) {
-            const delay = 1 + this.randomness.fraction() * (rough ? 400 : 4);
+            const delay = 1 + this.randomness.fraction() * (isDegraded ? 400 : 4);
             this.at(this.now + delay, () => {
                 const host = this.hosts.find(other => other.name === to)!;
-                const addressed = receiver === host.identity || receiver === host.name;
-                if (host.process !== undefined && addressed) {
+                const isAddressed = receiver === host.identity || receiver === host.name;
+                if (host.process !== undefined && isAddressed) {
                     this.handle(host, host.process, makeEvent);
                 }
             });
         }
     }
 
-    private diskWorks(host: Host, process: Process): void {
+    private scheduleDiskWrite(host: Host, process: Process): void {
         const slow = this.now < host.slowDiskUntil ? 300 : 2;
-        host.diskFreeAt = Math.max(host.diskFreeAt, this.now) + 0.1 + this.randomness.fraction() * slow;
-        this.at(host.diskFreeAt, () => {
+        host.diskIdleAt = Math.max(host.diskIdleAt, this.now) + 0.1 + this.randomness.fraction() * slow;
+        this.at(host.diskIdleAt, () => {
             if (host.process === process) {
-                const { write } = host.writeArrived();
+                const { write } = host.completeWrite();
                 this.handle(host, process, () => ({ kind: "synced", write }));
             }
         });
     }
 
-    /** Proposes now and then where somebody believes that it leads, and asks it to confirm that. */
+    /** Proposes at random intervals to every host that believes it leads, and sometimes asks it to confirm its leadership. */
     private propose(): void {
         const leaders = this.hosts.filter(host => host.process?.state.leadership !== undefined);
         for (const host of leaders) {
@@ -150,17 +156,17 @@
             const kind = this.randomness.fraction() < 0.3 ? "viewCommand" : "command";
             this.handle(host, process, () => ({ kind: "propose", proposals: [{ token, kind, data }] }));
             if (this.randomness.fraction() < 0.3) {
-                this.askForConfirmation(host, process);
+                this.requestConfirmation(host, process);
             }
         }
         this.at(this.now + 5 + this.randomness.fraction() * 80, () => this.propose());
     }
 
-    private askForConfirmation(host: Host, process: Process): void {
+    private requestConfirmation(host: Host, process: Process): void {
         this.handle(host, process, () => {
-            const question = this.nextToken();
-            process.confirmations.set(question, { term: process.state.term, askedAt: this.now });
-            return { kind: "confirm", token: question };
+            const confirmToken = this.nextToken();
+            process.confirmations.set(confirmToken, { term: process.state.term, askedAt: this.now });
+            return { kind: "confirm", token: confirmToken };
         });
     }
 
@@ -169,7 +175,7 @@
         return this.token;
     }
 
-    private inflict(fault: Fault): void {
+    private inject(fault: Fault): void {
         const host = this.hosts[fault.host % this.hosts.length]!;
         const until = this.now + fault.lasting;
         switch (fault.kind) {
@@ -178,14 +184,14 @@
                 this.at(until, () => this.start(host));
                 return;
             case "loseDisk":
-                if (this.mayLoseDisk(host)) {
+                if (this.canTolerateDiskLoss(host)) {
                     host.loseDisk();
                     this.at(until, () => this.start(host));
                 }
                 return;
             case "bringBackDisk":
-                if (host.away !== undefined && this.mayLoseDisk(host)) {
-                    host.bringBackDisk();
+                if (host.detachedDisk !== undefined && this.canTolerateDiskLoss(host)) {
+                    host.reattachDisk();
                     this.at(until, () => this.start(host));
                 }
                 return;
@@ -202,7 +208,7 @@
                 host.frozenUntil = Math.max(host.frozenUntil, until);
                 return;
             case "roughNetwork":
-                this.roughUntil = Math.max(this.roughUntil, until);
+                this.degradedUntil = Math.max(this.degradedUntil, until);
                 return;
             case "slowDisk":
                 host.slowDiskUntil = Math.max(host.slowDiskUntil, until);
@@ -215,11 +221,11 @@
         }
     }
 
-    /** The one time at which two replicas may believe that they lead: the old one is asked again and again. */
+    /** Hands over leadership. Only then may two replicas believe that they lead, so the old leader is asked repeatedly to confirm. */
     private handOver(host: Host, process: Process): void {
         this.handle(host, process, () => ({ kind: "handOver" }));
         for (let after = 1; after <= 20; after += 1) {
-            this.at(this.now + after, () => this.askForConfirmation(host, process));
+            this.at(this.now + after, () => this.requestConfirmation(host, process));
         }
     }
 
@@ -229,15 +235,15 @@
     }
 
     /**
-     * Whether the group can stand the loss: no membership that any replica goes by may lack more disks than a quorum
-     * can spare. Beyond that committed entries can be gone for good, whatever the protocol does.
+     * Whether the group tolerates the loss of a disk: in the membership that each replica uses, a quorum must keep its disks.
+     * Beyond that, committed entries can be lost with any protocol.
      */
-    private mayLoseDisk(host: Host): boolean {
-        const present = this.hosts.filter(other => other !== host).map(other => other.identity);
+    private canTolerateDiskLoss(host: Host): boolean {
+        const remainingIdentities = this.hosts.filter(other => other !== host).map(other => other.identity);
         return this.hosts.every(other => {
             const voters = this.votersOf(other);
-            const spare = voters.length - (Math.floor(voters.length / 2) + 1);
-            return voters.filter(voter => !present.includes(voter)).length <= spare;
+            const tolerableLosses = voters.length - (Math.floor(voters.length / 2) + 1);
+            return voters.filter(voter => !remainingIdentities.includes(voter)).length <= tolerableLosses;
         });
     }
 
@@ -251,9 +257,9 @@
         return voters;
     }
 
-    private mend(): void {
+    private healAllFaults(): void {
         this.cuts.clear();
-        this.roughUntil = 0;
+        this.degradedUntil = 0;
         this.hosts.forEach(host => {
             host.frozenUntil = 0;
             host.slowDiskUntil = 0;
@@ -261,14 +267,14 @@
         });
     }
 
-    private isWhole(): boolean {
+    private isRecovered(): boolean {
         const identities = this.hosts.map(host => host.identity);
         const leads = this.hosts.some(host => host.process?.state.leadership !== undefined);
         return leads && this.hosts.every(host => {
             const { state, applied } = host.process!;
             const voters = state.log.membership.voters;
             const complete = voters.length === identities.length && identities.every(each => voters.includes(each));
-            return complete && applied >= this.checks.highest - entriesBehind;
+            return complete && applied >= this.checks.highestApplied - maxLagEntries;
         });
     }
 
@@ -282,5 +288,5 @@
     }
 }
 
-/** Entries by which a replica in step may be behind while commands keep coming. */
-const entriesBehind = 3;
+/** Entries that an up-to-date replica may lag behind while commands continue to arrive. */
+const maxLagEntries = 3;
