--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantine.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantine.ts
@@ -122,8 +122,8 @@
 
     /** The crashes that count against a request: all but those of phases "late" and "whole" that are attributed to another one. */
     private countedCrashes(digest: string): readonly KnownCrash[] {
-        const standing = this.histories.peek(digest)?.activeCrashes() ?? [];
-        return standing.filter(({ server, phase }) => {
+        const activeCrashes = this.histories.peek(digest)?.activeCrashes() ?? [];
+        return activeCrashes.filter(({ server, phase }) => {
             const culprit = this.culprits.peek(server);
             return phase === "early" || culprit === undefined || culprit === digest;
         });
--- a/packages/basilpaddle/src/node/coordination/scheduling/admission.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/admission.ts
@@ -51,52 +51,52 @@
     }
 
     /** Queues a request, or returns its refusal. */
-    admit(demand: Demand, rules: PoolRules | undefined, now: number): Decision | undefined {
+    admit(request: Demand, rules: PoolRules | undefined, now: number): Decision | undefined {
         const { queue, modelEngineIndex: engineIndex, shares } = this.parts;
-        const crew = engineIndex.enginesFor(demand);
-        if (crew.prefill.length === 0 || crew.decode.length === 0) {
-            const role = crew.prefill.length === 0 ? "prefill" : "decode";
-            const message = `pool ${demand.pool} has no ready ${role} engine for ${demand.model}`;
-            return refuse(demand, "noBackend", message, noEngineRetryMilliseconds);
+        const modelEngines = engineIndex.enginesFor(request);
+        if (modelEngines.prefill.length === 0 || modelEngines.decode.length === 0) {
+            const role = modelEngines.prefill.length === 0 ? "prefill" : "decode";
+            const message = `pool ${request.pool} has no ready ${role} engine for ${request.model}`;
+            return refuse(request, "noBackend", message, noEngineRetryMilliseconds);
         }
-        const limit = this.limitRefusal(demand, rules);
+        const limit = this.limitRefusal(request, rules);
         if (limit !== undefined) {
             return limit;
         }
-        const times = this.expectedTimes(demand, crew, now);
-        const onTime = this.queueEntry(demand, times, false, now);
+        const times = this.expectedTimes(request, modelEngines, now);
+        const onTime = this.queueEntry(request, times, false, now);
         const ahead = this.queuedAheadOf(queue.positionOf(onTime.key));
         const refuses = rules?.pool.weighting === "goodput";
-        const expected = this.expectedFirstToken(demand, crew, ahead, times, refuses, now);
+        const expected = this.expectedFirstToken(request, modelEngines, ahead, times, refuses, now);
         const verdict = this.verdict(onTime, expected, this.parts.tuning.admission, times, rules, now);
         if (verdict === "refuse") {
-            return this.targetRefusal(demand, expected);
+            return this.targetRefusal(request, expected);
         }
-        const organisation = rules?.organisations[demand.organisation] ?? rules?.anyOrganisation;
+        const organisation = rules?.organisations[request.organisation] ?? rules?.anyOrganisation;
         const shareStart = organisation === undefined
             ? 0
-            : shares.charge(demand.organisation, organisation, poolMilliseconds(demand, crew, times.work));
-        const waiting = verdict === "late" ? this.queueEntry(demand, times, true, now) : onTime;
+            : shares.charge(request.organisation, organisation, poolMilliseconds(request, modelEngines, times.work));
+        const waiting = verdict === "late" ? this.queueEntry(request, times, true, now) : onTime;
         queue.add({ ...waiting, shareStart });
         return undefined;
     }
 
     private expectedFirstToken(
-        demand: Demand,
-        crew: ModelEngines,
+        request: Demand,
+        modelEngines: ModelEngines,
         ahead: QueuedAhead,
         times: PhaseTimes,
         refuses: boolean,
         now: number,
     ): number {
         const { forecast, shares } = this.parts;
-        const standing = forecast.status(crew, now);
-        const next = forecast.firstTokenIn(demand, crew, standing, emptyQueueAhead, times);
-        const queued = forecast.firstTokenIn(demand, crew, standing, ahead, times) - next;
+        const currentLoad = forecast.status(modelEngines, now);
+        const next = forecast.firstTokenIn(request, modelEngines, currentLoad, emptyQueueAhead, times);
+        const queued = forecast.firstTokenIn(request, modelEngines, currentLoad, ahead, times) - next;
         // Later arrivals of organisations within their share overtake a request whose organisation is over its share.
         // Without this the request is admitted, overtaken, and refused only after it has waited.
-        const lag = refuses ? shares.lag(demand.organisation) : 0;
-        const overtaking = Math.min(1, lag / Math.max(1, demand.firstTokenWithin));
+        const lag = refuses ? shares.lag(request.organisation) : 0;
+        const overtaking = Math.min(1, lag / Math.max(1, request.firstTokenWithin));
         return next + queued * (1 + overtaking);
     }
 
@@ -108,26 +108,26 @@
         const refusals: Decision[] = [];
         let requestsAhead = 0;
         let work = 0;
-        const standings = new Map<ModelEngines, ModelEnginesStatus>();
+        const currentLoads = new Map<ModelEngines, ModelEnginesStatus>();
         for (const waiting of this.parts.queue.all()) {
-            const { demand } = waiting;
-            const crew = this.parts.modelEngineIndex.enginesFor(demand);
-            const standing = standings.get(crew) ?? this.parts.forecast.status(crew, now);
-            standings.set(crew, standing);
-            const refusal = crew.prefill.length === 0 || crew.decode.length === 0
+            const { demand: request } = waiting;
+            const modelEngines = this.parts.modelEngineIndex.enginesFor(request);
+            const currentLoad = currentLoads.get(modelEngines) ?? this.parts.forecast.status(modelEngines, now);
+            currentLoads.set(modelEngines, currentLoad);
+            const refusal = modelEngines.prefill.length === 0 || modelEngines.decode.length === 0
                 ? refuse(
-                    demand,
+                    request,
                     "noBackend",
-                    `pool ${demand.pool} has no prefill or no decode engine left for ${demand.model}`,
+                    `pool ${request.pool} has no prefill or no decode engine left for ${request.model}`,
                     noEngineRetryMilliseconds,
                 )
-                : this.reviewQueued(waiting, crew, standing, { requests: requestsAhead, work }, rules, now);
+                : this.reviewQueued(waiting, modelEngines, currentLoad, { requests: requestsAhead, work }, rules, now);
             if (refusal === undefined) {
                 requestsAhead++;
                 work += waiting.work;
                 continue;
             }
-            this.parts.queue.remove(demand.attempt);
+            this.parts.queue.remove(request.attempt);
             refusals.push(refusal);
         }
         return refusals;
@@ -135,20 +135,20 @@
 
     private reviewQueued(
         waiting: QueuedRequest,
-        crew: ModelEngines,
-        standing: ModelEnginesStatus,
+        modelEngines: ModelEngines,
+        currentLoad: ModelEnginesStatus,
         ahead: QueuedAhead,
         rules: PoolRules | undefined,
         now: number,
     ): Decision | undefined {
-        const { demand } = waiting;
-        const expected = this.parts.forecast.firstTokenIn(demand, crew, standing, ahead, waiting);
+        const { demand: request } = waiting;
+        const expected = this.parts.forecast.firstTokenIn(request, modelEngines, currentLoad, ahead, waiting);
         const verdict = this.verdict(waiting, expected, reviewTolerance, waiting, rules, now);
         if (verdict === "refuse") {
-            return this.targetRefusal(demand, expected);
+            return this.targetRefusal(request, expected);
         }
         if (verdict === "late" && !waiting.late) {
-            this.parts.queue.remove(demand.attempt);
+            this.parts.queue.remove(request.attempt);
             this.parts.queue.add({ ...waiting, late: true, key: waiting.endsBy + lateKeyOffset });
         }
         return undefined;
@@ -162,48 +162,48 @@
         rules: PoolRules | undefined,
         now: number,
     ): "onTime" | "late" | "refuse" {
-        const { demand } = waiting;
-        const answerTime = demand.expectedTokens * (rules?.pool.targets.perToken ?? 0);
+        const { demand: request } = waiting;
+        const answerTime = request.expectedTokens * (rules?.pool.targets.perToken ?? 0);
         const whole = now + expected + answerTime <= waiting.endsBy;
         if (!waiting.late && now + expected <= now + (waiting.firstTokenBy - now) * tolerance) {
             return whole ? "onTime" : "refuse";
         }
-        const hopeless = times.work + times.transfer > demand.firstTokenWithin;
+        const hopeless = times.work + times.transfer > request.firstTokenWithin;
         // A retry doesn't help a prompt that is too long for the target even on an idle pool, and for a caller that has
         // received part of its answer a refusal is worse than a pause.
-        const lateIsBetter = rules?.pool.weighting === "prefill" || hopeless || demand.alreadySent > 0;
+        const lateIsBetter = rules?.pool.weighting === "prefill" || hopeless || request.alreadySent > 0;
         return lateIsBetter && whole ? "late" : "refuse";
     }
 
-    private limitRefusal(demand: Demand, rules: PoolRules | undefined): Decision | undefined {
+    private limitRefusal(request: Demand, rules: PoolRules | undefined): Decision | undefined {
         const { queue, trackedPool: tracked } = this.parts;
         if (rules === undefined) {
             return undefined;
         }
-        const organisation = rules.organisations[demand.organisation] ?? rules.anyOrganisation;
+        const organisation = rules.organisations[request.organisation] ?? rules.anyOrganisation;
         if (
-            queue.openRequestsOf(demand.organisation) + tracked.openRequestsOf(demand.organisation)
+            queue.openRequestsOf(request.organisation) + tracked.openRequestsOf(request.organisation)
                 >= organisation.openRequests
         ) {
             const message =
-                `${demand.organisation} has ${organisation.openRequests} requests open in pool ${demand.pool}`;
-            return refuse(demand, "organisationLimit", message, fullRetryMilliseconds + retryJitter(demand.attempt));
+                `${request.organisation} has ${organisation.openRequests} requests open in pool ${request.pool}`;
+            return refuse(request, "organisationLimit", message, fullRetryMilliseconds + retryJitter(request.attempt));
         }
         if (queue.size >= rules.pool.queueLimit) {
-            const message = `${queue.size} requests wait in pool ${demand.pool}`;
-            return refuse(demand, "poolFull", message, fullRetryMilliseconds + retryJitter(demand.attempt));
+            const message = `${queue.size} requests wait in pool ${request.pool}`;
+            return refuse(request, "poolFull", message, fullRetryMilliseconds + retryJitter(request.attempt));
         }
         return undefined;
     }
 
-    private queueEntry(demand: Demand, times: PhaseTimes, late: boolean, now: number): QueuedRequest {
-        const firstTokenBy = now + demand.firstTokenWithin;
-        const endsBy = now + demand.deadlineWithin;
-        const priority = (demand.priority - defaultPriority) * priorityStepMilliseconds;
+    private queueEntry(request: Demand, times: PhaseTimes, late: boolean, now: number): QueuedRequest {
+        const firstTokenBy = now + request.firstTokenWithin;
+        const endsBy = now + request.deadlineWithin;
+        const priority = (request.priority - defaultPriority) * priorityStepMilliseconds;
         const key = late
             ? endsBy + lateKeyOffset
-            : firstTokenBy + priority + this.parts.shares.lag(demand.organisation);
-        return { demand, arrivedAt: now, firstTokenBy, endsBy, key, ...times, late, shareStart: 0 };
+            : firstTokenBy + priority + this.parts.shares.lag(request.organisation);
+        return { demand: request, arrivedAt: now, firstTokenBy, endsBy, key, ...times, late, shareStart: 0 };
     }
 
     private queuedAheadOf(position: number): QueuedAhead {
@@ -212,29 +212,29 @@
     }
 
     private expectedTimes(
-        demand: Demand,
-        crew: ModelEngines,
+        request: Demand,
+        modelEngines: ModelEngines,
         now: number,
     ): { readonly work: number; readonly transfer: number; } {
-        const chosen = this.parts.chooser.choosePrefill(demand, crew.prefill, now);
-        const prefill = chosen?.prefill ?? crew.prefill[0]!;
+        const chosen = this.parts.chooser.choosePrefill(request, modelEngines.prefill, now);
+        const prefill = chosen?.prefill ?? modelEngines.prefill[0]!;
         return {
-            work: chosen?.work ?? demand.promptTokens * prefill.tokenTime,
-            transfer: this.parts.transfers.expected(prefill, crew.decode[0]!, demand.promptTokens),
+            work: chosen?.work ?? request.promptTokens * prefill.tokenTime,
+            transfer: this.parts.transfers.expected(prefill, modelEngines.decode[0]!, request.promptTokens),
         };
     }
 
-    private targetRefusal(demand: Demand, expected: number): Decision {
+    private targetRefusal(request: Demand, expected: number): Decision {
         const message = `first token expected in ${Math.round(expected)} ms, too late for the target or deadline`;
-        const retryAfter = Math.max(0, expected - demand.firstTokenWithin) + retryJitter(demand.attempt);
-        return refuse(demand, "targetsOutOfReach", message, retryAfter);
+        const retryAfter = Math.max(0, expected - request.firstTokenWithin) + retryJitter(request.attempt);
+        return refuse(request, "targetsOutOfReach", message, retryAfter);
     }
 }
 
 /** Time in milliseconds for which the request would occupy the whole pool. */
-function poolMilliseconds(demand: Demand, crew: ModelEngines, work: number): number {
-    const decoding = demand.expectedTokens * crew.decode[0]!.tokenTime / crew.slots;
-    return Math.max(work / crew.prefill.length, decoding);
+function poolMilliseconds(request: Demand, modelEngines: ModelEngines, work: number): number {
+    const decoding = request.expectedTokens * modelEngines.decode[0]!.tokenTime / modelEngines.slots;
+    return Math.max(work / modelEngines.prefill.length, decoding);
 }
 
 /** Jitter in milliseconds for retry delays; deterministic for each attempt. */
--- a/packages/basilpaddle/src/node/coordination/scheduling/admissionForecast.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/admissionForecast.ts
@@ -35,23 +35,23 @@
     }
 
     /** The current load of a model's engines; computed once for all requests that are reviewed together. */
-    status(crew: ModelEngines, now: number): ModelEnginesStatus {
-        return { work: pendingPrefillWork(crew.prefill, now), freeSlots: freeSlots(crew.decode) };
+    status(modelEngines: ModelEngines, now: number): ModelEnginesStatus {
+        return { work: pendingPrefillWork(modelEngines.prefill, now), freeSlots: freeSlots(modelEngines.decode) };
     }
 
     /** Expected time in milliseconds until the first token. */
     firstTokenIn(
-        demand: Demand,
-        crew: ModelEngines,
-        standing: ModelEnginesStatus,
+        request: Demand,
+        modelEngines: ModelEngines,
+        currentLoad: ModelEnginesStatus,
         ahead: QueuedAhead,
         times: PhaseTimes,
     ): number {
-        const prefillWait = (ahead.work + standing.work) / crew.prefill.length;
-        const slotsMissing = ahead.requests + 1 - standing.freeSlots;
-        const tokenTime = crew.decode[0]!.tokenTime;
-        const expectedSlotTime = this.slotTime ?? demand.expectedTokens * tokenTime;
-        const slotWait = Math.max(0, slotsMissing) * expectedSlotTime / crew.slots;
+        const prefillWait = (ahead.work + currentLoad.work) / modelEngines.prefill.length;
+        const slotsMissing = ahead.requests + 1 - currentLoad.freeSlots;
+        const tokenTime = modelEngines.decode[0]!.tokenTime;
+        const expectedSlotTime = this.slotTime ?? request.expectedTokens * tokenTime;
+        const slotWait = Math.max(0, slotsMissing) * expectedSlotTime / modelEngines.slots;
         return Math.max(prefillWait + times.work, slotWait) + times.transfer + tokenTime;
     }
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/engineChoice.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/engineChoice.ts
@@ -42,20 +42,20 @@
     }
 
     /** The prefill engine that is expected to finish the prompt first. */
-    choosePrefill(demand: Demand, engines: readonly TrackedEngine[], now: number): PrefillChoice | undefined {
+    choosePrefill(request: Demand, engines: readonly TrackedEngine[], now: number): PrefillChoice | undefined {
         let best: PrefillChoice | undefined;
         let bestEnd = Infinity;
         for (const prefill of engines) {
-            if (!prefill.acceptsWork(demand.avoid, now)) {
+            if (!prefill.acceptsWork(request.avoid, now)) {
                 continue;
             }
             const expectedReuse = this.tuning.affinity === 0
                 ? 0
                 : Math.min(
-                    demand.promptTokens,
-                    this.prefixes.reusableTokens(prefill.id, demand.prefixes, demand.blockTokens),
+                    request.promptTokens,
+                    this.prefixes.reusableTokens(prefill.id, request.prefixes, request.blockTokens),
                 );
-            const work = (demand.promptTokens - expectedReuse * this.tuning.affinity) * prefill.tokenTime;
+            const work = (request.promptTokens - expectedReuse * this.tuning.affinity) * prefill.tokenTime;
             const prefillAt = Math.max(prefill.readyAt(now), now);
             if (prefillAt + work < bestEnd) {
                 best = { prefill, work, expectedReuse, prefillAt };
@@ -70,7 +70,7 @@
      * `cautious` leaves out engines that have not reported their load yet.
      */
     chooseDecode(
-        demand: Demand,
+        request: Demand,
         chosen: PrefillChoice,
         engines: readonly TrackedEngine[],
         cautious: boolean,
@@ -80,11 +80,11 @@
         let best: EngineChoice | undefined;
         let bestScore = Infinity;
         for (const decode of engines) {
-            if (decode.usedSlots >= decode.slots || !decode.acceptsWork(demand.avoid, now)) {
+            if (decode.usedSlots >= decode.slots || !decode.acceptsWork(request.avoid, now)) {
                 continue;
             }
             const linkAt = Math.max(prefilledAt, chosen.prefill.linkFreeAt, decode.linkFreeAt);
-            const transferredAt = linkAt + this.transfers.expected(chosen.prefill, decode, demand.promptTokens);
+            const transferredAt = linkAt + this.transfers.expected(chosen.prefill, decode, request.promptTokens);
             const score = transferredAt + decode.tokenTime
                 + fullnessPenaltyMilliseconds * decode.usedSlots / decode.slots;
             if (score >= bestScore || linkAt - prefilledAt > maximumLinkWaitMilliseconds) {
--- a/packages/basilpaddle/src/node/coordination/scheduling/localHoldings.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localHoldings.ts
@@ -9,8 +9,8 @@
     }
 
     /** Records the engines assigned to an attempt. */
-    add(demand: Demand, prefill: string, decode: string): void {
-        this.byAttempt.set(demand.attempt, { demand, prefill, decode, stage: "prefilling", tokens: 0 });
+    add(request: Demand, prefill: string, decode: string): void {
+        this.byAttempt.set(request.attempt, { demand: request, prefill, decode, stage: "prefilling", tokens: 0 });
     }
 
     /** Records that an attempt was moved to another decode engine. */
--- a/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
@@ -29,13 +29,13 @@
         return new LocalPlacement(options.control, options.clock, options.randomness);
     }
 
-    override async reserve(demand: Demand, signal: AbortSignal): Promise<Decision> {
-        const decision = await this.pools.get(demand.pool)?.reserve(demand, signal);
+    override async reserve(request: Demand, signal: AbortSignal): Promise<Decision> {
+        const decision = await this.pools.get(request.pool)?.reserve(request, signal);
         if (signal.aborted) {
-            this.pools.get(demand.pool)?.withdraw(demand.attempt);
-            return refuse(demand, "callerGone", "the caller has gone", undefined);
+            this.pools.get(request.pool)?.withdraw(request.attempt);
+            return refuse(request, "callerGone", "the caller has gone", undefined);
         }
-        return decision ?? refuse(demand, "noBackend", `no pool ${demand.pool} is declared`, undefined);
+        return decision ?? refuse(request, "noBackend", `no pool ${request.pool} is declared`, undefined);
     }
 
     override async move(holding: Holding): Promise<string | undefined> {
--- a/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
@@ -40,26 +40,26 @@
 
     override step(event: SchedulerEvent, now: number): readonly Decision[] {
         const decisions = this.applyEvent(event, now);
-        for (const { demand } of this.waiting.values()) {
-            const choice = this.choose(demand, now);
+        for (const { demand: request } of this.waiting.values()) {
+            const choice = this.choose(request, now);
             if (choice === "full") {
                 break;
             }
-            this.waiting.delete(demand.attempt);
+            this.waiting.delete(request.attempt);
             decisions.push(choice);
         }
         return decisions;
     }
 
     override move(holding: Holding, now: number): string | undefined {
-        const { demand } = holding;
+        const { demand: request } = holding;
         this.trackedPool.restore(holding, now);
-        const assignment = this.trackedPool.assignments.get(demand.attempt);
+        const assignment = this.trackedPool.assignments.get(request.attempt);
         if (assignment === undefined) {
             return undefined;
         }
-        this.trackedPool.engines.get(holding.decode)?.recordFull(demand.attempt);
-        const free = this.enginesFor(demand, "decode", now).filter(engine => engine.usedSlots < engine.slots);
+        this.trackedPool.engines.get(holding.decode)?.recordFull(request.attempt);
+        const free = this.enginesFor(request, "decode", now).filter(engine => engine.usedSlots < engine.slots);
         const decode = this.lessLoadedOfTwo(free, engine => engine.usedSlots / engine.slots);
         if (decode !== undefined) {
             this.trackedPool.move(assignment, decode);
@@ -85,7 +85,7 @@
     private applyEvent(event: SchedulerEvent, now: number): Decision[] {
         switch (event.kind) {
             case "demand":
-                return this.demand(event.demand, now);
+                return this.handleRequest(event.demand, now);
             case "withdraw":
                 this.waiting.delete(event.attempt);
                 this.trackedPool.release(event.attempt, now);
@@ -115,42 +115,42 @@
         }
     }
 
-    private demand(demand: Demand, now: number): Decision[] {
-        const choice = this.choose(demand, now);
+    private handleRequest(request: Demand, now: number): Decision[] {
+        const choice = this.choose(request, now);
         if (choice !== "full") {
             return [choice];
         }
-        if (this.waiting.size >= this.queueLimit(demand, now)) {
-            return [fullRefusal(demand)];
+        if (this.waiting.size >= this.queueLimit(request, now)) {
+            return [fullRefusal(request)];
         }
-        this.waiting.set(demand.attempt, { demand, until: now + waitingFraction * demand.firstTokenWithin });
+        this.waiting.set(request.attempt, { demand: request, until: now + waitingFraction * request.firstTokenWithin });
         return [];
     }
 
     private expire(now: number): Decision[] {
         const expired = [...this.waiting.values()].filter(({ until }) => until <= now);
-        expired.forEach(({ demand }) => this.waiting.delete(demand.attempt));
-        return expired.map(({ demand }) => fullRefusal(demand));
+        expired.forEach(({ demand: request }) => this.waiting.delete(request.attempt));
+        return expired.map(({ demand: request }) => fullRefusal(request));
     }
 
-    private choose(demand: Demand, now: number): Decision | "full" {
-        const prefills = this.enginesFor(demand, "prefill", now);
-        const decodes = this.enginesFor(demand, "decode", now);
+    private choose(request: Demand, now: number): Decision | "full" {
+        const prefills = this.enginesFor(request, "prefill", now);
+        const decodes = this.enginesFor(request, "decode", now);
         if (prefills.length === 0 || decodes.length === 0) {
             const role = prefills.length === 0 ? "prefill" : "decode";
-            const message = `pool ${demand.pool} has no ready ${role} engine for ${demand.model}`;
-            return refuse(demand, "noBackend", message, noEngineRetryMilliseconds);
+            const message = `pool ${request.pool} has no ready ${role} engine for ${request.model}`;
+            return refuse(request, "noBackend", message, noEngineRetryMilliseconds);
         }
-        const reporting = demand.once
+        const reporting = request.once
             ? decodes.filter(engine => now - engine.reportedAt <= freshReportMilliseconds)
             : decodes;
         const free = reporting.filter(engine =>
             engine.usedSlots < engine.slots && engine.heldAttempts.size < this.slotShare(engine)
         );
-        if (demand.once && this.mayBeContended(reporting, decodes.length)) {
+        if (request.once && this.mayBeContended(reporting, decodes.length)) {
             return "full";
         }
-        if (this.exceedsPrefillShare(demand, prefills, now)) {
+        if (this.exceedsPrefillShare(request, prefills, now)) {
             return "full";
         }
         const decode = this.lessLoadedOfTwo(free, engine => engine.usedSlots / engine.slots);
@@ -158,8 +158,8 @@
         if (decode === undefined || prefill === undefined) {
             return "full";
         }
-        this.trackedPool.assign(demand, { prefill, decode, work: demand.promptTokens * prefill.tokenTime }, now);
-        const { attempt } = demand;
+        this.trackedPool.assign(request, { prefill, decode, work: request.promptTokens * prefill.tokenTime }, now);
+        const { attempt } = request;
         return { kind: "assigned", attempt, prefill: prefill.id, decode: decode.id, fence: 0, expectedReuse: 0 };
     }
 
@@ -177,26 +177,26 @@
      * dozens of prompts. Without this limit the prefill engines are busy for longer than the target, and every first token
      * is late for a while.
      */
-    private exceedsPrefillShare(demand: Demand, prefills: readonly TrackedEngine[], now: number): boolean {
+    private exceedsPrefillShare(request: Demand, prefills: readonly TrackedEngine[], now: number): boolean {
         const assignedWork = prefills.reduce((sum, engine) => sum + engine.readyAt(now) - now, 0);
         if (!this.divided || assignedWork === 0) {
             return false;
         }
-        const work = demand.promptTokens * prefills[0]!.tokenTime;
-        const share = prefillFraction * demand.firstTokenWithin * prefills.length / this.sessionCount;
+        const work = request.promptTokens * prefills[0]!.tokenTime;
+        const share = prefillFraction * request.firstTokenWithin * prefills.length / this.sessionCount;
         return assignedWork + work > share;
     }
 
-    private queueLimit(demand: Demand, now: number): number {
+    private queueLimit(request: Demand, now: number): number {
         // As many requests may wait as this daemon has slots: each slot becomes free within the time of one answer.
-        return this.enginesFor(demand, "decode", now).reduce((sum, engine) => sum + this.slotShare(engine), 0);
+        return this.enginesFor(request, "decode", now).reduce((sum, engine) => sum + this.slotShare(engine), 0);
     }
 
-    private enginesFor(demand: Demand, role: "prefill" | "decode", now: number): TrackedEngine[] {
+    private enginesFor(request: Demand, role: "prefill" | "decode", now: number): TrackedEngine[] {
         return [...this.trackedPool.engines.values()].filter(engine =>
             engine.announcement.role === role
-            && engine.acceptsWork(demand.avoid, now)
-            && engine.serves(demand.model, demand.adapter, demand.version)
+            && engine.acceptsWork(request.avoid, now)
+            && engine.serves(request.model, request.adapter, request.version)
         );
     }
 
@@ -217,8 +217,13 @@
     }
 }
 
-function fullRefusal(demand: Demand): Decision {
-    return refuse(demand, "poolFull", `pool ${demand.pool} has no free engines for this daemon`, fullRetryMilliseconds);
+function fullRefusal(request: Demand): Decision {
+    return refuse(
+        request,
+        "poolFull",
+        `pool ${request.pool} has no free engines for this daemon`,
+        fullRetryMilliseconds,
+    );
 }
 
 function backlog(engine: TrackedEngine): number {
--- a/packages/basilpaddle/src/node/coordination/scheduling/modelEngineIndex.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/modelEngineIndex.ts
@@ -26,8 +26,8 @@
     }
 
     /** The engines that serve the requested model, adapter and version. */
-    enginesFor(demand: Demand): ModelEngines {
-        const { model, adapter, version } = demand;
+    enginesFor(request: Demand): ModelEngines {
+        const { model, adapter, version } = request;
         const key = `${model}\n${adapter ?? ""}\n${version ?? ""}`;
         const known = this.cache.get(key);
         if (known !== undefined) {
--- a/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
@@ -51,16 +51,16 @@
     }
 
     /** Requests engines. An assignment that arrives after the request was abandoned is withdrawn. */
-    async reserve(demand: Demand, signal: AbortSignal): Promise<RemoteDecision> {
+    async reserve(schedulingRequest: Demand, signal: AbortSignal): Promise<RemoteDecision> {
         if (!this.reachable) {
             this.scheduleProbe(0);
             return "unreachable";
         }
-        const { attempt } = demand;
+        const { attempt } = schedulingRequest;
         const given = new Promise<RemoteDecision>(resolve => this.pending.set(attempt, resolve));
         const giveUp = (): void => this.pending.get(attempt)?.("unreachable");
         signal.addEventListener("abort", giveUp);
-        void this.requestDecision(demand);
+        void this.requestDecision(schedulingRequest);
         this.scheduleProbe(probeIntervalMilliseconds);
         const decision = await given;
         signal.removeEventListener("abort", giveUp);
@@ -127,16 +127,16 @@
         this.link.close();
     }
 
-    private async requestDecision(demand: Demand): Promise<void> {
-        const request: PeerRequest = { kind: "reserve", demand };
-        const answer = await this.link.request(request, demand.deadlineWithin + answerGraceMilliseconds);
-        const waiting = this.pending.get(demand.attempt);
+    private async requestDecision(schedulingRequest: Demand): Promise<void> {
+        const request: PeerRequest = { kind: "reserve", demand: schedulingRequest };
+        const answer = await this.link.request(request, schedulingRequest.deadlineWithin + answerGraceMilliseconds);
+        const waiting = this.pending.get(schedulingRequest.attempt);
         const body = answer.extract() as PeerAnswer;
         const decision = answer.isRight() && body.kind === "decision" ? body.decision : undefined;
         if (waiting === undefined) {
             // The caller gave up; unless withdrawn, the assignment would hold its engines until this daemon's session ends.
             if (decision?.kind === "assigned") {
-                this.withdraw(demand.attempt);
+                this.withdraw(schedulingRequest.attempt);
             }
             return;
         }
--- a/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
@@ -82,10 +82,10 @@
     }
 
     override move(holding: Holding, now: number): string | undefined {
-        const { demand } = holding;
-        this.queue.remove(demand.attempt);
+        const { demand: request } = holding;
+        this.queue.remove(request.attempt);
         this.pool.restore(holding, now);
-        const assignment = this.pool.assignments.get(demand.attempt);
+        const assignment = this.pool.assignments.get(request.attempt);
         const prefill = this.pool.engines.get(holding.prefill);
         if (assignment === undefined || prefill === undefined) {
             return undefined;
@@ -94,20 +94,20 @@
             // A previous call moved it, and its answer was lost.
             return assignment.decode;
         }
-        this.pool.engines.get(holding.decode)?.recordFull(demand.attempt);
+        this.pool.engines.get(holding.decode)?.recordFull(request.attempt);
         const finishedPrefill = { prefill, work: 0, expectedReuse: 0, prefillAt: now };
         const choice = this.chooser.chooseDecode(
-            demand,
+            request,
             finishedPrefill,
-            this.engineIndex.enginesFor(demand).decode,
+            this.engineIndex.enginesFor(request).decode,
             !this.warm,
             now,
         );
         if (choice === undefined) {
-            this.displaced.add(demand.attempt, now);
+            this.displaced.add(request.attempt, now);
             return undefined;
         }
-        this.displaced.remove(demand.attempt);
+        this.displaced.remove(request.attempt);
         this.pool.move(assignment, choice.decode);
         choice.decode.recordDispatch(now);
         return choice.decode.id;
@@ -127,7 +127,7 @@
     private applyEvent(event: SchedulerEvent, now: number): Decision[] {
         switch (event.kind) {
             case "demand":
-                return this.demand(event.demand, now);
+                return this.handleRequest(event.demand, now);
             case "withdraw":
                 if (this.queue.remove(event.attempt) === undefined) {
                     this.pool.release(event.attempt, now);
@@ -163,15 +163,15 @@
         }
     }
 
-    private demand(demand: Demand, now: number): Decision[] {
-        if (this.queue.has(demand.attempt)) {
+    private handleRequest(request: Demand, now: number): Decision[] {
+        if (this.queue.has(request.attempt)) {
             return [];
         }
-        const held = this.pool.assignments.get(demand.attempt);
+        const held = this.pool.assignments.get(request.attempt);
         if (held !== undefined) {
-            return [this.assignedDecision(demand, held.prefill, held.decode, 0)];
+            return [this.assignedDecision(request, held.prefill, held.decode, 0)];
         }
-        const refusal = this.admission.admit(demand, this.rules, now);
+        const refusal = this.admission.admit(request, this.rules, now);
         return refusal === undefined ? [] : [refusal];
     }
 
@@ -189,7 +189,7 @@
     }
 
     private learn(assignment: Assignment, progress: Progress, now: number): void {
-        const { demand } = assignment;
+        const { demand: request } = assignment;
         if (progress.stage === "finished") {
             this.forecast.recordEnd(assignment, now);
             return;
@@ -203,12 +203,12 @@
             decode?.recordSuccess();
         }
         if (progress.stage === "prefilled" && progress.reusedTokens !== undefined && prefill !== undefined) {
-            const expectedTokens = assignment.expectedCachedBlocks * demand.blockTokens;
+            const expectedTokens = assignment.expectedCachedBlocks * request.blockTokens;
             this.prefixes.recordReuse(prefill.id, expectedTokens, progress.reusedTokens);
         }
         const hadLinkToItself = assignment.expectedLinkWait === 0 && assignment.stage === "prefilled";
         if (progress.stage === "transferred" && hadLinkToItself && prefill !== undefined && decode !== undefined) {
-            this.transfers.recordTransfer(prefill, decode, demand.promptTokens, now - assignment.stageAt);
+            this.transfers.recordTransfer(prefill, decode, request.promptTokens, now - assignment.stageAt);
         }
     }
 
@@ -234,10 +234,10 @@
 
     private releaseClosedSessions(open: Extract<SchedulerEvent, { kind: "sessions"; }>["open"], now: number): void {
         const names = new Set(open.map(session => `${session.daemon}/${session.incarnation}`));
-        const closed = (demand: Demand): boolean => !names.has(`${demand.owner.daemon}/${demand.owner.incarnation}`);
-        for (const { demand } of this.queue.all()) {
-            if (closed(demand)) {
-                this.queue.remove(demand.attempt);
+        const closed = (request: Demand): boolean => !names.has(`${request.owner.daemon}/${request.owner.incarnation}`);
+        for (const { demand: request } of this.queue.all()) {
+            if (closed(request)) {
+                this.queue.remove(request.attempt);
             }
         }
         this.pool.releaseWhere(assignment => closed(assignment.demand), now);
@@ -260,11 +260,11 @@
             if (waiting === undefined) {
                 return;
             }
-            const { demand } = waiting;
-            const kind = `${demand.model}\n${demand.adapter ?? ""}\n${demand.version ?? ""}`;
-            const choice = full.has(kind) ? undefined : this.choose(demand, now);
+            const { demand: request } = waiting;
+            const kind = `${request.model}\n${request.adapter ?? ""}\n${request.version ?? ""}`;
+            const choice = full.has(kind) ? undefined : this.choose(request, now);
             if (choice === "full") {
-                if (demand.avoid.length === 0) {
+                if (request.avoid.length === 0) {
                     full.add(kind);
                 }
             }
@@ -276,16 +276,16 @@
         }
     }
 
-    private choose(demand: Demand, now: number): EngineChoice | "full" | "wait" {
-        const modelEngines = this.engineIndex.enginesFor(demand);
-        const prefill = this.chooser.choosePrefill(demand, modelEngines.prefill, now);
+    private choose(request: Demand, now: number): EngineChoice | "full" | "wait" {
+        const modelEngines = this.engineIndex.enginesFor(request);
+        const prefill = this.chooser.choosePrefill(request, modelEngines.prefill, now);
         if (prefill === undefined || prefill.prefillAt - now > this.tuning.lead) {
             return "wait";
         }
         if (this.areFreeSlotsReserved(modelEngines.decode, now)) {
             return "full";
         }
-        return this.chooser.chooseDecode(demand, prefill, modelEngines.decode, !this.warm, now) ?? "full";
+        return this.chooser.chooseDecode(request, prefill, modelEngines.decode, !this.warm, now) ?? "full";
     }
 
     /**
@@ -299,12 +299,12 @@
     }
 
     private assign(waiting: QueuedRequest, choice: EngineChoice, now: number): Decision {
-        const { demand } = waiting;
+        const { demand: request } = waiting;
         const { prefill, decode } = choice;
-        this.queue.remove(demand.attempt);
+        this.queue.remove(request.attempt);
         this.shares.recordServed(waiting.shareStart);
-        const assignment = this.pool.assign(demand, choice, now);
-        assignment.expectedCachedBlocks = this.prefixes.matched(prefill.id, demand.prefixes);
+        const assignment = this.pool.assign(request, choice, now);
+        assignment.expectedCachedBlocks = this.prefixes.matched(prefill.id, request.prefixes);
         assignment.expectedLinkWait = Math.max(
             0,
             Math.max(prefill.linkFreeAt, decode.linkFreeAt) - choice.prefillAt - choice.work,
@@ -313,12 +313,12 @@
         decode.recordDispatch(now);
         prefill.linkFreeAt = choice.transferredAt;
         decode.linkFreeAt = choice.transferredAt;
-        this.prefixes.recordDispatch(prefill.id, demand.prefixes);
-        return this.assignedDecision(demand, prefill.id, decode.id, choice.expectedReuse);
+        this.prefixes.recordDispatch(prefill.id, request.prefixes);
+        return this.assignedDecision(request, prefill.id, decode.id, choice.expectedReuse);
     }
 
-    private assignedDecision(demand: Demand, prefill: string, decode: string, expectedReuse: number): Decision {
-        return { kind: "assigned", attempt: demand.attempt, prefill, decode, fence: this.fence, expectedReuse };
+    private assignedDecision(request: Demand, prefill: string, decode: string, expectedReuse: number): Decision {
+        return { kind: "assigned", attempt: request.attempt, prefill, decode, fence: this.fence, expectedReuse };
     }
 }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/refusals.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/refusals.ts
@@ -2,14 +2,14 @@
 
 /** Creates the refusal of a scheduling request for which nothing was started. `retryAfter` is in milliseconds. */
 export function refuse(
-    demand: Demand,
+    request: Demand,
     code: RefusalCode,
     message: string,
     retryAfter: number | undefined,
 ): Decision {
     return {
         kind: "refused",
-        attempt: demand.attempt,
+        attempt: request.attempt,
         refusal: {
             code,
             outcome: "notRun",
--- a/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
@@ -91,20 +91,20 @@
         return new ScheduledPlacement(parts);
     }
 
-    override async reserve(demand: Demand, signal: AbortSignal): Promise<Decision> {
+    override async reserve(request: Demand, signal: AbortSignal): Promise<Decision> {
         const since = this.parts.clock.monotonic();
         for (let move = 0; move < moveLimit && !signal.aborted; move++) {
-            let current = this.withRemainingTime(demand, since);
+            let current = this.withRemainingTime(request, since);
             let decision = await this.requestDecision(current, signal);
             if (decision === "alone") {
-                current = this.withRemainingTime(demand, since);
+                current = this.withRemainingTime(request, since);
                 decision = await this.reserveLocally(current, signal);
             }
             if (decision !== "moved") {
                 return this.recordDecision(current, decision, since, signal);
             }
         }
-        const current = this.withRemainingTime(demand, since);
+        const current = this.withRemainingTime(request, since);
         return this.recordDecision(current, await this.localPlacement.reserve(current, signal), since, signal);
     }
 
@@ -112,23 +112,23 @@
      * Places a request locally within its remaining time: treated as new, a request that has waited long would take engines
      * from those that can still meet their targets. The request returns to the scheduler as soon as that answers again.
      */
-    private async reserveLocally(demand: Demand, signal: AbortSignal): Promise<Decision | "moved"> {
+    private async reserveLocally(request: Demand, signal: AbortSignal): Promise<Decision | "moved"> {
         const back = new AbortController();
-        const link = this.remoteLink(demand.pool);
+        const link = this.remoteLink(request.pool);
         const forget = link?.onReachable(() => back.abort());
-        if (demand.once) {
+        if (request.once) {
             await pause(this.parts.clock, reportLagMilliseconds, AbortSignal.any([signal, back.signal]));
-            const reports = await this.engineSurvey.queryDecodeEngines(demand.pool);
-            reports.forEach(report => this.localPlacement.load(demand.pool, report));
+            const reports = await this.engineSurvey.queryDecodeEngines(request.pool);
+            reports.forEach(report => this.localPlacement.load(request.pool, report));
         }
-        const decision = await this.localPlacement.reserve(demand, AbortSignal.any([signal, back.signal]));
+        const decision = await this.localPlacement.reserve(request, AbortSignal.any([signal, back.signal]));
         forget?.();
         if (back.signal.aborted && !signal.aborted && decision.kind === "refused") {
             return "moved";
         }
         if (decision.kind === "assigned") {
             const { prefill, decode } = decision;
-            link?.reportLocalHolding({ demand, prefill, decode, stage: "prefilling", tokens: 0 });
+            link?.reportLocalHolding({ demand: request, prefill, decode, stage: "prefilling", tokens: 0 });
         }
         return decision;
     }
@@ -212,47 +212,47 @@
     }
 
     /** The request with the time already spent subtracted from its limits. */
-    private withRemainingTime(demand: Demand, since: number): Demand {
+    private withRemainingTime(request: Demand, since: number): Demand {
         const passed = this.parts.clock.monotonic() - since;
         return {
-            ...demand,
-            firstTokenWithin: demand.firstTokenWithin - passed,
-            deadlineWithin: Math.max(1, demand.deadlineWithin - passed),
+            ...request,
+            firstTokenWithin: request.firstTokenWithin - passed,
+            deadlineWithin: Math.max(1, request.deadlineWithin - passed),
         };
     }
 
-    private async requestDecision(demand: Demand, signal: AbortSignal): Promise<Decision | "moved" | "alone"> {
-        const { pool } = demand;
+    private async requestDecision(request: Demand, signal: AbortSignal): Promise<Decision | "moved" | "alone"> {
+        const { pool } = request;
         const host = this.hosts.get(pool);
         if (host !== undefined) {
-            return await host.reserve(demand, signal) ?? "moved";
+            return await host.reserve(request, signal) ?? "moved";
         }
         const before = this.leaseHolder(pool);
         const link = this.remoteLink(pool);
         if (link === undefined) {
             return "alone";
         }
-        const decision: RemoteDecision = await link.reserve(demand, signal);
+        const decision: RemoteDecision = await link.reserve(request, signal);
         if (decision === "unreachable" || decision === "notScheduler") {
             return this.leaseHolder(pool)?.fence === before?.fence ? "alone" : "moved";
         }
         if (decision.kind === "assigned" && decision.fence < (this.highestFences.get(pool) ?? 0)) {
             // A newer scheduler has asked for holdings before this one existed, and could assign the slot a second time.
-            link.withdraw(demand.attempt);
+            link.withdraw(request.attempt);
             return "moved";
         }
         return decision;
     }
 
-    private recordDecision(demand: Demand, decision: Decision, since: number, signal: AbortSignal): Decision {
+    private recordDecision(request: Demand, decision: Decision, since: number, signal: AbortSignal): Decision {
         if (signal.aborted) {
             if (decision.kind === "assigned") {
-                this.progress(demand.pool, { attempt: demand.attempt, stage: "cancelled", tokens: 0 });
+                this.progress(request.pool, { attempt: request.attempt, stage: "cancelled", tokens: 0 });
             }
-            return refuse(demand, "callerGone", "the caller has gone", undefined);
+            return refuse(request, "callerGone", "the caller has gone", undefined);
         }
         if (decision.kind === "assigned") {
-            this.localHoldings.add(demand, decision.prefill, decision.decode);
+            this.localHoldings.add(request, decision.prefill, decision.decode);
             const { attempt, prefill, decode, fence } = decision;
             const waited = Math.round(this.parts.clock.monotonic() - since);
             this.parts.logger.info("engines assigned", {
@@ -267,14 +267,14 @@
         return decision;
     }
 
-    private async serveReserve(demand: Demand, context: LinkContext): Promise<PeerAnswer> {
-        const host = this.hosts.get(demand.pool);
+    private async serveReserve(request: Demand, context: LinkContext): Promise<PeerAnswer> {
+        const host = this.hosts.get(request.pool);
         // After a freeze another daemon may hold the lease; the view doesn't show it until it is confirmed again.
         const decision = host === undefined || !this.parts.control.mayStart()
             ? undefined
-            : await host.reserve(demand, context.gone);
+            : await host.reserve(request, context.gone);
         return decision === undefined
-            ? { kind: "notScheduler", holder: this.parts.control.view().leases[schedulerLease(demand.pool)]?.holder }
+            ? { kind: "notScheduler", holder: this.parts.control.view().leases[schedulerLease(request.pool)]?.holder }
             : { kind: "decision", decision };
     }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/schedulerHost.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/schedulerHost.ts
@@ -60,8 +60,8 @@
     }
 
     /** Waits for the decision; resolves to undefined when this host closes first or the signal aborts. */
-    reserve(demand: Demand, signal: AbortSignal): Promise<Decision | undefined> {
-        const { attempt } = demand;
+    reserve(request: Demand, signal: AbortSignal): Promise<Decision | undefined> {
+        const { attempt } = request;
         if (this.closed || signal.aborted) {
             return Promise.resolve(undefined);
         }
@@ -75,7 +75,7 @@
             this.pending.get(attempt)?.settle(undefined);
             this.pending.set(attempt, { settle });
             signal.addEventListener("abort", withdraw);
-            this.step({ kind: "demand", demand });
+            this.step({ kind: "demand", demand: request });
         });
     }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
@@ -58,29 +58,29 @@
 
     /** Assigns engines to a request. */
     assign(
-        demand: Demand,
+        request: Demand,
         choice: { readonly prefill: TrackedEngine; readonly decode: TrackedEngine; readonly work: number; },
         now: number,
     ): Assignment {
-        const assignment = this.addAssignment(demand, choice.prefill.id, choice.decode.id, "assigned", now);
-        choice.prefill.addPrefillWork(demand.attempt, choice.work, now);
+        const assignment = this.addAssignment(request, choice.prefill.id, choice.decode.id, "assigned", now);
+        choice.prefill.addPrefillWork(request.attempt, choice.work, now);
         return assignment;
     }
 
     /** Adds a holding that was assigned elsewhere, by an earlier scheduler or a local one. */
     restore(holding: Holding, now: number): void {
-        const { demand } = holding;
+        const { demand: request } = holding;
         if (
-            this.assignments.has(demand.attempt) || this.endedAttempts.has(demand.attempt)
+            this.assignments.has(request.attempt) || this.endedAttempts.has(request.attempt)
             || isFinalStage(holding.stage)
         ) {
             return;
         }
-        const assignment = this.addAssignment(demand, holding.prefill, holding.decode, holding.stage, now);
+        const assignment = this.addAssignment(request, holding.prefill, holding.decode, holding.stage, now);
         assignment.tokens = holding.tokens;
         const prefill = this.engines.get(holding.prefill);
         if (holding.stage === "prefilling" && prefill !== undefined) {
-            prefill.addPrefillWork(demand.attempt, demand.promptTokens * prefill.tokenTime, now);
+            prefill.addPrefillWork(request.attempt, request.promptTokens * prefill.tokenTime, now);
         }
         this.recountForeignAttempts(now);
     }
@@ -176,18 +176,18 @@
     }
 
     private addAssignment(
-        demand: Demand,
+        request: Demand,
         prefill: string,
         decode: string,
         stage: Assignment["stage"],
         now: number,
     ): Assignment {
         const assignment: Assignment = {
-            demand,
+            demand: request,
             prefill,
             decode,
             assignedAt: now,
-            endsBy: now + demand.deadlineWithin,
+            endsBy: now + request.deadlineWithin,
             stage,
             stageAt: now,
             tokens: 0,
@@ -196,9 +196,9 @@
             listed: false,
             missedReports: 0,
         };
-        this.assignments.set(demand.attempt, assignment);
-        this.openRequestsByOrganisation.add(demand.organisation);
-        this.engines.get(decode)?.heldAttempts.add(demand.attempt);
+        this.assignments.set(request.attempt, assignment);
+        this.openRequestsByOrganisation.add(request.organisation);
+        this.engines.get(decode)?.heldAttempts.add(request.attempt);
         return assignment;
     }
 
--- a/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
@@ -88,20 +88,20 @@
     }
 
     /** Requests a placement until there is a decision. When the signal aborts, the request is withdrawn. */
-    async requestPlacement(demand: PlaceDemand, signal: AbortSignal): Promise<PlacementResult> {
+    async requestPlacement(request: PlaceDemand, signal: AbortSignal): Promise<PlacementResult> {
         const { clock } = this.options;
         const askedAt = clock.monotonic();
         while (!signal.aborted) {
             const elapsed = clock.monotonic() - askedAt;
-            if (elapsed > demand.patienceWithin) {
+            if (elapsed > request.patienceWithin) {
                 const reason = "no placement decision before the caller's timeout";
-                this.leader.send({ kind: "withdraw", attempt: demand.attempt });
-                return { kind: "refused", attempt: demand.attempt, reason, comeBackIn: refusalRetryAfterMilliseconds };
+                this.leader.send({ kind: "withdraw", attempt: request.attempt });
+                return { kind: "refused", attempt: request.attempt, reason, comeBackIn: refusalRetryAfterMilliseconds };
             }
             const current = {
-                ...demand,
-                targetWithin: demand.targetWithin - elapsed,
-                patienceWithin: demand.patienceWithin - elapsed,
+                ...request,
+                targetWithin: request.targetWithin - elapsed,
+                patienceWithin: request.patienceWithin - elapsed,
             };
             if (this.awaitsFirstLeader() && elapsed < firstLeaderTimeoutMilliseconds) {
                 await new Promise<void>(resolve => clock.after(firstLeaderPollMilliseconds, resolve));
@@ -112,14 +112,14 @@
                 break;
             }
             if (answer?.kind === "decided") {
-                return this.accept(demand, answer.decision, "leader");
+                return this.accept(request, answer.decision, "leader");
             }
             const result = answer === undefined ? await this.placeLocally(current, signal) : "waiting";
             if (result !== "waiting") {
                 return result;
             }
         }
-        this.leader.send({ kind: "withdraw", attempt: demand.attempt });
+        this.leader.send({ kind: "withdraw", attempt: request.attempt });
         return undefined;
     }
 
@@ -152,11 +152,11 @@
         this.cancels.forEach(cancel => cancel());
     }
 
-    private accept(demand: PlaceDemand, decision: PlaceDecision, by: PlacementGrant["by"]): PlacementResult {
+    private accept(request: PlaceDemand, decision: PlaceDecision, by: PlacementGrant["by"]): PlacementResult {
         if (decision.kind === "refused") {
             return decision;
         }
-        this.heldGrants.set(demand.attempt, { demand, decode: decision.decode });
+        this.heldGrants.set(request.attempt, { demand: request, decode: decision.decode });
         return { ...decision, by };
     }
 
@@ -171,13 +171,13 @@
      * that were waiting when a leader was elected would still wait for this gateway's share of the engines: after a power
      * loss of the whole deployment, some first events came a second later than necessary.
      */
-    private placeLocally(demand: PlaceDemand, signal: AbortSignal): Promise<PlacementResult | "waiting"> {
-        const pool = this.localPool(demand.service);
+    private placeLocally(request: PlaceDemand, signal: AbortSignal): Promise<PlacementResult | "waiting"> {
+        const pool = this.localPool(request.service);
         if (pool === undefined) {
             const reason = "the service has no engine rule";
             return Promise.resolve({
                 kind: "refused",
-                attempt: demand.attempt,
+                attempt: request.attempt,
                 reason,
                 comeBackIn: refusalRetryAfterMilliseconds,
             });
@@ -186,19 +186,19 @@
             const withdraw = (outcome: undefined | "waiting"): void => {
                 cancel();
                 signal.removeEventListener("abort", gone);
-                this.localCallbacks.delete(demand.attempt);
-                this.settleLocal(pool.withdraw(demand.attempt, this.options.clock.monotonic()));
+                this.localCallbacks.delete(request.attempt);
+                this.settleLocal(pool.withdraw(request.attempt, this.options.clock.monotonic()));
                 resolve(outcome);
             };
             const gone = (): void => withdraw(undefined);
             const cancel = this.options.clock.after(localPlacementMilliseconds, () => withdraw("waiting"));
             signal.addEventListener("abort", gone);
-            this.localCallbacks.set(demand.attempt, decision => {
+            this.localCallbacks.set(request.attempt, decision => {
                 cancel();
                 signal.removeEventListener("abort", gone);
-                resolve(this.accept(demand, decision, "alone"));
+                resolve(this.accept(request, decision, "alone"));
             });
-            this.settleLocal(pool.ask(demand, this.options.clock.monotonic()));
+            this.settleLocal(pool.ask(request, this.options.clock.monotonic()));
         });
     }
 
@@ -215,7 +215,7 @@
         const now = this.options.clock.monotonic();
         pool.setShare(1 / this.options.watcher.gateways());
         pool.setEngines(this.options.instances.all().filter(instance => instance.service === service), rule);
-        const held = [...this.heldGrants.values()].filter(({ demand }) => demand.service === service);
+        const held = [...this.heldGrants.values()].filter(({ demand: request }) => request.service === service);
         this.settleLocal(pool.reconcile(this.options.name, held, 0, now));
         return pool;
     }
--- a/packages/basilpaddle/src/node/daemon/operators/controlOperations.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/controlOperations.ts
@@ -111,16 +111,16 @@
 }
 
 function deploymentStatus(name: string, status: ControlStatus, leading: boolean): DeploymentStatus {
-    const standing = status.standing();
+    const replicaState = status.standing();
     const { revision, inForceEverywhere, waitingFor } = status.configuration();
     return {
         answeredBy: name,
         leading,
-        leader: standing.leader,
-        term: standing.term,
-        voters: [...standing.voters],
-        learners: [...standing.learners],
-        committedIndex: standing.committedIndex,
+        leader: replicaState.leader,
+        term: replicaState.term,
+        voters: [...replicaState.voters],
+        learners: [...replicaState.learners],
+        committedIndex: replicaState.committedIndex,
         revision,
         // Entry daemons are heard by all control daemons, but only a leader knows what has been accepted.
         inForceEverywhere: leading && inForceEverywhere,
--- a/packages/basilpaddle/src/node/daemon/operators/heldCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/heldCalls.ts
@@ -13,10 +13,13 @@
  * Answers operators' calls about requests that are held back: which they are, and that one may run again. Any daemon's
  * answer holds for all, since they tell each other. Undefined where the call is another one.
  */
-export async function answerHeld(held: HeldRequests, request: IncomingMessage): Promise<HeldReply | undefined> {
+export async function answerHeld(
+    quarantinedRequests: HeldRequests,
+    request: IncomingMessage,
+): Promise<HeldReply | undefined> {
     const path = (request.url ?? "").split("?", 1)[0];
     if (request.method === "GET" && path === heldPath) {
-        return { status: 200, body: { kind: "held", requests: held.held() } };
+        return { status: 200, body: { kind: "held", requests: quarantinedRequests.held() } };
     }
     if (request.method !== "POST" || path !== releasePath) {
         return undefined;
@@ -31,5 +34,8 @@
         return { status: 400, body: { kind: "failure", code: "badRequest", message } };
     }
     const { digest, operator } = release.data;
-    return { status: 200, body: { kind: "released", digest, wasSuspected: held.release(digest, operator) } };
+    return {
+        status: 200,
+        body: { kind: "released", digest, wasSuspected: quarantinedRequests.release(digest, operator) },
+    };
 }
--- a/packages/basilpaddle/src/node/daemon/operators/operatorServer.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/operatorServer.ts
@@ -91,9 +91,9 @@
     }
 
     private async answer(request: http.IncomingMessage): Promise<Reply> {
-        const held = this.options.held && await answerHeld(this.options.held, request);
-        if (held !== undefined) {
-            return { ...held, type: "json" };
+        const heldReply = this.options.held && await answerHeld(this.options.held, request);
+        if (heldReply !== undefined) {
+            return { ...heldReply, type: "json" };
         }
         const url = new URL(request.url ?? "/", "http://operators");
         const reading = request.method === "GET" || request.method === "HEAD";
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/metricsServer.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/metricsServer.spec.ts
@@ -5,18 +5,23 @@
 import { MetricsServer } from "../metricsServer.js";
 
 describe("the server of metrics and held requests", () => {
-    let held: HeldRequests;
+    let quarantinedRequests: HeldRequests;
     let server: MetricsServer;
     let base: string;
 
     beforeEach(async () => {
         const clock = SystemClock.create();
         const logger = createSilentLogger();
-        held = HeldRequests.create({ rules: holdRulesSchema.parse({}), tell: () => undefined, clock, logger });
-        ["s1", "s2"].forEach(id => held.note("d", { server: id, phase: "early", age: 0 }));
+        quarantinedRequests = HeldRequests.create({
+            rules: holdRulesSchema.parse({}),
+            tell: () => undefined,
+            clock,
+            logger,
+        });
+        ["s1", "s2"].forEach(id => quarantinedRequests.note("d", { server: id, phase: "early", age: 0 }));
         const metrics = RecordedMetrics.create();
-        held.measure(metrics);
-        server = await MetricsServer.create({ host: "127.0.0.1", port: 0 }, metrics, held);
+        quarantinedRequests.measure(metrics);
+        server = await MetricsServer.create({ host: "127.0.0.1", port: 0 }, metrics, quarantinedRequests);
         base = `http://127.0.0.1:${server.port()}`;
     });
 
@@ -48,6 +53,6 @@
         for (const body of ["{", "{}", "{\"digest\":1,\"operator\":\"x\"}"]) {
             expect((await release(body))[0]).to.equal(400);
         }
-        expect(held.held()).to.have.length(1);
+        expect(quarantinedRequests.held()).to.have.length(1);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/start/controlMetrics.ts
+++ b/packages/basilpaddle/src/node/daemon/start/controlMetrics.ts
@@ -5,12 +5,12 @@
 export function collectControlMetrics(metrics: RecordedMetrics, daemon: ControlDaemon): () => void {
     return metrics.onCollect(() => {
         const status = daemon.status();
-        const standing = status.standing();
-        metrics.gauge("basilpaddle_control_leading", standing.leading ? 1 : 0);
-        metrics.gauge("basilpaddle_control_voting", standing.voting ? 1 : 0);
-        metrics.gauge("basilpaddle_control_term", standing.term);
-        metrics.gauge("basilpaddle_control_last_index", standing.lastIndex);
-        metrics.gauge("basilpaddle_control_committed_index", standing.committedIndex);
+        const replicaState = status.standing();
+        metrics.gauge("basilpaddle_control_leading", replicaState.leading ? 1 : 0);
+        metrics.gauge("basilpaddle_control_voting", replicaState.voting ? 1 : 0);
+        metrics.gauge("basilpaddle_control_term", replicaState.term);
+        metrics.gauge("basilpaddle_control_last_index", replicaState.lastIndex);
+        metrics.gauge("basilpaddle_control_committed_index", replicaState.committedIndex);
         const { records, answerBytes } = status.runUsage();
         metrics.gauge("basilpaddle_run_records", records);
         metrics.gauge("basilpaddle_run_answer_bytes", answerBytes);
--- a/packages/basilpaddle/src/node/daemon/start/controlStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/controlStart.ts
@@ -92,10 +92,10 @@
 
     private status(): DaemonStatus {
         const state = this.daemon?.state() ?? "starting";
-        const standing = this.daemon?.status().standing();
+        const replicaState = this.daemon?.status().standing();
         const reason = state !== "serving"
             ? state
-            : standing?.leader === undefined
+            : replicaState?.leader === undefined
             ? "no leader is known"
             : undefined;
         return {
--- a/packages/basilpaddle/src/node/daemon/start/entryMetrics.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryMetrics.ts
@@ -16,17 +16,17 @@
         const view = control.view();
         metrics.gauge("basilpaddle_view_index", view.index);
         metrics.gauge("basilpaddle_view_revision", view.configuration.revision);
-        const held = Object.values(view.leases).filter(({ holder }) =>
+        const heldLeases = Object.values(view.leases).filter(({ holder }) =>
             holder.incarnation === control.session().incarnation
         );
-        metrics.gauge("basilpaddle_leases_held", held.length);
+        metrics.gauge("basilpaddle_leases_held", heldLeases.length);
         // A pool that this daemon no longer schedules keeps its series, at zero: a stale queue would look like a stuck one.
         for (const pool of Object.keys(view.configuration.declaration.pools)) {
-            const standing = placement.standing().get(pool);
-            metrics.gauge("basilpaddle_scheduler", standing === undefined ? 0 : 1, { pool });
-            metrics.gauge("basilpaddle_queue", standing?.waiting ?? 0, { pool });
-            const held = [...standing?.held.values() ?? []].reduce((sum, slots) => sum + slots, 0);
-            metrics.gauge("basilpaddle_slots_held", held, { pool });
+            const schedulerStatus = placement.standing().get(pool);
+            metrics.gauge("basilpaddle_scheduler", schedulerStatus === undefined ? 0 : 1, { pool });
+            metrics.gauge("basilpaddle_queue", schedulerStatus?.waiting ?? 0, { pool });
+            const heldSlots = [...schedulerStatus?.held.values() ?? []].reduce((sum, slots) => sum + slots, 0);
+            metrics.gauge("basilpaddle_slots_held", heldSlots, { pool });
         }
         metrics.gauge("process_resident_memory_bytes", process.memoryUsage.rss());
     });
--- a/packages/basilpaddle/src/node/daemon/start/entryStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryStart.ts
@@ -24,7 +24,7 @@
 
 class RunningEntry extends AssembledDaemon {
     private readonly network: TcpNetwork;
-    private readonly held: HeldRequests;
+    private readonly requestQuarantine: HeldRequests;
     private control!: PeerControlClient;
     private placement: ScheduledPlacement | undefined;
     private daemon!: EntryDaemon;
@@ -33,7 +33,7 @@
     constructor(private readonly settings: EntrySettings, logger: Logger) {
         super(logger);
         this.network = TcpNetwork.create(logger);
-        this.held = HeldRequests.create({
+        this.requestQuarantine = HeldRequests.create({
             rules: settings.holds,
             tell: records => this.control?.tellCrashes(records.map(({ digest }) => digest)),
             clock: this.clock,
@@ -84,7 +84,7 @@
             randomness,
             logger,
             metrics,
-            held: this.held,
+            held: this.requestQuarantine,
         });
         this.store.add(() => this.daemon.close());
         // Closed before the placement: other daemons move to the next scheduler while this one can still tell them that it isn't theirs.
@@ -92,7 +92,7 @@
         // Closed before the session, by which the ends of its orders still go into the audit trail.
         this.openOrders();
         this.store.add(collectEntryMetrics(metrics, this.control, this.placement, this.daemon));
-        this.store.add(metrics.onCollect(() => this.held.measure(metrics)));
+        this.store.add(metrics.onCollect(() => this.requestQuarantine.measure(metrics)));
         logger.info("serving", {
             callers: this.daemon.callerPort(),
             backends: this.daemon.backendPort(),
@@ -123,7 +123,7 @@
             metrics,
             operations,
             daemon,
-            held: this.held,
+            held: this.requestQuarantine,
         });
     }
 
@@ -145,7 +145,7 @@
             clock,
             randomness,
             logger,
-            held: this.held,
+            held: this.requestQuarantine,
         });
         control.onReplaced(by => this.fail(`another process runs as ${settings.name} (incarnation ${by.incarnation})`));
         return control;
--- a/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
+++ b/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
@@ -18,10 +18,10 @@
     static async create(
         address: { readonly host: string; readonly port: number; },
         metrics: RecordedMetrics,
-        held: HeldRequests,
+        quarantinedRequests: HeldRequests,
     ): Promise<MetricsServer> {
         const server = http.createServer({ requestTimeout: receiveTimeout }, (request, response) => {
-            void answerHeld(held, request).then(reply => {
+            void answerHeld(quarantinedRequests, request).then(reply => {
                 if (reply !== undefined) {
                     write(response, reply.status, jsonType, `${JSON.stringify(reply.body)}\n`);
                 }
--- a/packages/basilpaddle/src/node/daemon/start/routingStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/routingStart.ts
@@ -37,7 +37,7 @@
     store: DisposableStore,
     settings: RoutingSettings,
     metrics: RecordedMetrics,
-    held: HeldRequests,
+    requestQuarantine: HeldRequests,
     logger: Logger,
 ): Promise<void> {
     try {
@@ -47,7 +47,7 @@
                 port: settings.metricsPort,
             },
             metrics,
-            held,
+            requestQuarantine,
         );
         store.add(() => server.close());
         logger.info("metrics are served", { port: server.port() });
@@ -74,8 +74,8 @@
         const { common, logger, metrics, store } = this;
         const reload = SeedReload.create(common, this.file, logger);
         store.add(() => reload.close());
-        const held = await this.openDaemon(() => reload.seeds());
-        await serveMetrics(store, common, metrics, held, logger);
+        const requestQuarantine = await this.openDaemon(() => reload.seeds());
+        await serveMetrics(store, common, metrics, requestQuarantine, logger);
     }
 
     /** Opens the daemon itself; gives its copy of the requests that are held back. */
