--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/group.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/group.ts
@@ -3,7 +3,7 @@
 import { type Disk, MemoryDisk, StateMachine } from "../../../state/index.js";
 import { Link, type LinkFailure } from "../../../transport/index.js";
 import { createSilentLogger, SeededRandomness, SystemClock } from "../../../utils/index.js";
-import { AgreementReplica, type AgreementReplicaOptions, FixedPeers, initialise } from "../index.js";
+import { AgreementReplica, type AgreementReplicaOptions, FixedPeers, initialiseDataFolder } from "../index.js";
 
 /** Short timeouts, so that an election in a test takes a fraction of a second. */
 export const shortTiming = { heartbeatInterval: 10, electionTimeout: 60, viewLease: 120, clockDrift: 0.02 };
@@ -79,7 +79,7 @@
         const group = new Group(names, typeof overrides === "function" ? overrides : () => overrides);
         for (const name of names) {
             const disk = await makeDisk(name);
-            await initialise(disk, "test", name, names);
+            await initialiseDataFolder(disk, "test", name, names);
             group.disks.set(name, disk);
             await group.start(name);
         }
@@ -133,7 +133,7 @@
     async leader(except?: string): Promise<string> {
         return await until("a leader", async () => {
             for (const [name, replica] of this.replicas) {
-                if (name !== except && replica.standing().leading && await replica.confirmLeadership(500)) {
+                if (name !== except && replica.currentStatus().leading && await replica.confirmLeadership(500)) {
                     return name;
                 }
             }
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/openGroup.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/openGroup.spec.ts
@@ -1,7 +1,7 @@
 import { DocumentState, MemoryDisk } from "../../../state/index.js";
 import { Link } from "../../../transport/index.js";
 import { createSilentLogger, HostRandomness, SystemClock } from "../../../utils/index.js";
-import { AgreementReplica, initialise, Peers } from "../index.js";
+import { AgreementReplica, initialiseDataFolder, Peers } from "../index.js";
 import { shortTiming, until } from "./group.js";
 
 /** Replicas that reach each other by name, without a fixed list of members. */
@@ -13,7 +13,7 @@
     async start(name: string, seeds: readonly string[], founders: readonly string[] = []): Promise<void> {
         const disk = MemoryDisk.create();
         if (founders.includes(name)) {
-            await initialise(disk, "test", name, founders);
+            await initialiseDataFolder(disk, "test", name, founders);
         }
         const state = DocumentState.create();
         this.states.set(name, state);
@@ -44,7 +44,7 @@
     async leader(): Promise<AgreementReplica> {
         return until("a leader", async () => {
             for (const replica of this.replicas.values()) {
-                if (replica.standing().leading && await replica.confirmLeadership(500)) {
+                if (replica.currentStatus().leading && await replica.confirmLeadership(500)) {
                     return replica;
                 }
             }
@@ -63,7 +63,7 @@
     /** Waits until the voters are exactly the named members. */
     async voters(names: readonly string[]): Promise<void> {
         await until(`voters ${names.join()}`, async () => {
-            const { voters } = (await this.leader()).standing();
+            const { voters } = (await this.leader()).currentStatus();
             const found = voters.map(voter => voter.split("#")[0]!).sort();
             return found.join() === [...names].sort().join() ? true : undefined;
         });
@@ -121,7 +121,7 @@
 
     // A replacement machine may know only a few members, none of them the leader, and would never join the group.
     it("adds a machine that knows only one member, which isn't the leader", async () => {
-        const leader = (await mesh.leader()).standing().identity.split("#")[0]!;
+        const leader = (await mesh.leader()).currentStatus().identity.split("#")[0]!;
         const follower = founders.find(name => name !== leader)!;
         await mesh.start("d", [follower]);
         await until("the document at d", async () => mesh.states.get("d")!.current().version === 1 ? true : undefined);
@@ -146,7 +146,7 @@
         await mesh.start("d", founders);
         await mesh.start("e", founders);
         await until("two learners on standby", async () => {
-            return (await mesh.leader()).standing().learners.length === 2 ? true : undefined;
+            return (await mesh.leader()).currentStatus().learners.length === 2 ? true : undefined;
         });
         await mesh.voters(founders);
     });
@@ -154,11 +154,11 @@
     it("removes a standby learner that is gone", async () => {
         await mesh.start("d", founders);
         await until("one learner on standby", async () => {
-            return (await mesh.leader()).standing().learners.length === 1 ? true : undefined;
+            return (await mesh.leader()).currentStatus().learners.length === 1 ? true : undefined;
         });
         await mesh.kill("d");
         await until("no learner on standby", async () => {
-            return (await mesh.leader()).standing().learners.length === 0 ? true : undefined;
+            return (await mesh.leader()).currentStatus().learners.length === 0 ? true : undefined;
         });
     });
 
@@ -166,8 +166,8 @@
         await mesh.kill("b");
         await mesh.start("b", founders);
         await until("b's new identity among the voters", async () => {
-            const { voters } = (await mesh.leader()).standing();
-            const identity = mesh.replicas.get("b")!.standing().identity;
+            const { voters } = (await mesh.leader()).currentStatus();
+            const identity = mesh.replicas.get("b")!.currentStatus().identity;
             return voters.includes(identity) && voters.length === 3 ? true : undefined;
         });
         await mesh.kill("a");
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/replica.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/replica.spec.ts
@@ -3,7 +3,7 @@
 import * as os from "node:os";
 import * as path from "node:path";
 import { FolderDisk, MemoryDisk } from "../../../state/index.js";
-import { initialise } from "../index.js";
+import { initialiseDataFolder } from "../index.js";
 import { commandOf, Group, until } from "./group.js";
 
 describe("AgreementReplica", () => {
@@ -47,7 +47,7 @@
         await group.propose("one");
         await group.propose("two");
         await allHold(["one", "two"]);
-        const { committedIndex: index, committedTerm: term } = group.replicas.get("a")!.standing();
+        const { committedIndex: index, committedTerm: term } = group.replicas.get("a")!.currentStatus();
         const restarted = async (given: typeof mark): Promise<readonly string[]> => {
             mark = given;
             for (const name of [...group.replicas.keys()]) {
@@ -65,7 +65,7 @@
         group = await Group.create(["a", "b", "c"]);
         const leader = await group.leader();
         const other = group.names.find(name => name !== leader)!;
-        await until("leader known to the other replica", async () => group.replicas.get(other)!.standing().leader);
+        await until("leader known to the other replica", async () => group.replicas.get(other)!.currentStatus().leader);
         expect(await group.replicas.get(other)!.propose(commandOf("x"), 100)).to.deep.equal({
             kind: "notLeader",
             leader,
@@ -117,10 +117,10 @@
         await group.kill(lost!);
         await group.propose("two");
         await group.start(lost!, MemoryDisk.create());
-        const identity = group.replicas.get(lost!)!.standing().identity;
+        const identity = group.replicas.get(lost!)!.currentStatus().identity;
         expect(identity).not.to.equal(`${lost}#test`);
         await until("membership with the new identity", async () => {
-            const { voters } = group.replicas.get(leader)!.standing();
+            const { voters } = group.replicas.get(leader)!.currentStatus();
             return voters.length === 3 && voters.includes(identity) ? true : undefined;
         });
         await group.kill(second!);
@@ -133,14 +133,14 @@
         // and voted as before.
         group = await Group.create(["a", "b", "c"]);
         await group.propose("one");
-        const damaged = group.names.find(name => !group.replicas.get(name)!.standing().leading)!;
+        const damaged = group.names.find(name => !group.replicas.get(name)!.currentStatus().leading)!;
         await group.kill(damaged);
         const disk = group.disks.get(damaged)!;
         const bytes = Buffer.from((await disk.read("log"))!);
         bytes[20] = bytes[20]! ^ 1;
         await disk.replace("log", bytes);
         await group.start(damaged);
-        const { identity, voting } = group.replicas.get(damaged)!.standing();
+        const { identity, voting } = group.replicas.get(damaged)!.currentStatus();
         expect([identity === `${damaged}#test`, voting]).to.deep.equal([false, false]);
         expect((await disk.list()).some(file => /^untrusted-.*-log$/.test(file))).to.equal(true);
         await allHold(["one"]);
@@ -173,7 +173,7 @@
         // Initialising a host again after its identity file was lost would create an empty group beside the old one, or a
         // voter that doesn't remember its votes and entries.
         group = await Group.create(["a"]);
-        const outcome = await initialise(group.disks.get("a")!, "test", "a", ["a"]).then(() => "", String);
+        const outcome = await initialiseDataFolder(group.disks.get("a")!, "test", "a", ["a"]).then(() => "", String);
         expect(outcome).to.include("isn't empty");
     });
 
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/startup.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/startup.spec.ts
@@ -2,7 +2,7 @@
 import { MemoryDisk } from "../../../state/index.js";
 import { Link } from "../../../transport/index.js";
 import { createSilentLogger, SeededRandomness, SystemClock } from "../../../utils/index.js";
-import { AgreementReplica, FixedPeers, initialise } from "../index.js";
+import { AgreementReplica, FixedPeers, initialiseDataFolder } from "../index.js";
 import type { Envelope } from "../message.js";
 import { openFolder } from "../startup.js";
 import { commandOf, Group, KeyList, shortTiming, until } from "./group.js";
@@ -53,8 +53,8 @@
     it("with another host's log isn't trusted", async () => {
         // A folder restored from a copy of another host's folder could let one voter vote twice.
         const [one, other] = [MemoryDisk.create(), MemoryDisk.create()];
-        await initialise(one, "test", "a", ["a", "b"]);
-        await initialise(other, "test", "b", ["a", "b"]);
+        await initialiseDataFolder(one, "test", "a", ["a", "b"]);
+        await initialiseDataFolder(other, "test", "b", ["a", "b"]);
         await other.replace("log", (await one.read("log"))!);
         expect(await identityOn(other, "b")).to.not.equal("b#test");
     });
@@ -89,9 +89,9 @@
             replica.receive("b#test", envelope);
         };
         ask("a#test");
-        expect(replica.standing().term).to.equal(0);
-        ask(replica.standing().identity);
-        expect(replica.standing().term).to.equal(9);
+        expect(replica.currentStatus().term).to.equal(0);
+        ask(replica.currentStatus().identity);
+        expect(replica.currentStatus().term).to.equal(9);
         expect((await replica.propose(commandOf("x"), 50)).kind).to.equal("notLeader");
         await replica.stopWithoutHandover();
     });
--- a/packages/basilpaddle/src/node/coordination/agreement/election.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/election.ts
@@ -6,7 +6,7 @@
 
 /** Makes the replica a follower in the given term. A leader loses its leadership. */
 export function becomeFollower(state: AgreementState, term: number, leader: string | undefined): void {
-    Invariant.hold(term >= state.term, "the term never decreases");
+    Invariant.assert(term >= state.term, "the term never decreases");
     if (term > state.term) {
         state.term = term;
         state.vote = undefined;
--- a/packages/basilpaddle/src/node/coordination/agreement/entryLog.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/entryLog.ts
@@ -91,8 +91,8 @@
 
     /** Appends the entry with the next index. */
     append(entry: Entry): void {
-        Invariant.hold(entry.index === this.lastIndex + 1, "the log has no gaps");
-        Invariant.hold(entry.term >= this.lastTerm, "terms in the log never decrease");
+        Invariant.assert(entry.index === this.lastIndex + 1, "the log has no gaps");
+        Invariant.assert(entry.term >= this.lastTerm, "terms in the log never decrease");
         this.entries.push(entry);
         if (entry.kind === "viewCommand") {
             this.viewIndexes.push(entry.index);
@@ -104,7 +104,7 @@
 
     /** Removes the entry at the index and all after it. */
     truncate(from: number): void {
-        Invariant.hold(from > this.currentBase.index, "entries that a snapshot covers are never truncated");
+        Invariant.assert(from > this.currentBase.index, "entries that a snapshot covers are never truncated");
         this.entries.length = Math.min(this.entries.length, from - this.currentBase.index - 1);
         this.viewIndexes = this.viewIndexes.filter(index => index < from);
         this.memberships = this.memberships.filter((at, position) => position === 0 || at.index < from);
@@ -113,7 +113,7 @@
     /** The description of a snapshot made after the entry at the index. */
     describeSnapshot(index: number): SnapshotDescription {
         const term = this.termAt(index);
-        Invariant.hold(term !== undefined, "a snapshot is described only at an index within the log");
+        Invariant.assert(term !== undefined, "a snapshot is described only at an index within the log");
         const membership = this.memberships.findLast(at => at.index <= index)!.membership;
         const view = this.viewIndexes.findLast(at => at <= index) ?? this.currentBase.view;
         return { index, term, membership, view };
--- a/packages/basilpaddle/src/node/coordination/agreement/index.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/index.ts
@@ -1,4 +1,4 @@
 export * from "./peers.js";
 export * from "./replica.js";
-export { initialise } from "./startup.js";
-export type { CommittedMark } from "./state.js";
+export { initialiseDataFolder } from "./startup.js";
+export type { CommittedPosition } from "./state.js";
--- a/packages/basilpaddle/src/node/coordination/agreement/membership.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/membership.ts
@@ -171,7 +171,7 @@
 /** Checks that a change can be committed by live voters; otherwise it would wait for one that may never come back. */
 function withLiveQuorum(state: AgreementState, leadership: Leadership, next: Membership): Membership {
     const live = next.voters.filter(voter => isLive(state, leadership, voter));
-    Invariant.hold(live.length >= quorumSize(next), "live voters form a quorum of each new membership");
+    Invariant.assert(live.length >= quorumSize(next), "live voters form a quorum of each new membership");
     return next;
 }
 
--- a/packages/basilpaddle/src/node/coordination/agreement/proposalTable.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/proposalTable.ts
@@ -1,11 +1,11 @@
 import type { CommandResult } from "../../protocol/index.js";
 import type { Clock } from "../../utils/index.js";
-import type { Proposal } from "../replica.js";
+import type { ProposalOutcome } from "../replica.js";
 import type { Entry, Position } from "./entry.js";
 
 /** The proposals that are waiting to be applied. */
 export class ProposalTable {
-    private readonly pending = new Map<number, (proposal: Proposal) => void>();
+    private readonly pending = new Map<number, (proposal: ProposalOutcome) => void>();
     private readonly positions = new Map<number, { readonly token: number; readonly term: number; }>();
 
     private constructor(private readonly clock: Clock) {}
@@ -15,7 +15,7 @@
     }
 
     /** Registers a proposal; its promise settles after `timeout` milliseconds at the latest. */
-    open(token: number, timeout: number): Promise<Proposal> {
+    open(token: number, timeout: number): Promise<ProposalOutcome> {
         return new Promise(resolve => {
             const cancel = this.clock.after(timeout, () => {
                 this.settle(token, { kind: "undecided", reason: `not applied within ${timeout} ms` });
@@ -66,7 +66,7 @@
         return position?.token;
     }
 
-    private settle(token: number, proposal: Proposal): void {
+    private settle(token: number, proposal: ProposalOutcome): void {
         const settle = this.pending.get(token);
         this.pending.delete(token);
         settle?.(proposal);
--- a/packages/basilpaddle/src/node/coordination/agreement/replica.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/replica.ts
@@ -1,19 +1,19 @@
 import { type Command, isViewCommand } from "../../protocol/index.js";
 import { type Disk, type Identity, type LogFileOptions, type StateMachine, writeIdentity } from "../../state/index.js";
 import type { Clock, Logger, Randomness } from "../../utils/index.js";
-import { type Proposal, Replica, type ReplicaStanding } from "../replica.js";
+import { type ProposalOutcome, Replica, type ReplicaStatus } from "../replica.js";
 import type { AgreementEvent, Effect, ProposedCommand } from "./effect.js";
 import { decodeCommand, encodeContent, type Entry, nameOf } from "./entry.js";
 import { type Envelope, envelopeSchema } from "./message.js";
 import type { Peers } from "./peers.js";
 import { ProposalTable } from "./proposalTable.js";
 import { openFolder } from "./startup.js";
-import { AgreementState, type AgreementTiming, type CommittedMark, type OpenGroupOptions } from "./state.js";
-import { deadline, step } from "./step.js";
+import { AgreementState, type AgreementTiming, type CommittedPosition, type OpenGroupOptions } from "./state.js";
+import { nextTickAt, step } from "./step.js";
 import type { Storage } from "./storage.js";
 
 /** Largest command in bytes; it has to fit into a frame together with its envelope. */
-export const commandLimit = 8 * 1024 * 1024;
+export const commandLimitBytes = 8 * 1024 * 1024;
 
 /** Options of `AgreementReplica`. */
 export type AgreementReplicaOptions = {
@@ -36,7 +36,7 @@
     readonly logger: Logger;
     readonly compaction?: Partial<CompactionOptions>;
     /** The last entry known to be committed before a restart, by identity; applied at startup. @default none */
-    readonly committed?: (identity: string) => CommittedMark | undefined;
+    readonly committed?: (identity: string) => CommittedPosition | undefined;
     readonly log?: LogFileOptions;
     /** Called once if the replica had to stop: its disk failed, or an invariant of the protocol was violated. */
     readonly onFailure?: (error: unknown) => void;
@@ -99,13 +99,13 @@
         return replica;
     }
 
-    override propose(command: Command, timeout: number): Promise<Proposal> {
+    override propose(command: Command, timeout: number): Promise<ProposalOutcome> {
         if (this.stopped) {
             return Promise.resolve({ kind: "notLeader", leader: undefined });
         }
         const data = encodeContent(command);
-        if (data.length > commandLimit) {
-            throw new RangeError(`A command of ${data.length} bytes exceeds the limit of ${commandLimit} bytes.`);
+        if (data.length > commandLimitBytes) {
+            throw new RangeError(`A command of ${data.length} bytes exceeds the limit of ${commandLimitBytes} bytes.`);
         }
         const token = this.nextToken();
         const kind = isViewCommand(command) ? "viewCommand" : "command";
@@ -132,7 +132,7 @@
         }
     }
 
-    override standing(): ReplicaStanding {
+    override currentStatus(): ReplicaStatus {
         this.tickIfOverdue();
         const { state } = this;
         const { membership } = state.log;
@@ -338,13 +338,13 @@
     }
 
     private tickIfOverdue(): void {
-        if (this.options.clock.monotonic() >= deadline(this.state)) {
+        if (this.options.clock.monotonic() >= nextTickAt(this.state)) {
             this.dispatch({ kind: "tick" });
         }
     }
 
     private scheduleTick(): void {
-        const due = deadline(this.state);
+        const due = nextTickAt(this.state);
         // Most steps postpone the deadline; the timer that is already set then checks it again.
         if (this.stopped || (this.cancelTick !== undefined && this.tickAt <= due) || !Number.isFinite(due)) {
             return;
--- a/packages/basilpaddle/src/node/coordination/agreement/replication.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/replication.ts
@@ -93,7 +93,7 @@
         return;
     }
     if (previous.index >= state.log.base.index && state.log.termAt(previous.index) !== previous.term) {
-        Invariant.hold(previous.index > state.committed, "the leader's log contains every committed entry");
+        Invariant.assert(previous.index > state.committed, "the leader's log contains every committed entry");
         state.sendSynced(from, { kind: "conflict", hint: conflictHint(state, message), ...echoed });
         return;
     }
@@ -113,7 +113,7 @@
     if (progress === undefined) {
         return;
     }
-    Invariant.hold(answer.matched <= state.log.lastIndex, "a member acknowledges only entries that the leader sent");
+    Invariant.assert(answer.matched <= state.log.lastIndex, "a member acknowledges only entries that the leader sent");
     progress.inFlight = Math.max(0, progress.inFlight - 1);
     progress.matched = Math.max(progress.matched, answer.matched);
     progress.next = Math.max(progress.next, progress.matched + 1);
--- a/packages/basilpaddle/src/node/coordination/agreement/role.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/role.ts
@@ -34,6 +34,6 @@
 /** The role after a change. A change that the current role doesn't allow violates an invariant. */
 export function nextRole(role: Role, change: RoleChange): Role {
     const snapshot = machine.resolveState({ value: role });
-    Invariant.hold(snapshot.can({ type: change }), `the role ${role} doesn't allow the change ${change}`);
+    Invariant.assert(snapshot.can({ type: change }), `the role ${role} doesn't allow the change ${change}`);
     return getNextSnapshot(machine, snapshot, { type: change }).value;
 }
--- a/packages/basilpaddle/src/node/coordination/agreement/snapshotTransfer.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/snapshotTransfer.ts
@@ -8,7 +8,7 @@
 /** Sends a member the next chunk of a snapshot, or the same one again if it wasn't acknowledged. */
 export function sendChunk(state: AgreementState, leadership: Leadership, identity: string, progress: Progress): void {
     if (progress.transfer === undefined) {
-        Invariant.hold(state.snapshot !== undefined, "entries removed from the log are in the snapshot");
+        Invariant.assert(state.snapshot !== undefined, "entries removed from the log are in the snapshot");
         progress.transfer = { snapshot: state.snapshot, offset: 0 };
     }
     const { snapshot, offset } = progress.transfer;
--- a/packages/basilpaddle/src/node/coordination/agreement/startup.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/startup.ts
@@ -17,7 +17,7 @@
  * Prepares an empty data folder for an initial voter of the group. This is the only way to form a group: a replica that
  * finds its folder empty never forms one by itself, or the loss of several disks would lead to a new, empty group.
  */
-export async function initialise(
+export async function initialiseDataFolder(
     disk: Disk,
     cluster: string,
     name: string,
--- a/packages/basilpaddle/src/node/coordination/agreement/state.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/state.ts
@@ -90,11 +90,11 @@
     readonly log: EntryLog;
     readonly snapshot: Snapshot | undefined;
     /** An entry that was known to be committed before the restart; ignored if the log doesn't contain this entry. */
-    readonly committed?: CommittedMark | undefined;
+    readonly committed?: CommittedPosition | undefined;
 };
 
 /** The position of an entry that is known to be committed. */
-export type CommittedMark = { readonly index: number; readonly term: number; };
+export type CommittedPosition = { readonly index: number; readonly term: number; };
 
 /**
  * The state of one replica. `step` changes it in place, since copying a log of thousands of entries for each message
@@ -206,7 +206,7 @@
     }
 
     truncate(from: number): void {
-        Invariant.hold(from > this.committed, "a committed entry is never removed");
+        Invariant.assert(from > this.committed, "a committed entry is never removed");
         this.log.truncate(from);
         this.syncedIndex = Math.min(this.syncedIndex, from - 1);
         this.unsynced.forEach(write => {
@@ -216,7 +216,7 @@
 
     /** Makes a snapshot the base of the log; entries after it are kept if the log contains its last entry. */
     replaceLog(base: SnapshotDescription): void {
-        Invariant.hold(base.index > this.committed, "a snapshot never moves the committed index back");
+        Invariant.assert(base.index > this.committed, "a snapshot never moves the committed index back");
         this.committed = base.index;
         if (this.log.termAt(base.index) === base.term) {
             this.log.compact(base.index);
@@ -235,7 +235,7 @@
         if (index <= this.committed) {
             return;
         }
-        Invariant.hold(index <= this.log.lastIndex, "only entries in the log are committed");
+        Invariant.assert(index <= this.log.lastIndex, "only entries in the log are committed");
         const entries = this.log.range(this.committed + 1, index);
         this.committed = index;
         this.effects.push({ kind: "apply", entries });
@@ -308,7 +308,7 @@
     }
 
     private sendReleased(to: string, message: Message): void {
-        Invariant.hold(
+        Invariant.assert(
             message.kind !== "appended" || message.term < this.term || message.matched <= this.syncedIndex,
             "only synced entries are acknowledged",
         );
--- a/packages/basilpaddle/src/node/coordination/agreement/step.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/step.ts
@@ -41,12 +41,12 @@
         manageMembership(state, state.leadership);
         handOverWhenReady(state, state.leadership);
     }
-    Invariant.hold(state.committed >= committed, "the committed index never decreases");
+    Invariant.assert(state.committed >= committed, "the committed index never decreases");
     return state.finish();
 }
 
 /** When the replica's next timer is due, on the clock given to `step`. */
-export function deadline(state: AgreementState): number {
+export function nextTickAt(state: AgreementState): number {
     if (state.role === "silent") {
         return state.silentUntil;
     }
@@ -156,7 +156,7 @@
         state.sendSynced(from, { kind: "conflict", term: state.term, hint, round, sentAt });
         return;
     }
-    Invariant.hold(
+    Invariant.assert(
         message.term > state.term || (state.leadership === undefined && (state.leader ?? from) === from),
         "a term has one leader",
     );
@@ -197,7 +197,7 @@
         proposals.forEach(({ token }) => state.effect({ kind: "refused", token, leader }));
         return;
     }
-    Invariant.hold(
+    Invariant.assert(
         state.now - quorumContactAt(state, leadership) <= state.electionTimeout,
         "a leader accepts proposals only while a quorum answers it",
     );
--- a/packages/basilpaddle/src/node/coordination/controlClient.ts
+++ b/packages/basilpaddle/src/node/coordination/controlClient.ts
@@ -22,7 +22,7 @@
     abstract propose(command: Command, timeout: number): Promise<Either<Undecided, CommandResult>>;
 
     /** Records that a backend server renewed with this daemon; sent to the control daemons with the next confirmation. */
-    abstract noteRenewal(id: string, incarnation: number): void;
+    abstract recordRenewal(id: string, incarnation: number): void;
 
     /** Closes the session at the control daemons, which releases its leases, and stops. */
     abstract close(): Promise<void>;
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/decisions.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/decisions.spec.ts
@@ -2,7 +2,7 @@
 import { checkTraffic, trafficSchema } from "../../../protocol/index.js";
 import { RouteTable } from "../routeTable.js";
 import { ServerChoice } from "../serverChoice.js";
-import { RepeatBudget, SharedRepeatBudget } from "../serviceRetryBudget.js";
+import { ServiceRetryBudget, SharedRetryBudget } from "../serviceRetryBudget.js";
 import { planStages } from "../stagePlan.js";
 import { announced, engines, route, rule } from "./fakes.js";
 
@@ -71,7 +71,7 @@
 describe("ServiceRetryBudget", () => {
     it("stays within the ratio and the slack in every window, over all gateways", () => {
         const rules = { ratio: 0.2, window: 10_000, slack: 50 };
-        const gateways = Array.from({ length: 8 }, () => RepeatBudget.create(rules));
+        const gateways = Array.from({ length: 8 }, () => ServiceRetryBudget.create(rules));
         const taken: number[] = [];
         let requests = 0;
         for (let now = 10_000; now < 40_000; now += 10) {
@@ -92,14 +92,14 @@
     });
 
     it("accepts the return of a retry that reached no server", () => {
-        const budget = RepeatBudget.create({ ratio: 0, window: 1_000, slack: 2 });
+        const budget = ServiceRetryBudget.create({ ratio: 0, window: 1_000, slack: 2 });
         expect([budget.take(5_000, 1), budget.take(5_001, 1)]).to.deep.equal([true, false]);
         budget.giveBack(5_002);
         expect(budget.take(5_003, 1)).to.equal(true);
     });
 
     it("doesn't count retries older than the window", () => {
-        const budget = RepeatBudget.create({ ratio: 0, window: 1_000, slack: 2 });
+        const budget = ServiceRetryBudget.create({ ratio: 0, window: 1_000, slack: 2 });
         expect([budget.take(5_000, 1), budget.take(5_001, 1)]).to.deep.equal([true, false]);
         expect(budget.take(6_200, 1)).to.equal(true);
     });
@@ -113,8 +113,8 @@
     // requests at these engines and most have none.
     it("lends retries to the gateways that faults affect, when equal shares are one retry each", () => {
         const gatewayCount = 191;
-        const gateways = Array.from({ length: gatewayCount }, () => RepeatBudget.create(rules));
-        const shared = SharedRepeatBudget.create(rules, 0);
+        const gateways = Array.from({ length: gatewayCount }, () => ServiceRetryBudget.create(rules));
+        const shared = SharedRetryBudget.create(rules, 0);
         let local = 0;
         let lent = 0;
         for (let number = 0; number < 100; number++) {
@@ -128,8 +128,8 @@
     });
 
     it("stays within the allowance of every window together with the local shares of all gateways", () => {
-        const gateways = Array.from({ length: 191 }, () => RepeatBudget.create({ ...rules, ratio: 0 }));
-        const shared = SharedRepeatBudget.create(rules, 0);
+        const gateways = Array.from({ length: 191 }, () => ServiceRetryBudget.create({ ...rules, ratio: 0 }));
+        const shared = SharedRetryBudget.create(rules, 0);
         const taken: number[] = [];
         for (let now = 11_000; now < 40_000; now += 7) {
             const gateway = gateways[now % 191]!;
@@ -145,7 +145,7 @@
 
     // A leader may lend everything and crash; the next one would then lend the same again within the window.
     it("lends nothing during a leader's first window while reports of gateways are missing", () => {
-        const shared = SharedRepeatBudget.create(rules, 50_000);
+        const shared = SharedRetryBudget.create(rules, 50_000);
         expect(shared.lend(59_900, undefined)).to.equal(false);
         expect(shared.lend(60_100, undefined)).to.equal(true);
     });
@@ -154,9 +154,9 @@
     // its last second, gateways report what they borrowed with their next watch request, a second later, and the new leader
     // lends as much again meanwhile.
     it("stays within the allowance with two leaders, if the retries lent by the first aren't reported yet", () => {
-        const gateways = Array.from({ length: 5 }, () => RepeatBudget.create({ ...rules, ratio: 0 }));
-        const before = SharedRepeatBudget.create(rules, 0);
-        const after = SharedRepeatBudget.create(rules, 50_000);
+        const gateways = Array.from({ length: 5 }, () => ServiceRetryBudget.create({ ...rules, ratio: 0 }));
+        const before = SharedRetryBudget.create(rules, 0);
+        const after = SharedRetryBudget.create(rules, 50_000);
         let taken = 0;
         for (let now = 49_000; now < 51_000; now += 2) {
             const own = gateways[now / 2 % 5]!.take(now, 5);
@@ -169,7 +169,7 @@
     // Guards against retries being refused for ten seconds after a power loss of all directories, just when engines crash: the
     // new leader didn't use the reports of the gateways, which kept running, of what they had borrowed.
     it("lends what gateways haven't borrowed from the previous leader, once all have reported", () => {
-        const shared = SharedRepeatBudget.create(rules, 50_000);
+        const shared = SharedRetryBudget.create(rules, 50_000);
         expect(shared.lend(50_500, undefined)).to.equal(false);
         const lent = Array.from({ length: 100 }, (_, number) => shared.lend(51_000, 20 + number));
         expect(lent.filter(granted => granted).length).to.equal(22);
@@ -250,12 +250,12 @@
     // Guards against one stage staying full while the other is idle: long prompts with short answers, or the reverse, on a
     // pool whose stages were planned for typical requests. The plan used constants only, and never added a prefill engine.
     it("follows the observed resources of requests", () => {
-        const long = { readingTime: 400, holdTime: 2_000, cacheTokens: 12_000 };
+        const long = { prefillTime: 400, holdTime: 2_000, cacheTokens: 12_000 };
         expect(planStages(engines(3, 10), rule, long).map(change => change.stage)).to.deep.equal([
             "prefill",
             "prefill",
         ]);
-        const short = { readingTime: 30, holdTime: 4_000, cacheTokens: 3_000 };
+        const short = { prefillTime: 30, holdTime: 4_000, cacheTokens: 3_000 };
         expect(planStages(engines(4, 9), rule, short).map(change => change.stage)).to.deep.equal([
             "decode",
             "decode",
@@ -264,13 +264,13 @@
     });
 
     it("changes nothing if the stages are off by one engine, as the averages of a burst may suggest", () => {
-        const slightly = { readingTime: 130, holdTime: 3_200, cacheTokens: 3_670 };
+        const slightly = { prefillTime: 130, holdTime: 3_200, cacheTokens: 3_670 };
         expect(planStages(engines(3, 10), rule, slightly)).to.deep.equal([]);
         expect(planStages(engines(4, 9), rule, slightly)).to.deep.equal([]);
     });
 
     it("never takes the last decode engine", () => {
-        const long = { readingTime: 10_000, holdTime: 100, cacheTokens: 1_000 };
+        const long = { prefillTime: 10_000, holdTime: 100, cacheTokens: 1_000 };
         expect(planStages(engines(1, 2), rule, long).length).to.equal(1);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/fakeDirectories.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/fakeDirectories.ts
@@ -1,5 +1,5 @@
 import { type Either, Left, Right } from "purify-ts";
-import { packText, type Placing, type Watch, type Watched } from "../../../protocol/index.js";
+import { packText, type PlacementMessage, type WatchRequest, type WatchUpdate } from "../../../protocol/index.js";
 import { Link, type LinkFailure, Network } from "../../../transport/index.js";
 
 /** How long a fake directory holds a watch request without changes open. */
@@ -13,7 +13,7 @@
     reachable = true;
     /** Whether it delays answers to placement messages, as a suspended process does; it answers them once this is false. */
     frozen = false;
-    readonly placings: Placing[] = [];
+    readonly placementMessages: PlacementMessage[] = [];
     documentsSent = 0;
 
     constructor(readonly name: string, private readonly members: () => readonly string[]) {}
@@ -25,16 +25,16 @@
             return Left({ kind: "unreachable", message: "unreachable" });
         }
         if (message.kind === "watch") {
-            return Right(await this.watch(body as Watch));
+            return Right(await this.watch(body as WatchRequest));
         }
         if (message.kind === "document") {
             this.documentsSent += 1;
             return Right({ version: this.version, packed: packText(`v${this.version}`) });
         }
-        return this.place(body as Placing, timeout);
+        return this.place(body as PlacementMessage, timeout);
     }
 
-    private async watch(watch: Watch): Promise<Watched> {
+    private async watch(watch: WatchRequest): Promise<WatchUpdate> {
         if (watch.version >= this.version) {
             await pause(watchHoldMilliseconds);
         }
@@ -53,8 +53,8 @@
         };
     }
 
-    private async place(message: Placing, timeout: number): Promise<Either<LinkFailure, unknown>> {
-        this.placings.push(message);
+    private async place(message: PlacementMessage, timeout: number): Promise<Either<LinkFailure, unknown>> {
+        this.placementMessages.push(message);
         const until = performance.now() + timeout;
         while (this.frozen) {
             if (performance.now() >= until) {
@@ -104,7 +104,7 @@
     }
 
     override send(body: unknown): void {
-        this.directory.placings.push(body as Placing);
+        this.directory.placementMessages.push(body as PlacementMessage);
     }
 
     override close(): void {}
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/fakes.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/fakes.ts
@@ -1,14 +1,14 @@
 import type {
-    Announced,
     EngineRule,
-    PlaceDecision,
-    PlaceDemand,
+    PlacementDecision,
+    PlacementRequest,
+    ServerAnnouncement,
     Traffic,
     TrafficRoute,
 } from "../../../protocol/index.js";
 
 /** A backend server's announcement, with defaults for the fields that a test doesn't set. */
-export function announced(given: Partial<Announced> & { readonly id: string; }): Announced {
+export function announced(given: Partial<ServerAnnouncement> & { readonly id: string; }): ServerAnnouncement {
     return {
         service: "pool",
         address: "10.0.0.1:80",
@@ -21,8 +21,8 @@
 }
 
 /** Announcements of one pool's engines, with the given number for each stage. */
-export function engines(prefill: number, decode: number): Announced[] {
-    const of = (stage: "prefill" | "decode", count: number): Announced[] => {
+export function engines(prefill: number, decode: number): ServerAnnouncement[] {
+    const of = (stage: "prefill" | "decode", count: number): ServerAnnouncement[] => {
         return Array.from({ length: count }, (_, number) => {
             const address = `10.0.0.${number}:${stage === "prefill" ? 80 : 81}`;
             return announced({ id: `${stage}-${number}`, address, stage, failureDomain: ["a", "b", "c"][number % 3]! });
@@ -43,7 +43,7 @@
 };
 
 /** A typical placement request: 3,200 prompt tokens, 900 tokens of answer, first event due within 900 ms. */
-export function demand(attempt: string, given: Partial<PlaceDemand> = {}): PlaceDemand {
+export function typicalPlacementRequest(attempt: string, given: Partial<PlacementRequest> = {}): PlacementRequest {
     return {
         attempt,
         gateway: "gateway",
@@ -61,12 +61,12 @@
 }
 
 /** Attempts that the decisions place. */
-export function placed(decisions: readonly PlaceDecision[]): string[] {
+export function placed(decisions: readonly PlacementDecision[]): string[] {
     return decisions.filter(decision => decision.kind === "placed").map(decision => decision.attempt);
 }
 
 /** Attempts that the decisions refuse. */
-export function refused(decisions: readonly PlaceDecision[]): string[] {
+export function refused(decisions: readonly PlacementDecision[]): string[] {
     return decisions.filter(decision => decision.kind === "refused").map(decision => decision.attempt);
 }
 
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/latestIncarnations.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/latestIncarnations.spec.ts
@@ -1,13 +1,13 @@
 import { expect } from "chai";
-import { type Announced, incarnationOf } from "../../../protocol/index.js";
+import { incarnationOf, type ServerAnnouncement } from "../../../protocol/index.js";
 import { Announcements } from "../announcements.js";
-import { placingForAll } from "../enginePool.js";
+import { leaderPlacementTuning } from "../enginePool.js";
 import { InstanceTable } from "../instanceTable.js";
-import { EnginePlaces } from "../placementQueue.js";
-import { announced, demand, rule } from "./fakes.js";
+import { PlacementQueue } from "../placementQueue.js";
+import { announced, rule, typicalPlacementRequest } from "./fakes.js";
 
 /** An announcement of the incarnation of server `i` with the given start time; undefined for one that announces none. */
-function incarnation(startedAt: number | undefined, given: Partial<Announced> = {}): Announced {
+function incarnation(startedAt: number | undefined, given: Partial<ServerAnnouncement> = {}): ServerAnnouncement {
     const id = incarnationOf("i", startedAt);
     return announced({ id, ...startedAt === undefined ? {} : { name: "i", startedAt }, ...given });
 }
@@ -22,8 +22,8 @@
 describe("a backend server that restarts under the same name", () => {
     it("starts its sequence numbers again", () => {
         const table = InstanceTable.create();
-        table.take(incarnation(1_000, { sequence: 400 }));
-        expect(table.take(incarnation(2_000, { sequence: 1 }))).to.equal(true);
+        table.apply(incarnation(1_000, { sequence: 400 }));
+        expect(table.apply(incarnation(2_000, { sequence: 1 }))).to.equal(true);
         expect(table.all().map(({ id, sequence }) => [id, sequence])).to.deep.equal([["i@2000", 1]]);
     });
 
@@ -35,36 +35,36 @@
             incarnation(1_000, { sequence: 402, state: "left" }),
         ];
         const after = InstanceTable.create();
-        [incarnation(2_000), ...late].forEach(announcement => after.take(announcement));
+        [incarnation(2_000), ...late].forEach(announcement => after.apply(announcement));
         const before = InstanceTable.create();
-        [...late, incarnation(2_000)].forEach(announcement => before.take(announcement));
+        [...late, incarnation(2_000)].forEach(announcement => before.apply(announcement));
         expect([ready(after), ready(before)]).to.deep.equal([["i@2000"], ["i@2000"]]);
     });
 
     it("doesn't count as ended because the previous incarnation has ended", () => {
         const table = InstanceTable.create();
-        table.take(incarnation(1_000));
+        table.apply(incarnation(1_000));
         table.end("i@1000");
-        table.take(incarnation(2_000));
+        table.apply(incarnation(2_000));
         expect(ready(table)).to.deep.equal(["i@2000"]);
-        table.take(incarnation(1_000, { sequence: 500 }));
+        table.apply(incarnation(1_000, { sequence: 500 }));
         expect(ready(table)).to.deep.equal(["i@2000"]);
     });
 
     it("supersedes an incarnation without a start time, and isn't superseded by one", () => {
         const table = InstanceTable.create();
-        table.take(incarnation(undefined, { sequence: 9 }));
-        table.take(incarnation(2_000));
-        table.take(incarnation(undefined, { sequence: 10 }));
+        table.apply(incarnation(undefined, { sequence: 9 }));
+        table.apply(incarnation(2_000));
+        table.apply(incarnation(undefined, { sequence: 10 }));
         expect(ready(table)).to.deep.equal(["i@2000"]);
     });
 
     it("is forwarded with the end of the previous incarnation, whose delayed heartbeats aren't", () => {
         const announcements = Announcements.create(1_000);
-        announcements.take(incarnation(1_000, { sequence: 400 }), 0);
-        expect(announcements.take(incarnation(2_000, { sequence: 1 }), 10)).to.equal(true);
-        expect(announcements.take(incarnation(1_000, { sequence: 401 }), 20)).to.equal(false);
-        expect(announcements.since(1).map(({ id, state }) => [id, state])).to.deep.equal([
+        announcements.apply(incarnation(1_000, { sequence: 400 }), 0);
+        expect(announcements.apply(incarnation(2_000, { sequence: 1 }), 10)).to.equal(true);
+        expect(announcements.apply(incarnation(1_000, { sequence: 401 }), 20)).to.equal(false);
+        expect(announcements.changedAfter(1).map(({ id, state }) => [id, state])).to.deep.equal([
             ["i@1000", "left"],
             ["i@2000", "ready"],
         ]);
@@ -72,25 +72,25 @@
 
     it("becomes silent by its own heartbeats, not by those of the previous incarnation", () => {
         const announcements = Announcements.create(1_000);
-        announcements.take(incarnation(1_000), 0);
-        announcements.take(incarnation(2_000), 3_000);
+        announcements.apply(incarnation(1_000), 0);
+        announcements.apply(incarnation(2_000), 3_000);
         announcements.markSilent(4_000);
-        expect(announcements.since(0).map(({ id, state }) => [id, state])).to.deep.include(["i@2000", "ready"]);
+        expect(announcements.changedAfter(0).map(({ id, state }) => [id, state])).to.deep.include(["i@2000", "ready"]);
     });
 
     // The previous incarnation was full and had failed: neither may keep requests from the new one.
     it("starts without the allocations and failures of the previous incarnation", () => {
-        const queue = EnginePlaces.create(placingForAll);
+        const queue = PlacementQueue.create(leaderPlacementTuning);
         const small = { ...rule, slots: 1 };
         const failing = [
             incarnation(1_000, { stage: "decode" }),
             announced({ id: "full", stage: "decode", address: "10.0.0.2:1" }),
         ];
         queue.setEngines(failing, small);
-        expect(queue.ask(demand("first", { avoid: ["full"] }), 0)).to.have.length(1);
-        expect(queue.ask(demand("second"), 0)).to.have.length(1);
+        expect(queue.ask(typicalPlacementRequest("first", { avoid: ["full"] }), 0)).to.have.length(1);
+        expect(queue.ask(typicalPlacementRequest("second"), 0)).to.have.length(1);
         queue.release("first", { failed: "i@1000" }, 1);
-        expect(queue.ask(demand("third"), 2)).to.deep.equal([]);
+        expect(queue.ask(typicalPlacementRequest("third"), 2)).to.deep.equal([]);
         queue.setEngines([incarnation(2_000, { stage: "decode" }), failing[1]!], small);
         const [placed] = queue.review(30);
         expect(placed).to.include({ kind: "placed", attempt: "third", decode: "i@2000" });
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/linkQuality.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/linkQuality.spec.ts
@@ -1,10 +1,10 @@
 import { expect } from "chai";
 import type { LinkStalls } from "../../../protocol/index.js";
-import { placingForAll } from "../enginePool.js";
-import { LinkQuality, PauseWatch, stallRateOf } from "../linkQuality.js";
-import { EnginePlaces } from "../placementQueue.js";
+import { leaderPlacementTuning } from "../enginePool.js";
+import { LinkQuality, StallDetector, stallRateOf } from "../linkQuality.js";
+import { PlacementQueue } from "../placementQueue.js";
 import { ServerChoice } from "../serverChoice.js";
-import { announced, demand, rule } from "./fakes.js";
+import { announced, rule, typicalPlacementRequest } from "./fakes.js";
 
 const domains = ["near", "far", "other"] as const;
 /** Milliseconds between two events of a stream, normally and if a packet is lost. */
@@ -44,7 +44,7 @@
 // gateway's failure domain or the pauses in its streams.
 describe("link quality", () => {
     it("counts pauses as stalls that are longer than a run's typical pause", () => {
-        const pauses = PauseWatch.create();
+        const pauses = StallDetector.create();
         let now = 0;
         const after = (pause: number): boolean => pauses.event(now += pause);
         expect([after(0), after(typicalPause), after(typicalPause), after(packetLossPause), after(1)]).to.deep.equal([
@@ -54,7 +54,7 @@
             true,
             false,
         ]);
-        const slow = PauseWatch.create();
+        const slow = StallDetector.create();
         now = 0;
         const stalls = Array.from({ length: 20 }, () => slow.event(now += 280)).filter(stalled => stalled);
         expect(stalls, "a slow engine's typical pauses").to.deep.equal([]);
@@ -100,8 +100,8 @@
 });
 
 describe("placement for a gateway whose links lose packets", () => {
-    function pool(): EnginePlaces {
-        const queue = EnginePlaces.create(placingForAll);
+    function pool(): PlacementQueue {
+        const queue = PlacementQueue.create(leaderPlacementTuning);
         const prefills = domains.map((failureDomain, number) => {
             const address = `10.0.1.${number}:1`;
             return announced({ id: `prefill-${failureDomain}`, failureDomain, stage: "prefill", address });
@@ -113,12 +113,12 @@
 
     const lossyLinks = [{ failureDomain: "far", rate: 0.02 }, { failureDomain: "other", rate: 0.02 }];
 
-    function placementDomains(queue: EnginePlaces, count: number, linkStalls: LinkStalls): string[] {
+    function placementDomains(queue: PlacementQueue, count: number, linkStalls: LinkStalls): string[] {
         return Array.from({ length: count }, (_, number) => {
-            const decisions = queue.ask(demand(`d-${number}`, { linkStalls }), number);
+            const decisions = queue.ask(typicalPlacementRequest(`d-${number}`, { linkStalls }), number);
             // Otherwise the queue of prompts would move the other requests elsewhere, whatever the links are like.
             if (linkStalls.length > 0) {
-                queue.prefilled(`d-${number}`, number);
+                queue.prefillCompleted(`d-${number}`, number);
             }
             return decisions;
         })
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/membershipOfServers.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/membershipOfServers.spec.ts
@@ -6,35 +6,35 @@
 describe("announcements", () => {
     it("are forwarded only if they contain a change", () => {
         const announcements = Announcements.create(1_000);
-        expect(announcements.take(announced({ id: "i", sequence: 1 }), 0)).to.equal(true);
-        expect(announcements.take(announced({ id: "i", sequence: 2 }), 1_000)).to.equal(false);
-        expect(announcements.take(announced({ id: "i", sequence: 3, state: "draining" }), 2_000)).to.equal(true);
-        expect(announcements.since(1).map(one => one.state)).to.deep.equal(["draining"]);
+        expect(announcements.apply(announced({ id: "i", sequence: 1 }), 0)).to.equal(true);
+        expect(announcements.apply(announced({ id: "i", sequence: 2 }), 1_000)).to.equal(false);
+        expect(announcements.apply(announced({ id: "i", sequence: 3, state: "draining" }), 2_000)).to.equal(true);
+        expect(announcements.changedAfter(1).map(one => one.state)).to.deep.equal(["draining"]);
     });
 
     // Guards against a draining server that receives requests again: a network partition delays an earlier heartbeat until
     // after the one that announces draining.
     it("change nothing if they are older than the known one", () => {
         const announcements = Announcements.create(1_000);
-        announcements.take(announced({ id: "i", sequence: 5, state: "draining" }), 0);
-        expect(announcements.take(announced({ id: "i", sequence: 4, state: "ready" }), 10)).to.equal(false);
-        expect(announcements.since(0)[0]).to.include({ state: "draining" });
+        announcements.apply(announced({ id: "i", sequence: 5, state: "draining" }), 0);
+        expect(announcements.apply(announced({ id: "i", sequence: 4, state: "ready" }), 10)).to.equal(false);
+        expect(announcements.changedAfter(0)[0]).to.include({ state: "draining" });
     });
 
     it("end when the server leaves, even if it never sent a heartbeat here", () => {
         const announcements = Announcements.create(1_000);
-        expect(announcements.leave("i", 0)).to.equal(true);
-        expect(announcements.take(announced({ id: "i", sequence: 9 }), 10)).to.equal(false);
-        expect(announcements.since(0).map(one => [one.id, one.state])).to.deep.equal([["i", "left"]]);
+        expect(announcements.markLeft("i", 0)).to.equal(true);
+        expect(announcements.apply(announced({ id: "i", sequence: 9 }), 10)).to.equal(false);
+        expect(announcements.changedAfter(0).map(one => [one.id, one.state])).to.deep.equal([["i", "left"]]);
     });
 
     it("become silent once after some missed heartbeats, and ready again with the next one", () => {
         const announcements = Announcements.create(1_000);
-        announcements.take(announced({ id: "i", sequence: 1 }), 0);
+        announcements.apply(announced({ id: "i", sequence: 1 }), 0);
         expect(announcements.markSilent(2_500)).to.equal(false);
         expect(announcements.markSilent(3_500)).to.equal(true);
         expect(announcements.markSilent(3_600)).to.equal(false);
-        expect(announcements.take(announced({ id: "i", sequence: 2 }), 4_000)).to.equal(true);
+        expect(announcements.apply(announced({ id: "i", sequence: 2 }), 4_000)).to.equal(true);
     });
 });
 
@@ -45,10 +45,10 @@
     const movedServer = (): { readonly first: Announcements; readonly second: Announcements; } => {
         const first = Announcements.create(1_000);
         const second = Announcements.create(1_000);
-        first.take(announced({ id: "i", sequence: 1 }), 0);
-        second.take(announced({ id: "i", sequence: 2 }), 1_000);
+        first.apply(announced({ id: "i", sequence: 1 }), 0);
+        second.apply(announced({ id: "i", sequence: 2 }), 1_000);
         for (let sequence = 3; sequence < 9; sequence++) {
-            first.take(announced({ id: "i", sequence }), sequence * 1_000);
+            first.apply(announced({ id: "i", sequence }), sequence * 1_000);
         }
         second.markSilent(5_000);
         return { first, second };
@@ -56,17 +56,17 @@
 
     it("is refuted by another directory that receives its heartbeats", () => {
         const { first, second } = movedServer();
-        const [silent] = second.since(0);
-        const before = first.newest();
+        const [silent] = second.changedAfter(0);
+        const before = first.latestChange();
         expect([silent!.state, first.refutes(silent!)]).to.deep.equal(["silent", true]);
         const table = InstanceTable.create();
-        [...second.since(0), ...first.since(before)].forEach(one => table.take(one));
+        [...second.changedAfter(0), ...first.changedAfter(before)].forEach(one => table.apply(one));
         expect(table.all().map(one => one.state)).to.deep.equal(["ready"]);
     });
 
     it("remains if no directory has a newer heartbeat, or all have missed it", () => {
         const { first, second } = movedServer();
-        const [silent] = second.since(0);
+        const [silent] = second.changedAfter(0);
         expect(first.refutes({ ...silent!, sequence: 8 })).to.equal(false);
         first.markSilent(20_000);
         expect(first.refutes(silent!)).to.equal(false);
@@ -79,7 +79,7 @@
 describe("backend servers that are restored after a restart of their directories", () => {
     const restored = (): Announcements => {
         const announcements = Announcements.create(1_000);
-        ["i", "j"].forEach(id => announcements.recall(announced({ id, sequence: 40 }), 0));
+        ["i", "j"].forEach(id => announcements.restoreServer(announced({ id, sequence: 40 }), 0));
         return announcements;
     };
 
@@ -88,28 +88,31 @@
     // 130 KB, and each gateway received them from every directory.
     it("are those that sent heartbeats to this directory, or were restored before", () => {
         const announcements = Announcements.create(1_000);
-        announcements.take(announced({ id: "own", sequence: 1 }), 0);
-        announcements.take(announced({ id: "draining", sequence: 1, state: "draining" }), 0);
-        announcements.recall(announced({ id: "restored", sequence: 1 }), 0);
-        announcements.recall(announced({ id: "elsewhere", sequence: 1 }), 0);
+        announcements.apply(announced({ id: "own", sequence: 1 }), 0);
+        announcements.apply(announced({ id: "draining", sequence: 1, state: "draining" }), 0);
+        announcements.restoreServer(announced({ id: "restored", sequence: 1 }), 0);
+        announcements.restoreServer(announced({ id: "elsewhere", sequence: 1 }), 0);
         announcements.confirm(announced({ id: "elsewhere", sequence: 2 }));
-        announcements.leave("left", 0);
-        expect(announcements.memorable().map(({ id }) => id)).to.deep.equal(["own", "draining", "restored"]);
+        announcements.markLeft("left", 0);
+        expect(announcements.restartCacheEntries().map(({ id }) => id)).to.deep.equal(["own", "draining", "restored"]);
     });
 
     it("are announced at once, and again with their first heartbeat", () => {
         const announcements = restored();
-        expect(announcements.since(0).map(one => [one.id, one.state])).to.deep.equal([["i", "ready"], ["j", "ready"]]);
-        expect(announcements.take(announced({ id: "i", sequence: 41 }), 500)).to.equal(true);
-        expect(announcements.take(announced({ id: "i", sequence: 42 }), 1_500)).to.equal(false);
+        expect(announcements.changedAfter(0).map(one => [one.id, one.state])).to.deep.equal([["i", "ready"], [
+            "j",
+            "ready",
+        ]]);
+        expect(announcements.apply(announced({ id: "i", sequence: 41 }), 500)).to.equal(true);
+        expect(announcements.apply(announced({ id: "i", sequence: 42 }), 1_500)).to.equal(false);
     });
 
     it("are silent after two missed heartbeats", () => {
         const announcements = restored();
-        announcements.take(announced({ id: "i", sequence: 41 }), 500);
+        announcements.apply(announced({ id: "i", sequence: 41 }), 500);
         expect(announcements.markSilent(1_900)).to.equal(false);
         expect(announcements.markSilent(2_100)).to.equal(true);
-        expect(announcements.since(0).map(one => [one.id, one.state])).to.deep.include(["j", "silent"]);
+        expect(announcements.changedAfter(0).map(one => [one.id, one.state])).to.deep.include(["j", "silent"]);
     });
 
     it("aren't marked silent if another directory receives their heartbeats", () => {
@@ -117,15 +120,15 @@
         announcements.confirm(announced({ id: "j", sequence: 41 }));
         announcements.confirm(announced({ id: "i", sequence: 40 }));
         expect(announcements.markSilent(2_100)).to.equal(true);
-        expect(announcements.since(0).map(one => [one.id, one.state])).to.deep.equal([["i", "silent"]]);
+        expect(announcements.changedAfter(0).map(one => [one.id, one.state])).to.deep.equal([["i", "silent"]]);
     });
 });
 
 describe("InstanceTable", () => {
     it("uses the highest sequence number, whichever directory sent it", () => {
         const table = InstanceTable.create();
-        table.take(announced({ id: "i", sequence: 4, state: "draining" }));
-        table.take(announced({ id: "i", sequence: 3, state: "ready" }));
+        table.apply(announced({ id: "i", sequence: 4, state: "draining" }));
+        table.apply(announced({ id: "i", sequence: 3, state: "ready" }));
         expect(table.usable("pool")).to.deep.equal([]);
     });
 
@@ -133,17 +136,17 @@
     // one announces it as silent.
     it("ignores the silence at one directory if another has a newer heartbeat", () => {
         const table = InstanceTable.create();
-        table.take(announced({ id: "i", sequence: 4 }));
-        table.take(announced({ id: "i", sequence: 5 }));
-        table.take(announced({ id: "i", sequence: 4, state: "silent" }));
+        table.apply(announced({ id: "i", sequence: 4 }));
+        table.apply(announced({ id: "i", sequence: 5 }));
+        table.apply(announced({ id: "i", sequence: 4, state: "silent" }));
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["i"]);
     });
 
     it("uses silent servers only if no other is left", () => {
         const table = InstanceTable.create();
-        table.take(announced({ id: "i", sequence: 1, state: "silent" }));
+        table.apply(announced({ id: "i", sequence: 1, state: "silent" }));
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["i"]);
-        table.take(announced({ id: "j", sequence: 1 }));
+        table.apply(announced({ id: "j", sequence: 1 }));
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["j"]);
     });
 
@@ -151,8 +154,8 @@
     // address as a new incarnation, while the previous one appears ready until it has missed its heartbeats.
     it("doesn't use an incarnation if another was announced later at its address", () => {
         const table = InstanceTable.create();
-        table.take(announced({ id: "old", sequence: 7 }));
-        expect(table.take(announced({ id: "new", sequence: 1 }))).to.equal(true);
+        table.apply(announced({ id: "old", sequence: 7 }));
+        expect(table.apply(announced({ id: "new", sequence: 1 }))).to.equal(true);
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["new"]);
         expect(table.all().map(one => one.state)).to.deep.equal(["silent", "ready"]);
     });
@@ -161,24 +164,24 @@
     // previous server at its address until after its own first one.
     it("uses the running incarnation again once the other one is silent or has ended", () => {
         const table = InstanceTable.create();
-        table.take(announced({ id: "live", sequence: 1 }));
-        table.take(announced({ id: "outdated", sequence: 40 }));
+        table.apply(announced({ id: "live", sequence: 1 }));
+        table.apply(announced({ id: "outdated", sequence: 40 }));
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["outdated"]);
-        table.take(announced({ id: "outdated", sequence: 40, state: "silent" }));
+        table.apply(announced({ id: "outdated", sequence: 40, state: "silent" }));
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["live"]);
-        table.take(announced({ id: "other outdated", sequence: 3 }));
+        table.apply(announced({ id: "other outdated", sequence: 3 }));
         table.end("other outdated");
         expect(table.usable("pool").map(one => one.id)).to.deep.equal(["live"]);
     });
 
     it("never restores an incarnation that left or was ended", () => {
         const table = InstanceTable.create();
-        table.take(announced({ id: "i", sequence: 1 }));
-        table.take(announced({ id: "i", sequence: 0, state: "left" }));
-        table.take(announced({ id: "i", sequence: 9 }));
-        table.take(announced({ id: "j", sequence: 1 }));
+        table.apply(announced({ id: "i", sequence: 1 }));
+        table.apply(announced({ id: "i", sequence: 0, state: "left" }));
+        table.apply(announced({ id: "i", sequence: 9 }));
+        table.apply(announced({ id: "j", sequence: 1 }));
         table.end("j");
-        table.take(announced({ id: "j", sequence: 9 }));
+        table.apply(announced({ id: "j", sequence: 9 }));
         expect(table.all()).to.deep.equal([]);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/outlierDetector.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/outlierDetector.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import type { Announced, ServerCalls } from "../../../protocol/index.js";
+import type { ServerAnnouncement, ServerCalls } from "../../../protocol/index.js";
 import { CallTally, type OpenCall } from "../callTally.js";
 import { OutlierDetector } from "../outlierDetector.js";
 import { ServerChoice } from "../serverChoice.js";
@@ -30,7 +30,7 @@
     let endings: CallEnding[] = [];
     let sentCalls = 0;
     let hungCalls = 0;
-    const end = (gateway: Gateway, server: Announced, open: OpenCall, hung: boolean, now: number): void => {
+    const end = (gateway: Gateway, server: ServerAnnouncement, open: OpenCall, hung: boolean, now: number): void => {
         const outcome = hung ? "failed" : "answered";
         gateway.choice.ended(server, outcome, now - open.startedAt, now);
         gateway.tally.ended(open, outcome, now);
@@ -52,8 +52,8 @@
             Array.from({ length: 2 }, (_, number) => call(gateways[(now * 7 + number * 89) % 191]!, now));
         }
         if (now % reviewInterval === 0) {
-            gateways.forEach(({ tally }) => detector.note(tally.take(now), now));
-            detector.review(now);
+            gateways.forEach(({ tally }) => detector.addCalls(tally.takeCounts(now), now));
+            detector.updateEjections(now);
             ejected = detector.ejected();
         }
     }
@@ -77,27 +77,27 @@
 
     it("ejects a server that fails far more often than the others, and none if all fail equally often", () => {
         const detector = OutlierDetector.create();
-        detector.note([calls("x", 20, 20), calls("y", 38, 3), calls("z", 40, 2)], 1_000);
-        expect(detector.review(1_000)).to.equal(true);
+        detector.addCalls([calls("x", 20, 20), calls("y", 38, 3), calls("z", 40, 2)], 1_000);
+        expect(detector.updateEjections(1_000)).to.equal(true);
         expect(detector.ejected()).to.deep.equal(["x"]);
         const alike = OutlierDetector.create();
-        alike.note([calls("x", 20, 20), calls("y", 22, 18), calls("z", 21, 20)], 1_000);
-        expect(alike.review(1_000)).to.equal(false);
+        alike.addCalls([calls("x", 20, 20), calls("y", 22, 18), calls("z", 21, 20)], 1_000);
+        expect(alike.updateEjections(1_000)).to.equal(false);
     });
 
     it("never ejects more than half of a service's servers", () => {
         const detector = OutlierDetector.create();
-        detector.note([calls("v", 0, 9), calls("w", 0, 9), calls("x", 90, 0), calls("y", 0, 9)], 0);
-        detector.review(0);
+        detector.addCalls([calls("v", 0, 9), calls("w", 0, 9), calls("x", 90, 0), calls("y", 0, 9)], 0);
+        detector.updateEjections(0);
         expect(detector.ejected().length).to.equal(2);
     });
 
     it("allows calls to an ejected server again after some seconds without calls", () => {
         const detector = OutlierDetector.create();
-        detector.note([calls("x", 0, 12), calls("y", 40, 0)], 0);
-        detector.review(0);
+        detector.addCalls([calls("x", 0, 12), calls("y", 40, 0)], 0);
+        detector.updateEjections(0);
         expect(detector.ejected()).to.deep.equal(["x"]);
-        expect(detector.review(7_000)).to.equal(true);
+        expect(detector.updateEjections(7_000)).to.equal(true);
         expect(detector.ejected()).to.deep.equal([]);
     });
 
@@ -105,9 +105,9 @@
         const tally = CallTally.create();
         const hung = tally.began(servers[0]!, 0);
         tally.dropped(tally.began(servers[1]!, 0));
-        expect(tally.take(100)).to.deep.equal([]);
-        expect(tally.take(1_000)).to.deep.equal([{ id: "server-a", service: "s", answered: 0, failed: 1 }]);
+        expect(tally.takeCounts(100)).to.deep.equal([]);
+        expect(tally.takeCounts(1_000)).to.deep.equal([{ id: "server-a", service: "s", answered: 0, failed: 1 }]);
         tally.ended(hung, "failed", 2_000);
-        expect(tally.take(2_500)).to.deep.equal([]);
+        expect(tally.takeCounts(2_500)).to.deep.equal([]);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/placementQueue.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/placementQueue.spec.ts
@@ -1,11 +1,11 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
-import type { PlaceDecision } from "../../../protocol/index.js";
-import { EnginePlaces } from "../placementQueue.js";
-import { announced, demand, engines, placed, refused, rule } from "./fakes.js";
+import type { PlacementDecision } from "../../../protocol/index.js";
+import { PlacementQueue } from "../placementQueue.js";
+import { announced, engines, placed, refused, rule, typicalPlacementRequest } from "./fakes.js";
 
-function pool(prefill: number, decode: number, share = 1): EnginePlaces {
-    const queue = EnginePlaces.create({ fill: 1, share });
+function pool(prefill: number, decode: number, share = 1): PlacementQueue {
+    const queue = PlacementQueue.create({ fill: 1, share });
     queue.setEngines(engines(prefill, decode), rule);
     return queue;
 }
@@ -20,14 +20,14 @@
 };
 
 /** Simulates arrivals, one every `gapAt(time)` ms, of runs that each end after `runMilliseconds`. */
-function replay(queue: EnginePlaces, length: number, gapAt: (time: number) => number): ReplayOutcome {
+function replay(queue: PlacementQueue, length: number, gapAt: (time: number) => number): ReplayOutcome {
     const waited = new Map<string, number>();
     const refusedAfter = new Map<string, number>();
     const arrivedAt = new Map<string, number>();
     const ends: { readonly at: number; readonly attempt: string; }[] = [];
     let most = 0;
     let next = 0;
-    const take = (decisions: readonly PlaceDecision[], now: number): void => {
+    const take = (decisions: readonly PlacementDecision[], now: number): void => {
         for (const decision of decisions) {
             const after = now - arrivedAt.get(decision.attempt)!;
             if (decision.kind === "placed") {
@@ -46,19 +46,19 @@
         for (; next <= now; next += gapAt(next)) {
             const attempt = `at-${Math.round(next)}`;
             arrivedAt.set(attempt, now);
-            take(queue.ask(demand(attempt), now), now);
+            take(queue.ask(typicalPlacementRequest(attempt), now), now);
         }
         take(queue.review(now), now);
-        most = Math.max(most, ...queue.standing().heldTokens.values());
+        most = Math.max(most, ...queue.counts().heldTokens.values());
     }
     return { waited, refusedAfter, most };
 }
 
 describe("the placement queue", () => {
     it("places a request at once while there is room, at a prefill and a decode engine in one failure domain", () => {
-        const [decision] = pool(3, 3).ask(demand("one"), 0);
+        const [decision] = pool(3, 3).ask(typicalPlacementRequest("one"), 0);
         expect(decision).to.include({ kind: "placed", attempt: "one" });
-        const { prefill, decode } = decision as Extract<PlaceDecision, { kind: "placed"; }>;
+        const { prefill, decode } = decision as Extract<PlacementDecision, { kind: "placed"; }>;
         expect(prefill!.split("-")[1]).to.equal(decode.split("-")[1]);
     });
 
@@ -87,34 +87,34 @@
     it("refuses a request at once that can't be served before its caller's timeout, with a retry-after time", () => {
         const queue = pool(1, 1);
         for (let number = 0; number < 8; number++) {
-            queue.ask(demand(`held-${number}`), 0);
+            queue.ask(typicalPlacementRequest(`held-${number}`), 0);
         }
-        const [decision] = queue.ask(demand("hopeless", { patienceWithin: 300 }), 1);
+        const [decision] = queue.ask(typicalPlacementRequest("hopeless", { patienceWithin: 300 }), 1);
         expect(decision).to.include({ kind: "refused", attempt: "hopeless" });
-        expect((decision as Extract<PlaceDecision, { kind: "refused"; }>).comeBackIn).to.be.above(0);
+        expect((decision as Extract<PlacementDecision, { kind: "refused"; }>).comeBackIn).to.be.above(0);
     });
 
     it("moves requests that can't meet their target behind those that still can", () => {
         const queue = pool(1, 1);
         for (let number = 0; number < 8; number++) {
-            queue.ask(demand(`held-${number}`), 0);
+            queue.ask(typicalPlacementRequest(`held-${number}`), 0);
         }
-        queue.ask(demand("late", { targetWithin: -100 }), 1);
+        queue.ask(typicalPlacementRequest("late", { targetWithin: -100 }), 1);
         queue.review(30);
-        queue.ask(demand("early", { targetWithin: 900 }), 31);
+        queue.ask(typicalPlacementRequest("early", { targetWithin: 900 }), 31);
         expect(placed(queue.release("held-0", {}, 60))[0]).to.equal("early");
     });
 
     it("lets a small request overtake one that doesn't fit, for a limited time", () => {
         const queue = pool(1, 1);
         for (let number = 0; number < 7; number++) {
-            queue.ask(demand(`held-${number}`), 0);
+            queue.ask(typicalPlacementRequest(`held-${number}`), 0);
             // Otherwise the queue of prompts alone makes the large request late, and no engine is reserved for late ones.
-            queue.prefilled(`held-${number}`, 0);
+            queue.prefillCompleted(`held-${number}`, 0);
         }
-        expect(placed(queue.ask(demand("large", { cacheTokens: 6_000 }), 0))).to.deep.equal([]);
-        expect(placed(queue.ask(demand("small", { cacheTokens: 500 }), 40))).to.deep.equal(["small"]);
-        expect(placed(queue.ask(demand("smaller", { cacheTokens: 400 }), 400))).to.deep.equal([]);
+        expect(placed(queue.ask(typicalPlacementRequest("large", { cacheTokens: 6_000 }), 0))).to.deep.equal([]);
+        expect(placed(queue.ask(typicalPlacementRequest("small", { cacheTokens: 500 }), 40))).to.deep.equal(["small"]);
+        expect(placed(queue.ask(typicalPlacementRequest("smaller", { cacheTokens: 400 }), 400))).to.deep.equal([]);
     });
 
     // Guards against unused room in a burst of twice the capacity while small requests wait that could meet their target: the
@@ -123,11 +123,11 @@
     it("lets others overtake a request that would miss its target even with an engine reserved for it", () => {
         const queue = pool(1, 1);
         for (let number = 0; number < 8; number++) {
-            queue.ask(demand(`held-${number}`), 0);
-            queue.prefilled(`held-${number}`, 0);
+            queue.ask(typicalPlacementRequest(`held-${number}`), 0);
+            queue.prefillCompleted(`held-${number}`, 0);
         }
-        expect(placed(queue.ask(demand("large", { cacheTokens: 15_000 }), 0))).to.deep.equal([]);
-        expect(placed(queue.ask(demand("small", { cacheTokens: 300 }), 400))).to.deep.equal(["small"]);
+        expect(placed(queue.ask(typicalPlacementRequest("large", { cacheTokens: 15_000 }), 0))).to.deep.equal([]);
+        expect(placed(queue.ask(typicalPlacementRequest("small", { cacheTokens: 300 }), 400))).to.deep.equal(["small"]);
     });
 
     // Guards against wasted prefills: two of ten decode engines rejected 90 runs within 12 s, since placement used their
@@ -135,9 +135,12 @@
     // are announced as decode engines until the change is complete.
     it("places nothing at an engine that was ordered to change its stage, until the change or the timeout of the order", () => {
         const queue = pool(1, 2);
-        queue.orderedTo("decode-0", "prefill", 1_000);
+        queue.recordStageOrder("decode-0", "prefill", 1_000);
         const decodes = (from: number, now: number): Set<string> => {
-            const decisions = Array.from({ length: 6 }, (_, number) => queue.ask(demand(`p-${from + number}`), now))
+            const decisions = Array.from(
+                { length: 6 },
+                (_, number) => queue.ask(typicalPlacementRequest(`p-${from + number}`), now),
+            )
                 .flat();
             return new Set(decisions.map(decision => decision.kind === "placed" ? decision.decode : "none"));
         };
@@ -148,7 +151,10 @@
     // Guards against first events that are a second late while prompts queue at prefill engines and decode engines are idle.
     it("lets a decode engine run the prefill itself if the queue of the prefill engines is long", () => {
         const queue = pool(1, 10);
-        const decisions = Array.from({ length: 14 }, (_, number) => queue.ask(demand(`p-${number}`), 0)).flat();
+        const decisions = Array.from(
+            { length: 14 },
+            (_, number) => queue.ask(typicalPlacementRequest(`p-${number}`), 0),
+        ).flat();
         const combined = decisions.filter(decision => decision.kind === "placed" && decision.prefill === undefined);
         expect(combined.length).to.be.within(3, 12);
     });
@@ -163,10 +169,10 @@
             for (let number = 0; number < 60; number++) {
                 const now = number * 100;
                 const attempt = `p-${number}`;
-                const [decision] = queue.ask(demand(attempt), now);
-                const { prefill } = decision as Extract<PlaceDecision, { kind: "placed"; }>;
+                const [decision] = queue.ask(typicalPlacementRequest(attempt), now);
+                const { prefill } = decision as Extract<PlacementDecision, { kind: "placed"; }>;
                 atPrefill += prefill === undefined ? 0 : 1;
-                queue.prefilled(attempt, now + (prefill === undefined ? 270 : prefillMilliseconds));
+                queue.prefillCompleted(attempt, now + (prefill === undefined ? 270 : prefillMilliseconds));
                 queue.release(attempt, {}, now + 1_000);
             }
             return atPrefill;
@@ -176,13 +182,13 @@
     });
 
     it("names no prefill engine if none is ready", () => {
-        const [decision] = pool(0, 2).ask(demand("one"), 0);
+        const [decision] = pool(0, 2).ask(typicalPlacementRequest("one"), 0);
         expect(decision).to.deep.include({ kind: "placed", prefill: undefined });
     });
 
     it("keeps requests waiting for a pool without announced engines", () => {
         const queue = pool(0, 0);
-        expect(queue.ask(demand("one"), 0)).to.deep.equal([]);
+        expect(queue.ask(typicalPlacementRequest("one"), 0)).to.deep.equal([]);
         queue.setEngines(engines(1, 1), rule);
         expect(placed(queue.review(500))).to.deep.equal(["one"]);
     });
@@ -190,42 +196,49 @@
     it("uses silent engines if no other is left", () => {
         const queue = pool(0, 0);
         queue.setEngines(engines(1, 2).map(engine => ({ ...engine, state: "silent" as const })), rule);
-        expect(placed(queue.ask(demand("one"), 0))).to.deep.equal(["one"]);
+        expect(placed(queue.ask(typicalPlacementRequest("one"), 0))).to.deep.equal(["one"]);
         const [silent, ready] = engines(0, 2);
         queue.setEngines([{ ...silent!, state: "silent" }, ready!], rule);
-        const [decision] = queue.ask(demand("two"), 10);
+        const [decision] = queue.ask(typicalPlacementRequest("two"), 10);
         expect(decision).to.include({ kind: "placed", decode: ready!.id });
     });
 
     it("refuses requests if no engine is announced after a while", () => {
         const queue = pool(0, 0);
-        queue.ask(demand("one"), 0);
+        queue.ask(typicalPlacementRequest("one"), 0);
         expect(refused(queue.review(2_000))).to.deep.equal(["one"]);
     });
 
     it("avoids a failed engine, for the request itself and for a while for all", () => {
         const queue = pool(1, 2);
-        const first = queue.ask(demand("one"), 0)[0] as Extract<PlaceDecision, { kind: "placed"; }>;
+        const first = queue.ask(typicalPlacementRequest("one"), 0)[0] as Extract<
+            PlacementDecision,
+            { kind: "placed"; }
+        >;
         queue.release("one", { failed: first.decode }, 10);
-        const again = queue.ask(demand("two", { avoid: [] }), 20)[0] as typeof first;
+        const again = queue.ask(typicalPlacementRequest("two", { avoid: [] }), 20)[0] as typeof first;
         expect(again.decode).not.to.equal(first.decode);
-        const avoiding = queue.ask(demand("three", { avoid: [again.decode] }), 2_000)[0] as typeof first;
+        const avoiding = queue.ask(
+            typicalPlacementRequest("three", { avoid: [again.decode] }),
+            2_000,
+        )[0] as typeof first;
         expect(avoiding.decode).to.equal(first.decode);
     });
 
     it("places a resumed run before all that haven't started", () => {
         const queue = pool(1, 1);
         for (let number = 0; number < 8; number++) {
-            queue.ask(demand(`held-${number}`), 0);
+            queue.ask(typicalPlacementRequest(`held-${number}`), 0);
         }
-        queue.ask(demand("new"), 1);
-        queue.ask(demand("broken", { resumed: true, targetWithin: -500 }), 2);
+        queue.ask(typicalPlacementRequest("new"), 1);
+        queue.ask(typicalPlacementRequest("broken", { resumed: true, targetWithin: -500 }), 2);
         expect(placed(queue.release("held-0", {}, 30))[0]).to.equal("broken");
     });
 
     it("allocates only its share if every gateway places locally", () => {
         const queue = pool(1, 2, 0.25);
-        const decisions = Array.from({ length: 8 }, (_, number) => queue.ask(demand(`p-${number}`), 0)).flat();
+        const decisions = Array.from({ length: 8 }, (_, number) => queue.ask(typicalPlacementRequest(`p-${number}`), 0))
+            .flat();
         expect(placed(decisions).length).to.equal(4);
     });
 
@@ -233,26 +246,34 @@
     // connection, or a gateway crashed.
     it("releases placements that their gateway doesn't list, and those of a gateway that is gone", () => {
         const queue = pool(1, 1);
-        queue.ask(demand("known", { gateway: "g" }), 0);
-        queue.ask(demand("lost", { gateway: "g" }), 0);
-        queue.reconcile("g", [{ demand: demand("known", { gateway: "g" }), decode: "decode-0" }], 1_500, 5_000);
-        expect(queue.standing().held).to.equal(1);
+        queue.ask(typicalPlacementRequest("known", { gateway: "g" }), 0);
+        queue.ask(typicalPlacementRequest("lost", { gateway: "g" }), 0);
+        queue.reconcile(
+            "g",
+            [{ demand: typicalPlacementRequest("known", { gateway: "g" }), decode: "decode-0" }],
+            1_500,
+            5_000,
+        );
+        expect(queue.counts().held).to.equal(1);
         queue.dropGateway("g", 5_001);
-        expect(queue.standing().held).to.equal(0);
+        expect(queue.counts().held).to.equal(0);
     });
 
     it("adds the placements of a previous leader at a new one", () => {
         const queue = pool(1, 1);
-        const held = Array.from({ length: 8 }, (_, number) => ({ demand: demand(`h-${number}`), decode: "decode-0" }));
+        const held = Array.from(
+            { length: 8 },
+            (_, number) => ({ demand: typicalPlacementRequest(`h-${number}`), decode: "decode-0" }),
+        );
         queue.reconcile("gateway", held, 1_500, 0);
-        expect(placed(queue.ask(demand("next"), 1))).to.deep.equal([]);
+        expect(placed(queue.ask(typicalPlacementRequest("next"), 1))).to.deep.equal([]);
     });
 
     it("drops an engine's runs with the engine", () => {
         const queue = pool(1, 1);
-        queue.ask(demand("one"), 0);
+        queue.ask(typicalPlacementRequest("one"), 0);
         queue.setEngines([announced({ id: "decode-9", stage: "decode" })], rule);
-        expect(queue.standing().heldTokens.get("decode-9")).to.equal(0);
+        expect(queue.counts().heldTokens.get("decode-9")).to.equal(0);
     });
 
     it("holds nothing after all requests have ended, whatever happened in between", () => {
@@ -264,7 +285,7 @@
                     const now = at * 20;
                     const attempt = `p-${number}`;
                     if (kind === "ask") {
-                        queue.ask(demand(attempt), now);
+                        queue.ask(typicalPlacementRequest(attempt), now);
                     }
                     else if (kind === "review") {
                         queue.review(now);
@@ -279,8 +300,8 @@
                 for (let number = 0; number <= 30; number++) {
                     queue.withdraw(`p-${number}`, 10_000);
                 }
-                expect(queue.standing().held).to.equal(0);
-                expect([...queue.standing().heldTokens.values()]).to.deep.equal([0, 0, 0, 0, 0]);
+                expect(queue.counts().held).to.equal(0);
+                expect([...queue.counts().heldTokens.values()]).to.deep.equal([0, 0, 0, 0, 0]);
             }),
             { seed: 1, numRuns: 200 },
         );
--- a/packages/basilpaddle/src/node/coordination/gateway/announcements.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/announcements.ts
@@ -1,4 +1,4 @@
-import type { Announced } from "../../protocol/index.js";
+import type { ServerAnnouncement } from "../../protocol/index.js";
 import { LatestIncarnations } from "./latestIncarnations.js";
 
 /** Number of missed heartbeats after which a backend server counts as silent. */
@@ -13,7 +13,7 @@
 const restoredMissedHeartbeatLimit = 2;
 
 type AnnouncementEntry = {
-    announced: Announced;
+    announced: ServerAnnouncement;
     changeNumber: number;
     receivedAt: number;
     /** Restored after a restart, with no heartbeat received since. */
@@ -38,13 +38,13 @@
     }
 
     /** Applies a heartbeat; returns whether it has to be forwarded to gateways. */
-    take(announced: Announced, now: number): boolean {
+    apply(announced: ServerAnnouncement, now: number): boolean {
         if (this.incarnations.isOutdated(announced)) {
             return false;
         }
         const before = this.incarnations.recordLatest(announced);
         if (before !== undefined) {
-            this.leave(before, now);
+            this.markLeft(before, now);
         }
         const known = this.entries.get(announced.id);
         if (known !== undefined && known.announced.state === "left") {
@@ -68,7 +68,7 @@
      * backend server is known until its next heartbeat, more than a second later, and the first ones to send one receive
      * all requests.
      */
-    recall(announced: Announced, now: number): void {
+    restoreServer(announced: ServerAnnouncement, now: number): void {
         const receivedAt = now - (missedHeartbeatLimit - restoredMissedHeartbeatLimit) * this.heartbeat;
         this.incarnations.recordLatest(announced);
         this.entries.set(announced.id, {
@@ -83,7 +83,7 @@
      * Applies an announcement from another directory: a backend server that sends it heartbeats needs no restored entry here,
      * which would soon mark the server silent.
      */
-    confirm(other: Announced): void {
+    confirm(other: ServerAnnouncement): void {
         const known = this.entries.get(other.id);
         if (known?.restored === true && other.state !== "silent" && other.sequence > known.announced.sequence) {
             this.entries.delete(other.id);
@@ -94,12 +94,12 @@
      * Marks a backend server as left; returns whether that is a change. One that never sent a heartbeat here is recorded as
      * well: other directories may know it.
      */
-    leave(id: string, now: number): boolean {
+    markLeft(id: string, now: number): boolean {
         const known = this.entries.get(id);
         if (known?.announced.state === "left") {
             return false;
         }
-        const announced: Announced = known === undefined
+        const announced: ServerAnnouncement = known === undefined
             ? { id, service: "unknown", address: "", failureDomain: "", slots: 0, state: "left", sequence: 0 }
             : { ...known.announced, state: "left" };
         this.entries.set(id, { announced, changeNumber: this.nextChangeNumber(), receivedAt: now });
@@ -110,7 +110,7 @@
      * Marks a backend server as draining until its next heartbeat. Used for a leave message that doesn't name the
      * incarnation: it may be a delayed message of the previous one.
      */
-    drain(server: Announced, now: number): void {
+    drain(server: ServerAnnouncement, now: number): void {
         this.entries.set(server.id, {
             announced: { ...server, state: "draining" },
             changeNumber: this.nextChangeNumber(),
@@ -142,7 +142,7 @@
      * at the previous one. Its heartbeats are no change here and aren't forwarded, so that all gateways would consider it
      * silent until something else changes, and a pool would appear to have no engine.
      */
-    refutes(other: Announced): boolean {
+    refutes(other: ServerAnnouncement): boolean {
         const known = this.entries.get(other.id);
         const isPresent = known !== undefined
             && (known.announced.state === "ready" || known.announced.state === "draining");
@@ -154,18 +154,18 @@
     }
 
     /** Announcements that changed after the given change number. */
-    since(number: number): readonly Announced[] {
+    changedAfter(number: number): readonly ServerAnnouncement[] {
         return [...this.entries.values()].filter(known => known.changeNumber > number).map(known => known.announced);
     }
 
     /** Announcements to keep in the restart cache: ready or draining backend servers that send this directory heartbeats. */
-    memorable(): readonly Announced[] {
+    restartCacheEntries(): readonly ServerAnnouncement[] {
         const all = [...this.entries.values()].map(({ announced }) => announced);
         return all.filter(({ state }) => state === "ready" || state === "draining");
     }
 
     /** Number of the latest change. */
-    newest(): number {
+    latestChange(): number {
         return this.lastChangeNumber;
     }
 
@@ -175,7 +175,7 @@
     }
 }
 
-function differs(one: Announced, other: Announced): boolean {
+function differs(one: ServerAnnouncement, other: ServerAnnouncement): boolean {
     return one.state !== other.state
         || one.stage !== other.stage
         || one.address !== other.address
--- a/packages/basilpaddle/src/node/coordination/gateway/callTally.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/callTally.ts
@@ -1,4 +1,4 @@
-import type { Announced, ServerCalls } from "../../protocol/index.js";
+import type { ServerAnnouncement, ServerCalls } from "../../protocol/index.js";
 import type { CallOutcome } from "./serverChoice.js";
 
 /** Weight of one call in the moving average of a service's response times. */
@@ -13,7 +13,7 @@
 const minimumHangMilliseconds = 300;
 
 /** A call in progress. */
-export type OpenCall = { readonly server: Announced; readonly startedAt: number; isCounted: boolean; };
+export type OpenCall = { readonly server: ServerAnnouncement; readonly startedAt: number; isCounted: boolean; };
 
 /**
  * Counts answered and failed calls of this gateway to plain services; the leader sums the counts of all gateways. With
@@ -29,7 +29,7 @@
     }
 
     /** Records the start of a call. */
-    began(server: Announced, now: number): OpenCall {
+    began(server: ServerAnnouncement, now: number): OpenCall {
         const call = { server, startedAt: now, isCounted: false };
         this.open.add(call);
         return call;
@@ -54,7 +54,7 @@
     }
 
     /** Returns the counts since the previous call and resets them. */
-    take(now: number): ServerCalls[] {
+    takeCounts(now: number): ServerCalls[] {
         for (const call of this.open) {
             const mean = this.meanTimes.get(call.server.service) ?? initialMeanMilliseconds;
             if (!call.isCounted && now - call.startedAt > Math.max(minimumHangMilliseconds, hangFactor * mean)) {
--- a/packages/basilpaddle/src/node/coordination/gateway/directoryWatcher.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/directoryWatcher.ts
@@ -1,12 +1,12 @@
 import {
-    type Announced,
     type CrashRecord,
     type CrashReport,
-    documentSchema,
+    packedDocumentSchema,
+    type ServerAnnouncement,
     unpackText,
-    type Watch,
-    type Watched,
-    watchedSchema,
+    type WatchRequest,
+    type WatchUpdate,
+    watchUpdateSchema,
 } from "../../protocol/index.js";
 import { type Link, type Network, parseAddress } from "../../transport/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
@@ -51,9 +51,9 @@
     readonly logger: Logger;
     /** Milliseconds after the start in which the gateway count may be too low. @default 4000 */
     readonly settleTime?: number | undefined;
-    readonly onAnnounced: (announced: Announced) => void;
+    readonly onAnnounced: (announced: ServerAnnouncement) => void;
     /** Retries that this gateway borrowed within the last window, reported for the sake of a new leader. @default none */
-    readonly borrowed?: () => Watch["borrowed"];
+    readonly borrowed?: () => WatchRequest["borrowed"];
     /** Called with records of requests during which backend servers crashed. */
     readonly onCrashes: (records: readonly CrashRecord[]) => void;
     /** The records to send to a directory after its restart. */
@@ -136,7 +136,7 @@
      * Highest recent gateway count. A directory that has just started counts only the gateways that have reconnected so far;
      * with that count each gateway would take a share of the common allowance that is many times too large.
      */
-    mostGateways(): number {
+    highestRecentGateways(): number {
         const now = this.options.clock.monotonic();
         const current = this.gateways();
         if (current >= this.highestCount || now - this.highestCountAt > gatewayCountRetentionMilliseconds) {
@@ -224,7 +224,7 @@
         this.directories.delete(directory.name);
     }
 
-    private async watch(directory: WatchedDirectory): Promise<Watched | undefined> {
+    private async watch(directory: WatchedDirectory): Promise<WatchUpdate | undefined> {
         const { name, observer } = this.options;
         const wantsDocument = this.wantsDocument(directory);
         const borrowed = this.options.borrowed?.() ?? [];
@@ -240,11 +240,11 @@
             observer,
             ...borrowed.length === 0 ? {} : { borrowed },
         }, watchTimeoutMilliseconds);
-        const parsed = watchedSchema.safeParse(answer.toMaybe().extract());
+        const parsed = watchUpdateSchema.safeParse(answer.toMaybe().extract());
         return parsed.success ? parsed.data : undefined;
     }
 
-    private applyUpdate(directory: WatchedDirectory, watched: Watched): void {
+    private applyUpdate(directory: WatchedDirectory, watched: WatchUpdate): void {
         if (!directory.reached) {
             this.options.logger.info("a directory is reached", { directory: directory.name, version: watched.version });
         }
@@ -330,7 +330,7 @@
             return;
         }
         const answer = await directory.link.request({ kind: "document" }, documentTimeoutMilliseconds);
-        const parsed = documentSchema.safeParse(answer.toMaybe().extract());
+        const parsed = packedDocumentSchema.safeParse(answer.toMaybe().extract());
         if (parsed.success) {
             this.applyDocument(parsed.data.version, parsed.data.packed);
         }
--- a/packages/basilpaddle/src/node/coordination/gateway/engineLoad.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/engineLoad.ts
@@ -1,4 +1,4 @@
-import type { Announced, PlaceDemand } from "../../protocol/index.js";
+import type { PlacementRequest, ServerAnnouncement } from "../../protocol/index.js";
 
 /** Prefill time per prompt token assumed until an engine has completed prefills. */
 export const defaultPrefillMillisecondsPerToken = 0.035;
@@ -56,11 +56,11 @@
     private pausedUntil = 0;
     private delayFactor = minimumDelayFactor;
     private delayMeasuredAt = 0;
-    private stageOrder: { readonly stage: Announced["stage"]; readonly until: number; } | undefined;
+    private stageOrder: { readonly stage: ServerAnnouncement["stage"]; readonly until: number; } | undefined;
 
-    private constructor(public announced: Announced) {}
+    private constructor(public announced: ServerAnnouncement) {}
 
-    static create(announced: Announced): EngineLoad {
+    static create(announced: ServerAnnouncement): EngineLoad {
         return new EngineLoad(announced);
     }
 
@@ -78,7 +78,7 @@
      * itself as ready in its old stage until the change is complete; prefills for rejected runs would be wasted.
      * `until`: when the order is considered failed.
      */
-    noteStageOrder(stage: Announced["stage"], until: number): void {
+    noteStageOrder(stage: ServerAnnouncement["stage"], until: number): void {
         this.stageOrder = { stage, until };
     }
 
@@ -88,7 +88,7 @@
     }
 
     /** Whether the engine has room for a run. An engine without runs accepts even one that exceeds the capacity. */
-    hasRoom(request: PlaceDemand, capacity: EngineCapacity): boolean {
+    hasRoom(request: PlacementRequest, capacity: EngineCapacity): boolean {
         if (this.allocations.size === 0) {
             return true;
         }
--- a/packages/basilpaddle/src/node/coordination/gateway/enginePool.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/enginePool.ts
@@ -1,5 +1,5 @@
-import type { Announced, EngineRule, PlaceDemand } from "../../protocol/index.js";
-import { fractionOf } from "../../utils/index.js";
+import type { EngineRule, PlacementRequest, ServerAnnouncement } from "../../protocol/index.js";
+import { hashToFraction } from "../../utils/index.js";
 import { defaultPrefillMillisecondsPerToken, type EngineCapacity, EngineLoad } from "./engineLoad.js";
 import { stallRateOf } from "./linkQuality.js";
 
@@ -24,7 +24,7 @@
 const packetLossDelayMilliseconds = 250;
 
 /** Parameters of placement. */
-export type PlaceTuning = {
+export type PlacementTuning = {
     /** Fraction of an engine's KV cache that may be allocated; a run is allocated at its start what it needs at its end. */
     readonly fill: number;
     /** Fraction of each engine that this instance may allocate: 1 if no other instance places requests. */
@@ -48,13 +48,13 @@
  * to lose packets. A run is allocated the cache that it needs at its end, but on average uses it for half of its answer, so
  * that slightly more than the whole cache can be allocated before runs are preempted.
  */
-export const placingForAll: PlaceTuning = { fill: 1.1, share: 1, farWeight: 30 };
+export const leaderPlacementTuning: PlacementTuning = { fill: 1.1, share: 1, farWeight: 30 };
 
 /**
  * Tuning of local placement by a gateway, without its share. The allocations of all gateways together must fit the engines,
  * and their shares are uneven.
  */
-export const placingAlone: Omit<PlaceTuning, "share"> = { fill: 0.9, scatter: 100 };
+export const localPlacementTuning: Omit<PlacementTuning, "share"> = { fill: 0.9, scatter: 100 };
 
 /** The engines of one request: for prefill, undefined if the decode engine runs it itself, and for decode. */
 export type EnginePair = {
@@ -78,16 +78,16 @@
     private rule: EngineRule | undefined;
     private share: number;
 
-    private constructor(private readonly tuning: PlaceTuning) {
+    private constructor(private readonly tuning: PlacementTuning) {
         this.share = tuning.share;
     }
 
-    static create(tuning: PlaceTuning): EnginePool {
+    static create(tuning: PlacementTuning): EnginePool {
         return new EnginePool(tuning);
     }
 
     /** Replaces the announcements of the pool's engines and the rule that applies to all of them. */
-    setEngines(announced: readonly Announced[], rule: EngineRule): void {
+    setEngines(announced: readonly ServerAnnouncement[], rule: EngineRule): void {
         this.rule = rule;
         const named = new Set(announced.map(engine => engine.id));
         for (const id of this.engines.keys()) {
@@ -116,7 +116,7 @@
     }
 
     /** The best engines for a request; undefined if no decode engine that isn't reserved for another request has room. */
-    best(request: PlaceDemand, now: number, reserved: ReadonlySet<string>): EnginePair | undefined {
+    best(request: PlacementRequest, now: number, reserved: ReadonlySet<string>): EnginePair | undefined {
         const capacity = this.engineCapacity();
         const decodes = this.usable("decode", request.avoid, now).filter(engine => {
             return engine.hasRoom(request, capacity) && !reserved.has(engine.id);
@@ -154,7 +154,7 @@
     }
 
     /** The decode engine with the fewest allocated tokens that isn't reserved for another request; undefined if there is none. */
-    leastLoaded(request: PlaceDemand, now: number, reserved: ReadonlySet<string>): LeastLoadedEngine | undefined {
+    leastLoaded(request: PlacementRequest, now: number, reserved: ReadonlySet<string>): LeastLoadedEngine | undefined {
         const engines = this.usable("decode", request.avoid, now).filter(engine => !reserved.has(engine.id));
         const engine = lowestScore(engines.map(candidate => ({ engine: candidate, score: candidate.tokens })))?.engine;
         if (engine === undefined) {
@@ -165,7 +165,7 @@
     }
 
     /** Records the KV cache and the prefill of a request at its engines. */
-    allocate(pair: EnginePair, request: PlaceDemand, now: number): void {
+    allocate(pair: EnginePair, request: PlacementRequest, now: number): void {
         this.engines.get(pair.decode)?.addRun(request.attempt, roundUpToBlocks(request.cacheTokens));
         this.engines.get(pair.prefill ?? pair.decode)?.addPrefill(request.attempt, request.promptTokens, now);
     }
@@ -216,29 +216,32 @@
      * silent ones. Silent engines are likely gone, but a directory that a network partition separates from them reports the
      * same.
      */
-    private usable(stage: Announced["stage"], avoid: readonly string[], now: number): EngineLoad[] {
+    private usable(stage: ServerAnnouncement["stage"], avoid: readonly string[], now: number): EngineLoad[] {
         const healthy = this.healthyEngines(stage, avoid, now);
         return healthy.length > 0
             ? healthy
             : this.enginesInState(stage, "ready") ?? this.enginesInState(stage, "silent") ?? [];
     }
 
-    private enginesInState(stage: Announced["stage"], state: Announced["state"]): EngineLoad[] | undefined {
+    private enginesInState(
+        stage: ServerAnnouncement["stage"],
+        state: ServerAnnouncement["state"],
+    ): EngineLoad[] | undefined {
         const engines = [...this.engines.values()].filter(({ announced }) => {
             return announced.stage === stage && announced.state === state;
         });
         return engines.length > 0 ? engines : undefined;
     }
 
-    private healthyEngines(stage: Announced["stage"], avoid: readonly string[], now: number): EngineLoad[] {
+    private healthyEngines(stage: ServerAnnouncement["stage"], avoid: readonly string[], now: number): EngineLoad[] {
         return [...this.engines.values()].filter(engine => {
             return engine.announced.stage === stage && engine.acceptsWork(now) && !avoid.includes(engine.id);
         });
     }
 
-    private randomPenalty(request: PlaceDemand, engine: EngineLoad): number {
+    private randomPenalty(request: PlacementRequest, engine: EngineLoad): number {
         const { scatter = 0 } = this.tuning;
-        return scatter === 0 ? 0 : scatter * fractionOf(request.attempt + engine.id);
+        return scatter === 0 ? 0 : scatter * hashToFraction(request.attempt + engine.id);
     }
 
     private engineCapacity(): EngineCapacity {
--- a/packages/basilpaddle/src/node/coordination/gateway/index.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/index.ts
@@ -1,7 +1,7 @@
 export * from "./announcements.js";
 export * from "./callTally.js";
 export * from "./directoryWatcher.js";
-export { type PlaceTuning, placingAlone, placingForAll } from "./enginePool.js";
+export { leaderPlacementTuning, localPlacementTuning, type PlacementTuning } from "./enginePool.js";
 export * from "./instanceTable.js";
 export * from "./linkQuality.js";
 export * from "./outlierDetector.js";
--- a/packages/basilpaddle/src/node/coordination/gateway/instanceTable.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/instanceTable.ts
@@ -1,22 +1,22 @@
 import { LRUCache } from "lru-cache";
-import type { Announced } from "../../protocol/index.js";
+import type { ServerAnnouncement } from "../../protocol/index.js";
 import type { Metrics } from "../../utils/index.js";
 import { LatestIncarnations } from "./latestIncarnations.js";
 
 /** Number of ended incarnations to remember, so that a delayed heartbeat doesn't restore one of them. */
 const endedIncarnationLimit = 8_192;
 /** Order of states that arrive with the same sequence number: the later one in an incarnation's lifecycle wins. */
-const stateRank: Record<Announced["state"], number> = { ready: 0, silent: 1, draining: 2, left: 3 };
+const stateRank: Record<ServerAnnouncement["state"], number> = { ready: 0, silent: 1, draining: 2, left: 3 };
 
 /**
  * The tracked state of all backend servers at a gateway. Announcements arrive from several directories, delayed and out of
  * order: for each incarnation the highest sequence number wins, and an incarnation that has ended never comes back.
  */
 export class InstanceTable {
-    private readonly instances = new Map<string, Announced>();
+    private readonly instances = new Map<string, ServerAnnouncement>();
     private readonly ended = new LRUCache<string, true>({ max: endedIncarnationLimit });
     private readonly incarnations = LatestIncarnations.create();
-    private readonly byService = new Map<string, readonly Announced[]>();
+    private readonly byService = new Map<string, readonly ServerAnnouncement[]>();
     /** The incarnation that was announced last at each address. */
     private readonly latestAtAddress = new Map<string, string>();
 
@@ -25,7 +25,7 @@
     }
 
     /** Applies an announcement; returns whether a backend server was added or removed, or its state or stage changed. */
-    take(announced: Announced): boolean {
+    apply(announced: ServerAnnouncement): boolean {
         if (this.ended.has(announced.id) || this.incarnations.isOutdated(announced)) {
             return false;
         }
@@ -60,7 +60,7 @@
     }
 
     /** The announcement of an incarnation; undefined if it is unknown or has ended. */
-    get(id: string): Announced | undefined {
+    get(id: string): ServerAnnouncement | undefined {
         return this.instances.get(id);
     }
 
@@ -81,7 +81,7 @@
     }
 
     /** All incarnations that haven't ended; one whose address a later incarnation has is returned as silent. */
-    all(): readonly Announced[] {
+    all(): readonly ServerAnnouncement[] {
         return [...this.instances.values()].map(instance => {
             return this.isSuperseded(instance) ? { ...instance, state: "silent" } : instance;
         });
@@ -99,7 +99,7 @@
      * Backend servers of a service that may receive new requests. Silent ones are returned only if none is ready: they are
      * likely gone, but a directory that a network partition separates from them reports the same.
      */
-    usable(service: string): readonly Announced[] {
+    usable(service: string): readonly ServerAnnouncement[] {
         const known = this.byService.get(service);
         if (known !== undefined) {
             return known;
@@ -118,13 +118,13 @@
      * delayed heartbeat may announce one that has crashed before, and then the incarnation that is really running must
      * receive requests again once the other is silent.
      */
-    private isSuperseded({ id, address, state }: Announced): boolean {
+    private isSuperseded({ id, address, state }: ServerAnnouncement): boolean {
         const newest = this.instances.get(this.latestAtAddress.get(address) ?? id);
         return newest !== undefined && newest.id !== id && newest.state !== "silent" && state !== "silent";
     }
 }
 
-function supersedes(announced: Announced, known: Announced): boolean {
+function supersedes(announced: ServerAnnouncement, known: ServerAnnouncement): boolean {
     return announced.sequence > known.sequence
         || announced.state === "left"
         || (announced.sequence === known.sequence && stateRank[announced.state] > stateRank[known.state]);
--- a/packages/basilpaddle/src/node/coordination/gateway/latestIncarnations.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/latestIncarnations.ts
@@ -1,5 +1,5 @@
 import { LRUCache } from "lru-cache";
-import { type Announced, serverName } from "../../protocol/index.js";
+import { type ServerAnnouncement, serverName } from "../../protocol/index.js";
 
 /** Number of names to remember: several times the backend servers of a large deployment. */
 const maximumNames = 8_192;
@@ -21,13 +21,13 @@
     }
 
     /** Whether another incarnation of the same name is known that started no earlier. */
-    isOutdated(server: Announced): boolean {
+    isOutdated(server: ServerAnnouncement): boolean {
         const known = this.latestByName.get(serverName(server));
         return known !== undefined && known.id !== server.id && startTimeOf(server) <= known.startedAt;
     }
 
     /** Records the newest incarnation of a name. Returns the previous one, which has ended, or undefined if there is none. */
-    recordLatest(server: Announced): string | undefined {
+    recordLatest(server: ServerAnnouncement): string | undefined {
         const name = serverName(server);
         const known = this.latestByName.get(name);
         this.latestByName.set(name, { id: server.id, startedAt: startTimeOf(server) });
@@ -35,12 +35,12 @@
     }
 
     /** The newest incarnation of a name, and whether it announced a start time. */
-    newestOf(name: string): { readonly id: string; readonly tellsStart: boolean; } | undefined {
+    newestOf(name: string): { readonly id: string; readonly hasStartTime: boolean; } | undefined {
         const known = this.latestByName.get(name);
-        return known === undefined ? undefined : { id: known.id, tellsStart: known.startedAt !== noStartTime };
+        return known === undefined ? undefined : { id: known.id, hasStartTime: known.startedAt !== noStartTime };
     }
 }
 
-function startTimeOf(server: Announced): number {
+function startTimeOf(server: ServerAnnouncement): number {
     return server.startedAt ?? noStartTime;
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/linkQuality.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/linkQuality.ts
@@ -1,4 +1,4 @@
-import type { Announced, LinkStalls } from "../../protocol/index.js";
+import type { LinkStalls, ServerAnnouncement } from "../../protocol/index.js";
 
 /** Half-life of the counts of events and stalls. */
 const countHalfLifeMilliseconds = 8_000;
@@ -41,13 +41,13 @@
 }
 
 /** Detects stalls in the stream of one run, by comparison with its own typical pause. */
-export class PauseWatch {
+export class StallDetector {
     private lastEventAt: number | undefined;
     private typicalPause: number | undefined;
     private longestPause = 0;
 
-    static create(): PauseWatch {
-        return new PauseWatch();
+    static create(): StallDetector {
+        return new StallDetector();
     }
 
     /** Records an event; returns whether a stall preceded it. */
@@ -91,7 +91,7 @@
     }
 
     /** Records an event of an engine's stream, and whether it stalled. */
-    event(engine: Announced, stalled: boolean, now: number): void {
+    event(engine: ServerAnnouncement, stalled: boolean, now: number): void {
         let record = this.engines.get(engine.id);
         if (record === undefined) {
             record = new EngineStallCounts(engine.failureDomain);
--- a/packages/basilpaddle/src/node/coordination/gateway/outlierDetector.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/outlierDetector.ts
@@ -36,7 +36,7 @@
     }
 
     /** Adds call counts reported by a gateway. */
-    note(calls: readonly ServerCalls[], now: number): void {
+    addCalls(calls: readonly ServerCalls[], now: number): void {
         for (const { id, service, answered, failed } of calls) {
             const record = this.records.get(id) ?? { service, answered: 0, failed: 0, at: now, ejectedUntil: 0 };
             this.records.set(id, record);
@@ -47,7 +47,7 @@
     }
 
     /** Recomputes the ejected servers; returns whether they differ from those of the previous call. */
-    review(now: number): boolean {
+    updateEjections(now: number): boolean {
         const before = this.currentlyEjected;
         this.records.forEach((record, id) => {
             this.decayCounts(record, now);
--- a/packages/basilpaddle/src/node/coordination/gateway/placementForecast.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/placementForecast.ts
@@ -1,4 +1,4 @@
-import type { UsualRequest } from "./stagePlan.js";
+import type { TypicalRequest } from "./stagePlan.js";
 
 /** Assumed time for which a run occupies its engine until runs have ended. */
 const initialHoldMilliseconds = 3_000;
@@ -18,7 +18,7 @@
     private meanHoldTime = initialHoldMilliseconds;
     /** Moving average of the ratio of actual to expected prefill time. */
     private delayFactor = 1;
-    private meanRequest: UsualRequest | undefined;
+    private meanRequest: TypicalRequest | undefined;
     private runs = 0;
 
     static create(): PlacementForecast {
@@ -26,21 +26,21 @@
     }
 
     /** Records the resources that a successful run used in the pool. */
-    noteRun(run: UsualRequest): void {
+    noteRun(run: TypicalRequest): void {
         this.meanHoldTime += meanWeight * (run.holdTime - this.meanHoldTime);
         this.runs += 1;
         const { meanRequest } = this;
         const mean = (before: number, now: number): number =>
             before + Math.max(requestMeanWeight, 1 / this.runs) * (now - before);
         this.meanRequest = meanRequest === undefined ? run : {
-            readingTime: mean(meanRequest.readingTime, run.readingTime),
+            prefillTime: mean(meanRequest.prefillTime, run.prefillTime),
             holdTime: mean(meanRequest.holdTime, run.holdTime),
             cacheTokens: mean(meanRequest.cacheTokens, run.cacheTokens),
         };
     }
 
     /** Mean resources of a request in the pool; undefined until enough runs have ended. */
-    typicalRequest(): UsualRequest | undefined {
+    typicalRequest(): TypicalRequest | undefined {
         return this.runs < minimumRuns ? undefined : this.meanRequest;
     }
 
--- a/packages/basilpaddle/src/node/coordination/gateway/placementQueue.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/placementQueue.ts
@@ -1,9 +1,15 @@
-import type { Announced, EngineRule, PlaceDecision, PlaceDemand, PlaceEnd } from "../../protocol/index.js";
-import { fractionOf } from "../../utils/index.js";
-import { type EnginePair, EnginePool, type LeastLoadedEngine, type PlaceTuning } from "./enginePool.js";
+import type {
+    EngineRule,
+    PlacementDecision,
+    PlacementOutcome,
+    PlacementRequest,
+    ServerAnnouncement,
+} from "../../protocol/index.js";
+import { hashToFraction } from "../../utils/index.js";
+import { type EnginePair, EnginePool, type LeastLoadedEngine, type PlacementTuning } from "./enginePool.js";
 import { PlacementForecast } from "./placementForecast.js";
 import { RunRejections } from "./runRejections.js";
-import type { UsualRequest } from "./stagePlan.js";
+import type { TypicalRequest } from "./stagePlan.js";
 
 /** Minimum time between two reviews of the queue. */
 const reviewIntervalMilliseconds = 25;
@@ -36,7 +42,7 @@
 
 /** A request in the queue. */
 type WaitingRequest = {
-    readonly request: PlaceDemand;
+    readonly request: PlacementRequest;
     readonly arrivedAt: number;
     readonly targetAt: number;
     readonly timeoutAt: number;
@@ -49,11 +55,11 @@
     /** Tokens of KV cache that may be allocated in total. */
     readonly capacity: number;
     /** Expected milliseconds until a request's first event, with the given number of tokens queued ahead of it. */
-    readonly firstEventIn: (request: PlaceDemand, ahead: number) => number;
+    readonly firstEventIn: (request: PlacementRequest, ahead: number) => number;
 };
 
 type Placement = EnginePair & {
-    readonly request: PlaceDemand;
+    readonly request: PlacementRequest;
     readonly placedAt: number;
     /** Expected milliseconds of the prefill, sent to the gateway. */
     readonly readingWithin?: number;
@@ -71,7 +77,7 @@
  * of their targets. Those that can't wait behind them until their caller's timeout, since a late answer is worth more than
  * none. Those that can't be served before the timeout are refused at once with a retry-after time.
  */
-export class EnginePlaces {
+export class PlacementQueue {
     private readonly placements = new Map<string, Placement>();
     private readonly forecast = PlacementForecast.create();
     private readonly rejections = RunRejections.create();
@@ -80,12 +86,12 @@
 
     private constructor(private readonly pool: EnginePool) {}
 
-    static create(tuning: PlaceTuning): EnginePlaces {
-        return new EnginePlaces(EnginePool.create(tuning));
+    static create(tuning: PlacementTuning): PlacementQueue {
+        return new PlacementQueue(EnginePool.create(tuning));
     }
 
     /** Replaces the announcements of the pool's engines and the rule that applies to all of them. */
-    setEngines(announced: readonly Announced[], rule: EngineRule): void {
+    setEngines(announced: readonly ServerAnnouncement[], rule: EngineRule): void {
         this.pool.setEngines(announced, rule);
     }
 
@@ -95,12 +101,12 @@
     }
 
     /** Records an order to change an engine's stage; the engine receives no work until the change is announced or `until`. */
-    orderedTo(engine: string, stage: Announced["stage"], until: number): void {
+    recordStageOrder(engine: string, stage: ServerAnnouncement["stage"], until: number): void {
         this.pool.engine(engine)?.noteStageOrder(stage, until);
     }
 
     /** Queues a request. The decisions returned, here and by the other methods, may concern other requests as well. */
-    ask(request: PlaceDemand, now: number): PlaceDecision[] {
+    ask(request: PlacementRequest, now: number): PlacementDecision[] {
         const held = this.placements.get(request.attempt);
         if (held !== undefined) {
             return [placedDecision(held)];
@@ -122,7 +128,7 @@
     }
 
     /** Reviews the queue and expires old placements; to be called every `reviewIntervalMilliseconds` while requests wait. */
-    review(now: number): PlaceDecision[] {
+    review(now: number): PlacementDecision[] {
         if (now - this.reviewedAt < reviewIntervalMilliseconds) {
             return [];
         }
@@ -136,13 +142,13 @@
     }
 
     /** Removes a request whose caller disconnected from the queue, or releases its placement. */
-    withdraw(attempt: string, now: number): PlaceDecision[] {
+    withdraw(attempt: string, now: number): PlacementDecision[] {
         this.queue = this.queue.filter(waiting => waiting.request.attempt !== attempt);
         return this.release(attempt, {}, now);
     }
 
     /** Records that a request's prefill is complete. */
-    prefilled(attempt: string, now: number): void {
+    prefillCompleted(attempt: string, now: number): void {
         const placement = this.placements.get(attempt);
         if (placement !== undefined && !placement.isPrefilled) {
             placement.isPrefilled = true;
@@ -152,7 +158,7 @@
     }
 
     /** Releases the placement of a run that has ended, and records its outcome. */
-    release(attempt: string, end: PlaceEnd, now: number): PlaceDecision[] {
+    release(attempt: string, end: PlacementOutcome, now: number): PlacementDecision[] {
         const placement = this.free(attempt, now);
         if (end.failed !== undefined) {
             this.pool.engine(end.failed)?.noteFailure(now);
@@ -163,7 +169,7 @@
         }
         else if (placement !== undefined) {
             this.forecast.noteRun({
-                readingTime: this.pool.prefillWork(placement.request.promptTokens),
+                prefillTime: this.pool.prefillWork(placement.request.promptTokens),
                 holdTime: now - placement.placedAt,
                 cacheTokens: placement.request.cacheTokens,
             });
@@ -178,10 +184,10 @@
      */
     reconcile(
         gateway: string,
-        held: readonly { readonly demand: PlaceDemand; readonly decode: string; }[],
+        held: readonly { readonly demand: PlacementRequest; readonly decode: string; }[],
         grace: number,
         now: number,
-    ): PlaceDecision[] {
+    ): PlacementDecision[] {
         const named = new Set(held.map(({ demand }) => demand.attempt));
         for (const [attempt, placement] of this.placements) {
             const stale = placement.request.gateway === gateway && now - placement.placedAt > grace;
@@ -201,7 +207,7 @@
     }
 
     /** Drops the queued requests and the placements of a gateway that is gone. */
-    dropGateway(gateway: string, now: number): PlaceDecision[] {
+    dropGateway(gateway: string, now: number): PlacementDecision[] {
         this.queue = this.queue.filter(waiting => waiting.request.gateway !== gateway);
         return this.reconcile(gateway, [], 0, now);
     }
@@ -213,12 +219,12 @@
     }
 
     /** Mean resources of a request in the pool; undefined until enough runs have ended. */
-    usualRequest(): UsualRequest | undefined {
+    typicalRequest(): TypicalRequest | undefined {
         return this.forecast.typicalRequest();
     }
 
     /** Numbers of queued requests and of placements, and the allocated tokens by engine, for metrics and tests. */
-    standing(): { readonly waiting: number; readonly held: number; readonly heldTokens: ReadonlyMap<string, number>; } {
+    counts(): { readonly waiting: number; readonly held: number; readonly heldTokens: ReadonlyMap<string, number>; } {
         return {
             waiting: this.queue.length,
             held: this.placements.size,
@@ -231,8 +237,8 @@
         this.queue.splice(at < 0 ? this.queue.length : at, 0, waiting);
     }
 
-    private dispatch(now: number): PlaceDecision[] {
-        const decisions: PlaceDecision[] = [];
+    private dispatch(now: number): PlacementDecision[] {
+        const decisions: PlacementDecision[] = [];
         const reserved = new Set<string>();
         let skipped = 0;
         for (let position = 0; position < this.queue.length && skipped < maximumSkipped;) {
@@ -301,7 +307,7 @@
     }
 
     /** Refuses a new request that can't be served before its caller's timeout. */
-    private refuseOnArrival(arrived: WaitingRequest, now: number): PlaceDecision[] {
+    private refuseOnArrival(arrived: WaitingRequest, now: number): PlacementDecision[] {
         const position = this.queue.indexOf(arrived);
         if (position < 0) {
             return [];
@@ -317,8 +323,8 @@
     }
 
     /** Moves requests that can't meet their target behind the others; refuses those that can't be served before the timeout. */
-    private reorder(now: number): PlaceDecision[] {
-        const refused: PlaceDecision[] = [];
+    private reorder(now: number): PlacementDecision[] {
+        const refused: PlacementDecision[] = [];
         const kept: WaitingRequest[] = [];
         const behind: WaitingRequest[] = [];
         const poolForecast = this.forecastPool(now);
@@ -347,7 +353,7 @@
         const free = this.pool.freeTokens(now);
         const capacity = this.pool.capacity(now);
         const prefill = this.pool.prefillForecast(now);
-        const firstEventIn = (request: PlaceDemand, ahead: number): number => {
+        const firstEventIn = (request: PlacementRequest, ahead: number): number => {
             return this.forecast.wait(ahead + request.cacheTokens - free, capacity)
                 + this.forecast.firstEventDelay(prefill(request.promptTokens));
         };
@@ -360,7 +366,7 @@
             || now + firstEventIn + timeoutMarginMilliseconds <= waiting.timeoutAt;
     }
 
-    private refusal(waiting: WaitingRequest, firstEventIn: number, capacity: number, now: number): PlaceDecision {
+    private refusal(waiting: WaitingRequest, firstEventIn: number, capacity: number, now: number): PlacementDecision {
         const { request } = waiting;
         const reason = capacity === 0
             ? "no engine is ready"
@@ -368,7 +374,7 @@
         const over = Math.max(0, now + firstEventIn + timeoutMarginMilliseconds - waiting.timeoutAt);
         const comeBackIn = capacity === 0
             ? noEngineRetryAfterMilliseconds
-            : over + fractionOf(request.attempt) * retryAfterSpreadMilliseconds;
+            : over + hashToFraction(request.attempt) * retryAfterSpreadMilliseconds;
         return { kind: "refused", attempt: request.attempt, reason, comeBackIn };
     }
 
@@ -388,7 +394,7 @@
     }
 }
 
-function placedDecision(placement: Placement): PlaceDecision {
+function placedDecision(placement: Placement): PlacementDecision {
     const { request, prefill, decode, readingWithin } = placement;
     return { kind: "placed", attempt: request.attempt, prefill, decode, readingWithin };
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/routeTable.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/routeTable.ts
@@ -1,5 +1,5 @@
 import type { ServiceRule, Traffic, TrafficRoute } from "../../protocol/index.js";
-import { fractionOf } from "../../utils/index.js";
+import { hashToFraction } from "../../utils/index.js";
 
 /** Finds the route of a request and the service that handles it. */
 export class RouteTable {
@@ -33,7 +33,7 @@
      */
     serviceOf(route: TrafficRoute, identifier: string): ServiceRule | undefined {
         const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-        let position = fractionOf(identifier) * total;
+        let position = hashToFraction(identifier) * total;
         for (const target of route.targets) {
             position -= target.weight;
             if (position < 0) {
--- a/packages/basilpaddle/src/node/coordination/gateway/serverChoice.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/serverChoice.ts
@@ -1,5 +1,5 @@
 import { LRUCache } from "lru-cache";
-import type { Announced, LinkStalls } from "../../protocol/index.js";
+import type { LinkStalls, ServerAnnouncement } from "../../protocol/index.js";
 import { LinkQuality, stallRateOf } from "./linkQuality.js";
 
 /** Weight of one call in the moving averages. */
@@ -72,10 +72,14 @@
     }
 
     /** The server with the lowest expected response time, except those to avoid; undefined if none is left. */
-    choose(servers: readonly Announced[], avoid: ReadonlySet<string>, now: number): Announced | undefined {
+    choose(
+        servers: readonly ServerAnnouncement[],
+        avoid: ReadonlySet<string>,
+        now: number,
+    ): ServerAnnouncement | undefined {
         const candidates = servers.filter(server => !avoid.has(server.id));
         const ejected = this.ejected();
-        const isHealthy = (server: Announced): boolean => {
+        const isHealthy = (server: ServerAnnouncement): boolean => {
             return now >= this.record(server.id).pausedUntil && !ejected.includes(server.id);
         };
         const healthy = candidates.filter(isHealthy);
@@ -84,7 +88,7 @@
             ? healthy
             : candidates;
         const stalls = this.links.stalls(now);
-        let best: Announced | undefined;
+        let best: ServerAnnouncement | undefined;
         let bestScore = Number.POSITIVE_INFINITY;
         for (const server of usable) {
             const score = this.score(server, stalls, now);
@@ -102,7 +106,7 @@
     }
 
     /** Records the outcome and duration of a call. */
-    ended(server: Announced, outcome: CallOutcome, milliseconds: number, now: number): void {
+    ended(server: ServerAnnouncement, outcome: CallOutcome, milliseconds: number, now: number): void {
         const record = this.record(server.id);
         record.outstanding = Math.max(0, record.outstanding - 1);
         record.endedAt = now;
@@ -132,7 +136,7 @@
         return this.record(id).outstanding;
     }
 
-    private score(server: Announced, stalls: LinkStalls, now: number): number {
+    private score(server: ServerAnnouncement, stalls: LinkStalls, now: number): number {
         const record = this.record(server.id);
         const memory = record.outstanding > 0 ? 1 : 0.5 ** ((now - record.endedAt) / memoryHalfLifeMilliseconds);
         const stall = stallRateOf(stalls, server.failureDomain) * packetsPerCall * packetLossDelayMilliseconds;
--- a/packages/basilpaddle/src/node/coordination/gateway/serviceRetryBudget.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/serviceRetryBudget.ts
@@ -7,7 +7,7 @@
 const countedSlices = windowSlices + 1;
 
 /** Limits of the retries of a service's requests. */
-export type RepeatBudgetRules = {
+export type RetryBudgetRules = {
     /** Retries allowed per request of the service. */
     readonly ratio: number;
     /** Length of the window in milliseconds. */
@@ -36,15 +36,15 @@
  * without a round trip per request. It limits retries during failures that affect all gateways at once, when unlimited
  * retries would multiply the load on the remaining backend servers.
  */
-export class RepeatBudget {
+export class ServiceRetryBudget {
     private readonly requests = new Array<number>(countedSlices).fill(0);
     private readonly retries = new Array<number>(countedSlices).fill(0);
     private slice = 0;
 
-    private constructor(private readonly rules: RepeatBudgetRules) {}
+    private constructor(private readonly rules: RetryBudgetRules) {}
 
-    static create(rules: RepeatBudgetRules): RepeatBudget {
-        return new RepeatBudget(rules);
+    static create(rules: RetryBudgetRules): ServiceRetryBudget {
+        return new ServiceRetryBudget(rules);
     }
 
     /** Records a request of the service. */
@@ -99,11 +99,11 @@
  * within the last window count as well: gateways report what they borrowed, and until all have, nothing is lent during the
  * first window.
  */
-export class SharedRepeatBudget {
-    private readonly lent: RepeatBudget;
+export class SharedRetryBudget {
+    private readonly lent: ServiceRetryBudget;
 
-    private constructor(private readonly rules: RepeatBudgetRules, private readonly startedAt: number) {
-        this.lent = RepeatBudget.create({
+    private constructor(private readonly rules: RetryBudgetRules, private readonly startedAt: number) {
+        this.lent = ServiceRetryBudget.create({
             ratio: 0,
             window: rules.window,
             slack: rules.slack * leaderFraction / localFraction,
@@ -111,8 +111,8 @@
     }
 
     /** `now`: when this leader's term began. */
-    static create(rules: RepeatBudgetRules, now: number): SharedRepeatBudget {
-        return new SharedRepeatBudget(rules, now);
+    static create(rules: RetryBudgetRules, now: number): SharedRetryBudget {
+        return new SharedRetryBudget(rules, now);
     }
 
     /**
--- a/packages/basilpaddle/src/node/coordination/gateway/stagePlan.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/stagePlan.ts
@@ -1,9 +1,9 @@
-import type { Announced, EngineRule } from "../../protocol/index.js";
+import type { EngineRule, ServerAnnouncement } from "../../protocol/index.js";
 
 /** Resources that a typical request uses in a pool; a plan depends only on their proportions. */
-export type UsualRequest = {
+export type TypicalRequest = {
     /** Milliseconds of prefill work for its prompt. */
-    readonly readingTime: number;
+    readonly prefillTime: number;
     /** Milliseconds for which its run occupies a decode engine. */
     readonly holdTime: number;
     /** Tokens of KV cache that its run occupies. */
@@ -11,7 +11,7 @@
 };
 
 /** Assumed until a pool has observed requests of its own: prompts of 3,200 tokens and answers of 940. */
-export const assumedRequest: UsualRequest = { readingTime: 100, holdTime: 3_200, cacheTokens: 3_670 };
+export const assumedRequest: TypicalRequest = { prefillTime: 100, holdTime: 3_200, cacheTokens: 3_670 };
 
 /**
  * Number of prefill engines above or below the computed one before an engine changes its stage: a change makes the engine
@@ -22,16 +22,16 @@
 const maximumPrefillDeficit = 1.5;
 
 /** An engine that should change its stage, and the new stage. */
-export type StageChange = { readonly engine: Announced; readonly stage: "prefill" | "decode"; };
+export type StageChange = { readonly engine: ServerAnnouncement; readonly stage: "prefill" | "decode"; };
 
 /**
  * Returns the engines that should change their stage next: few enough that at least one engine of each stage remains while
  * they change. Prefill engines stay spread over the failure domains, since KV cache transfers between domains cost more.
  */
 export function planStages(
-    engines: readonly Announced[],
+    engines: readonly ServerAnnouncement[],
     rule: EngineRule,
-    observed?: UsualRequest,
+    observed?: TypicalRequest,
 ): StageChange[] {
     const ready = engines.filter(engine => engine.state === "ready" && engine.stage !== undefined);
     const prefill = ready.filter(engine => engine.stage === "prefill");
@@ -59,18 +59,18 @@
  * Fraction of the pool's engines that should run prefill, so that neither stage is full while the other has capacity. It
  * compares the engine time that each stage uses for a typical request.
  */
-function prefillFraction(rule: EngineRule, request: UsualRequest): number {
+function prefillFraction(rule: EngineRule, request: TypicalRequest): number {
     const heldFraction = Math.max(request.cacheTokens / rule.cacheTokens, 1 / rule.slots);
-    return request.readingTime / (request.readingTime + request.holdTime * heldFraction);
+    return request.prefillTime / (request.prefillTime + request.holdTime * heldFraction);
 }
 
 /**
  * Selects engines one by one from the failure domain that has the most of them; the lowest identifier first, so that the
  * result is deterministic.
  */
-function takeFromLargestDomains(engines: readonly Announced[], count: number): Announced[] {
+function takeFromLargestDomains(engines: readonly ServerAnnouncement[], count: number): ServerAnnouncement[] {
     const remaining = [...engines].sort((one, other) => one.id < other.id ? -1 : 1);
-    const selected: Announced[] = [];
+    const selected: ServerAnnouncement[] = [];
     for (let turn = 0; turn < count; turn++) {
         const sizes = new Map<string, number>();
         remaining.forEach(engine => sizes.set(engine.failureDomain, (sizes.get(engine.failureDomain) ?? 0) + 1));
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/fakes.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/fakes.ts
@@ -67,7 +67,7 @@
         return Right({ kind: "done", index: this.proposed.length });
     }
 
-    override noteRenewal(): void {}
+    override recordRenewal(): void {}
 
     override async close(): Promise<void> {}
 }
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/steps.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/steps.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { announce, pool, poolName, viewOf } from "../../../../../../../simulation/orders/samples.js";
 import type { Announcement, EngineState, Pool, View } from "../../../protocol/index.js";
-import { emptyReconcilerState, type OrderLimits, type Reading, type ReconcilerAction } from "../orderState.js";
+import { emptyReconcilerState, type EngineReading, type OrderLimits, type ReconcilerAction } from "../orderState.js";
 import { Reconciler } from "../reconciler.js";
 
 const limits: OrderLimits = { concurrentLoads: 2, orderTimeout: 4_000, settle: 3_060, retryPause: 500 };
@@ -51,7 +51,7 @@
         const actions: ReconcilerAction[] = [];
         for (let round = 0; round < count; round++) {
             this.now += 1_000;
-            const reading = (sample: EngineSample): Reading => ({ state: stateOf(sample), askedAt: this.now });
+            const reading = (sample: EngineSample): EngineReading => ({ state: stateOf(sample), askedAt: this.now });
             const readings = new Map(this.engines.map(sample => [sample.announcement.id, reading(sample)]));
             const step = this.reconciler.step(this.state, view, readings, this.now);
             this.state = step.state;
--- a/packages/basilpaddle/src/node/coordination/orders/orderService.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderService.ts
@@ -2,7 +2,7 @@
 import type { Clock, Logger } from "../../utils/index.js";
 import type { ControlClient } from "../controlClient.js";
 import type { Engine } from "../engine/index.js";
-import { EngineDirectory } from "../request/index.js";
+import { EngineClients } from "../request/index.js";
 import type { OpenOrder, OrderLimits } from "./orderState.js";
 import { OrderTerm } from "./orderTerm.js";
 
@@ -26,7 +26,7 @@
 export class OrderService {
     private readonly limits: OrderLimits;
     private readonly interval: number;
-    private readonly engines: EngineDirectory;
+    private readonly engines: EngineClients;
     private readonly unsubscribe: () => void;
     private term: OrderTerm | undefined;
     private fence: number | undefined;
@@ -38,7 +38,7 @@
         const settle = parts.timing.viewLease * (1 + parts.timing.clockDrift);
         this.limits = Object.freeze({ ...defaultLimits, ...parts.limits, settle });
         this.interval = parts.interval ?? defaultIntervalMilliseconds;
-        this.engines = EngineDirectory.create(parts.engineAt);
+        this.engines = EngineClients.create(parts.engineAt);
         this.unsubscribe = parts.control.onView(() => this.handleViewChange());
         this.handleViewChange();
     }
@@ -102,7 +102,7 @@
     private async round(term: OrderTerm): Promise<void> {
         try {
             await term.round();
-            await this.engines.retain(this.currentEngineUrls());
+            await this.engines.closeUnused(this.currentEngineUrls());
         }
         catch (error) {
             // A failed round must not stop the rounds after it: the pools would then stay unchanged without any report.
--- a/packages/basilpaddle/src/node/coordination/orders/orderState.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderState.ts
@@ -1,7 +1,7 @@
 import type { Announcement, EngineState, Order, View } from "../../protocol/index.js";
 
 /** State reported by an engine, and the monotonic milliseconds at which it was requested. */
-export type Reading = { readonly state: EngineState; readonly askedAt: number; };
+export type EngineReading = { readonly state: EngineState; readonly askedAt: number; };
 
 /** Outcome of an order as recorded in the audit trail. */
 export type OrderOutcome = "done" | "refused" | "failed" | "unknown";
@@ -75,7 +75,7 @@
     readonly announcement: Announcement;
     readonly state: View["backends"][string]["state"];
     /** Undefined if the reading of this round failed or came from another incarnation. */
-    readonly reading: Reading | undefined;
+    readonly reading: EngineReading | undefined;
 };
 
 /** The initial state, before the first step. */
--- a/packages/basilpaddle/src/node/coordination/orders/orderTerm.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderTerm.ts
@@ -3,23 +3,23 @@
 import type { Clock, Logger } from "../../utils/index.js";
 import type { ControlClient } from "../controlClient.js";
 import type { Engine, EngineFailure } from "../engine/index.js";
-import type { EngineDirectory } from "../request/index.js";
+import type { EngineClients } from "../request/index.js";
 import {
     describeOrder,
     emptyReconcilerState,
+    type EngineReading,
     type OpenOrder,
     type OrderLimits,
     type OrderOutcome,
-    type Reading,
     type ReconcilerAction,
     type ReconcilerState,
 } from "./orderState.js";
-import { Reconciler, type Sent, type SentResult } from "./reconciler.js";
+import { type OrderSendResult, Reconciler, type SentOrder } from "./reconciler.js";
 
 /** Dependencies of a term of the orders lease. */
 export type OrderTermParts = {
     readonly control: ControlClient;
-    readonly engines: EngineDirectory;
+    readonly engines: EngineClients;
     readonly clock: Clock;
     readonly logger: Logger;
     readonly limits: OrderLimits;
@@ -61,8 +61,8 @@
         await Promise.all(step.actions.map(action => this.execute(action)));
     }
 
-    private async readEngines(): Promise<ReadonlyMap<string, Reading>> {
-        const readings = new Map<string, Reading>();
+    private async readEngines(): Promise<ReadonlyMap<string, EngineReading>> {
+        const readings = new Map<string, EngineReading>();
         const engines = Object.values(this.parts.control.view().backends)
             .filter(({ state, announcement }) =>
                 announcement.role !== "service" && (state === "ready" || state === "draining")
@@ -79,7 +79,7 @@
         switch (action.kind) {
             case "order": {
                 const sent = await this.sendOrder(action.open);
-                this.state = this.reconciler.settle(this.state, action.open, sent, this.now());
+                this.state = this.reconciler.recordSendResult(this.state, action.open, sent, this.now());
                 break;
             }
             case "drain":
@@ -94,7 +94,7 @@
         }
     }
 
-    private async sendOrder(open: OpenOrder): Promise<Sent> {
+    private async sendOrder(open: OpenOrder): Promise<SentOrder> {
         const backend = this.parts.control.view().backends[open.engine];
         if (backend?.announcement.incarnation !== open.incarnation || !await this.audit(open, "sent")) {
             return { result: "notSent", sentAt: this.now() };
@@ -167,12 +167,12 @@
     }
 
     private async withEngine<T>({ url }: Announcement, call: (engine: Engine) => Promise<T>): Promise<T> {
-        const engine = this.parts.engines.borrow(url);
+        const engine = this.parts.engines.acquireClient(url);
         try {
             return await call(engine);
         }
         finally {
-            this.parts.engines.giveBack(url);
+            this.parts.engines.releaseClient(url);
         }
     }
 
@@ -186,8 +186,8 @@
     }
 }
 
-function sendResultOf(answer: Either<EngineFailure, OrderAnswer>): SentResult {
-    return answer.caseOf<SentResult>({
+function sendResultOf(answer: Either<EngineFailure, OrderAnswer>): OrderSendResult {
+    return answer.caseOf<OrderSendResult>({
         Left: ({ kind, code }) => {
             if (kind === "notRun") {
                 return code === undefined ? "notSent" : "refused";
--- a/packages/basilpaddle/src/node/coordination/orders/reconciler.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/reconciler.ts
@@ -2,13 +2,13 @@
 import { outcomeFromReading } from "./orderOutcome.js";
 import {
     describeOrder,
+    type EngineReading,
     type ObservedEngine,
     type OpenOrder,
     type OrderLimits,
     type OrderOutcome,
     type OrderRetry,
     type QuiescenceWait,
-    type Reading,
     type ReconcilerAction,
     type ReconcilerState,
 } from "./orderState.js";
@@ -30,10 +30,10 @@
 export type ReconcilerStep = { readonly state: ReconcilerState; readonly actions: readonly ReconcilerAction[]; };
 
 /** Result of sending an order, as far as it is known. `notSent`: the order never left this daemon. */
-export type SentResult = OrderOutcome | "started" | "notSent";
+export type OrderSendResult = OrderOutcome | "started" | "notSent";
 
 /** Result of sending an order, and the monotonic milliseconds at which it was sent. */
-export type Sent = { readonly result: SentResult; readonly sentAt: number; };
+export type SentOrder = { readonly result: OrderSendResult; readonly sentAt: number; };
 
 /** Compares the declaration with the engines' states and issues the orders that are due. Uses no sockets and no clock. */
 export class Reconciler {
@@ -45,7 +45,12 @@
     }
 
     /** Computes one round from its readings, keyed by engine identifier. */
-    step(before: ReconcilerState, view: View, readings: ReadonlyMap<string, Reading>, now: number): ReconcilerStep {
+    step(
+        before: ReconcilerState,
+        view: View,
+        readings: ReadonlyMap<string, EngineReading>,
+        now: number,
+    ): ReconcilerStep {
         const engines = observeEngines(view, readings);
         const round = RoundPlanner.create(before, this.fence, this.limits, now);
         round.closeFinishedOrders(engines);
@@ -63,7 +68,12 @@
     }
 
     /** Records the result of sending an order. */
-    settle(before: ReconcilerState, order: OpenOrder, { result, sentAt }: Sent, now: number): ReconcilerState {
+    recordSendResult(
+        before: ReconcilerState,
+        order: OpenOrder,
+        { result, sentAt }: SentOrder,
+        now: number,
+    ): ReconcilerState {
         const open = new Map(before.open);
         if (result === "started") {
             open.set(order.engine, { ...order, phase: "started", readableAt: now });
@@ -224,7 +234,7 @@
     }
 }
 
-function observeEngines(view: View, readings: ReadonlyMap<string, Reading>): Map<string, ObservedEngine> {
+function observeEngines(view: View, readings: ReadonlyMap<string, EngineReading>): Map<string, ObservedEngine> {
     const engines = new Map<string, ObservedEngine>();
     for (const id of Object.keys(view.backends).sort()) {
         const { announcement, state } = view.backends[id]!;
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
@@ -1,19 +1,19 @@
 import { expect } from "chai";
 import { ManualClock } from "../../../../../../../simulation/manualClock.js";
-import { holdRulesSchema } from "../../../protocol/index.js";
-import type { Listening } from "../../../transport/index.js";
+import { quarantineRulesSchema } from "../../../protocol/index.js";
+import type { ListenStatus } from "../../../transport/index.js";
 import { createSilentLogger, SilentMetrics } from "../../../utils/index.js";
-import { CrashWatch } from "../crashDetector.js";
-import { HeldRequests } from "../quarantinedRequests.js";
+import { CrashDetector } from "../crashDetector.js";
+import { QuarantinedRequests } from "../quarantinedRequests.js";
 
 const request = { digest: "d", attempt: "a" };
 const server = { id: "s1", address: "10.0.0.1:80" };
 
 describe("the crash detector", () => {
     let clock: ManualClock;
-    let held: HeldRequests;
-    let detector: CrashWatch;
-    let listening: Listening;
+    let held: QuarantinedRequests;
+    let detector: CrashDetector;
+    let listening: ListenStatus;
     let probeCount: number;
     let gone: Set<string>;
 
@@ -23,9 +23,14 @@
         probeCount = 0;
         gone = new Set();
         const logger = createSilentLogger();
-        held = HeldRequests.create({ rules: holdRulesSchema.parse({}), tell: () => undefined, clock, logger });
-        detector = CrashWatch.create({
-            held,
+        held = QuarantinedRequests.create({
+            rules: quarantineRulesSchema.parse({}),
+            publishRecords: () => undefined,
+            clock,
+            logger,
+        });
+        detector = CrashDetector.create({
+            quarantine: held,
             isGone: id => gone.has(id),
             listens: async () => {
                 probeCount += 1;
@@ -40,7 +45,9 @@
     afterEach(() => detector.close());
 
     it("counts a server as crashed if nothing listens at its address, and probes once for all its runs", async () => {
-        await Promise.all(["d", "e", "f"].map(digest => detector.lost({ digest, attempt: digest }, server, "early")));
+        await Promise.all(
+            ["d", "e", "f"].map(digest => detector.reportLostRun({ digest, attempt: digest }, server, "early")),
+        );
         expect([probeCount, held.all().length]).to.deep.equal([1, 3]);
     });
 
@@ -48,7 +55,11 @@
         for (const found of ["yes", "unknown"] as const) {
             listening = found;
             const digest = `with ${found}`;
-            await detector.lost({ digest, attempt: "a" }, { id: `s ${found}`, address: "10.0.0.1:80" }, "late");
+            await detector.reportLostRun(
+                { digest, attempt: "a" },
+                { id: `s ${found}`, address: "10.0.0.1:80" },
+                "late",
+            );
             await clock.pass(2_000);
             expect(held.isSuspected(digest)).to.equal(false);
             gone.add(`s ${found}`);
@@ -61,22 +72,22 @@
     // came so soon after the first that it was ignored as a duplicate, and the request was refused to all callers for ten
     // minutes.
     it("doesn't quarantine a common request that meets crashes just after it was answered, here or at another daemon", async () => {
-        const other = HeldRequests.create({
-            rules: holdRulesSchema.parse({}),
-            tell: () => undefined,
+        const other = QuarantinedRequests.create({
+            rules: quarantineRulesSchema.parse({}),
+            publishRecords: () => undefined,
             clock,
             logger: createSilentLogger(),
         });
-        detector.answered(request);
+        detector.reportAnswered(request);
         held.merge([{ digest: request.digest, crashes: [], clearedAge: 0 }]);
         other.merge([{ digest: request.digest, crashes: [], clearedAge: 0 }]);
         await clock.pass(300);
         const crashes = ["s1", "s2"].map(id => ({ server: id, phase: "early" as const, age: 0 }));
         [held, other].forEach(copy => copy.merge([{ digest: request.digest, crashes }]));
-        expect(detector.hold(request)).to.equal(undefined);
+        expect(detector.quarantineStatus(request)).to.equal(undefined);
         await clock.pass(10);
         other.merge(held.since(0));
-        expect(other.hold(request.digest)).to.equal(undefined);
+        expect(other.quarantineStatus(request.digest)).to.equal(undefined);
         expect(other.merge(held.since(0))).to.deep.equal([]);
     });
 
@@ -86,17 +97,17 @@
     it("doesn't count a run that timed out at an unresponsive server as an early crash", async () => {
         listening = "unknown";
         for (const id of ["s1", "s2"]) {
-            await detector.lost(request, { ...server, id }, "early");
+            await detector.reportLostRun(request, { ...server, id }, "early");
             gone.add(id);
         }
         await clock.pass(1_000);
         expect(held.all()[0]?.crashes).to.have.length(2);
-        expect(detector.hold(request)).to.equal(undefined);
+        expect(detector.quarantineStatus(request)).to.equal(undefined);
     });
 
     it("doesn't attribute a server's end to a run that was lost long before", async () => {
         listening = "yes";
-        await detector.lost(request, server, "early");
+        await detector.reportLostRun(request, server, "early");
         await clock.pass(20_000);
         gone.add(server.id);
         await clock.pass(1_000);
@@ -104,23 +115,23 @@
     });
 
     it("counts no crashes against a request that is answered, here or at another daemon", async () => {
-        await detector.lost(request, server, "early");
-        await detector.lost(request, { ...server, id: "s2" }, "early");
-        expect(detector.hold(request)?.crashes).to.have.length(2);
+        await detector.reportLostRun(request, server, "early");
+        await detector.reportLostRun(request, { ...server, id: "s2" }, "early");
+        expect(detector.quarantineStatus(request)?.crashes).to.have.length(2);
         await clock.pass(10);
-        detector.answered(request);
-        expect(detector.hold(request)).to.equal(undefined);
+        detector.reportAnswered(request);
+        expect(detector.quarantineStatus(request)).to.equal(undefined);
         // Other daemons report crashes while it was answered here: it is a common request.
         await clock.pass(5_000);
         const crashes = ["s3", "s4"].map(id => ({ server: id, phase: "early" as const, age: 0 }));
         held.merge([{ digest: request.digest, crashes }]);
-        expect(detector.hold(request)).to.equal(undefined);
+        expect(detector.quarantineStatus(request)).to.equal(undefined);
         // An old answer is no evidence about the servers that run now.
         await clock.pass(120_000);
         held.merge([{
             digest: request.digest,
             crashes: ["s5", "s6"].map(id => ({ server: id, phase: "early" as const, age: 0 })),
         }]);
-        expect(detector.hold(request)).not.to.equal(undefined);
+        expect(detector.quarantineStatus(request)).not.to.equal(undefined);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashExchange.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashExchange.spec.ts
@@ -1,14 +1,14 @@
 import { expect } from "chai";
 import { ManualClock } from "../../../../../../../simulation/manualClock.js";
-import { holdRulesSchema } from "../../../protocol/index.js";
+import { quarantineRulesSchema } from "../../../protocol/index.js";
 import { createSilentLogger } from "../../../utils/index.js";
-import { answerCrashes, CrashExchange } from "../crashExchange.js";
-import { HeldRequests } from "../quarantinedRequests.js";
+import { answerCrashQuery, CrashExchange } from "../crashExchange.js";
+import { QuarantinedRequests } from "../quarantinedRequests.js";
 
-function copy(publish: (digest: string) => void = () => undefined): HeldRequests {
-    return HeldRequests.create({
-        rules: holdRulesSchema.parse({}),
-        tell: records => records.forEach(({ digest }) => publish(digest)),
+function copy(publish: (digest: string) => void = () => undefined): QuarantinedRequests {
+    return QuarantinedRequests.create({
+        rules: quarantineRulesSchema.parse({}),
+        publishRecords: records => records.forEach(({ digest }) => publish(digest)),
         clock: new ManualClock(),
         logger: createSilentLogger(),
     });
@@ -16,11 +16,11 @@
 
 /** A daemon that queries others, with its own records. */
 class QueryingDaemon {
-    readonly held: HeldRequests;
+    readonly held: QuarantinedRequests;
     private readonly exchange: CrashExchange;
 
     constructor() {
-        this.held = copy(digest => this.exchange.note(digest));
+        this.held = copy(digest => this.exchange.markChanged(digest));
         this.exchange = CrashExchange.create(this.held);
     }
 
@@ -29,10 +29,10 @@
     }
 
     /** Queries a peer once; returns how many records the query and the reply carried. */
-    ask(name: string, peer: HeldRequests): readonly [number, number] {
+    ask(name: string, peer: QuarantinedRequests): readonly [number, number] {
         const { question, count } = this.exchange.question(name);
-        const news = answerCrashes(peer, question);
-        this.exchange.answered(name, count, news);
+        const news = answerCrashQuery(peer, question);
+        this.exchange.mergeReply(name, count, news);
         return [question.records.length, news.records.length];
     }
 }
@@ -48,7 +48,7 @@
         expect(one.ask("c", control)).to.deep.equal([1, 0]);
         expect(other.ask("c", control)).to.deep.equal([1, 1]);
         [one, third].forEach(asker => asker.ask("c", control));
-        expect([one, other, third].every(({ held }) => held.hold("a") !== undefined)).to.equal(true);
+        expect([one, other, third].every(({ held }) => held.quarantineStatus("a") !== undefined)).to.equal(true);
     });
 
     it("sends each record once to every peer", () => {
@@ -58,7 +58,7 @@
         expect(asker.ask("c1", control)).to.deep.equal([1, 1]);
         expect(asker.ask("c1", control)).to.deep.equal([0, 0]);
         expect(asker.ask("c2", second)).to.deep.equal([1, 1]);
-        expect(second.hold("a")).not.to.equal(undefined);
+        expect(second.quarantineStatus("a")).not.to.equal(undefined);
     });
 
     it("sends all records again to a peer that has restarted and lost them", () => {
@@ -68,7 +68,7 @@
         const restarted = copy();
         asker.ask("c", restarted);
         asker.ask("c", restarted);
-        expect(restarted.hold("a")).not.to.equal(undefined);
+        expect(restarted.quarantineStatus("a")).not.to.equal(undefined);
     });
 
     it("propagates an operator's release", () => {
@@ -78,6 +78,6 @@
         [one, other].forEach(asker => asker.ask("c", control));
         expect(control.release("a", "somebody")).to.equal(true);
         [one, other].forEach(asker => asker.ask("c", control));
-        expect([one, other].map(({ held }) => held.hold("a"))).to.deep.equal([undefined, undefined]);
+        expect([one, other].map(({ held }) => held.quarantineStatus("a"))).to.deep.equal([undefined, undefined]);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/quarantine.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/quarantine.spec.ts
@@ -1,5 +1,10 @@
 import { expect } from "chai";
-import { type Crash, type CrashRecord, holdRulesSchema, mostCrashes } from "../../../protocol/index.js";
+import {
+    type Crash,
+    type CrashRecord,
+    maximumRecordedCrashes,
+    quarantineRulesSchema,
+} from "../../../protocol/index.js";
 import { Quarantine } from "../quarantine.js";
 
 const early = (server: string, age = 0): Crash => ({ server, phase: "early", age });
@@ -7,7 +12,7 @@
 const whole = (server: string, age = 0): Crash => ({ server, phase: "whole", age });
 const of = (digest: string, ...crashes: Crash[]): CrashRecord => ({ digest, crashes });
 const minute = 60_000;
-const rules = holdRulesSchema.parse({});
+const rules = quarantineRulesSchema.parse({});
 
 describe("the quarantine", () => {
     let quarantine: Quarantine;
@@ -95,7 +100,7 @@
     it("limits the crashes per request and the number of requests", () => {
         const many = Array.from({ length: 40 }, (_, index) => early(`s${index}`));
         many.forEach(crash => quarantine.merge([of("a", crash)], 0));
-        expect(quarantine.hold("a", 0)?.crashes).to.have.length(mostCrashes);
+        expect(quarantine.hold("a", 0)?.crashes).to.have.length(maximumRecordedCrashes);
         for (let index = 0; index < 10_000; index++) {
             quarantine.merge([of(`new${index}`, early("s"))], 0);
         }
--- a/packages/basilpaddle/src/node/coordination/quarantine/backendIncarnation.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/backendIncarnation.ts
@@ -2,13 +2,15 @@
 import type { BackendIncarnation } from "./crashDetector.js";
 
 /** The incarnation of a backend server that an announcement describes. */
-export function lifeOf({ id, incarnation, url }: Pick<Announcement, "id" | "incarnation" | "url">): BackendIncarnation {
+export function backendIncarnationOf(
+    { id, incarnation, url }: Pick<Announcement, "id" | "incarnation" | "url">,
+): BackendIncarnation {
     return { id: `${id}@${incarnation}`, address: new URL(url).host };
 }
 
 /** Whether an incarnation has ended: the view lists it as gone, or not at all. */
 export function hasEnded(view: View, incarnationId: string): boolean {
     return !Object.values(view.backends).some(({ announcement, state }) => {
-        return state !== "gone" && lifeOf(announcement).id === incarnationId;
+        return state !== "gone" && backendIncarnationOf(announcement).id === incarnationId;
     });
 }
--- a/packages/basilpaddle/src/node/coordination/quarantine/crashDetector.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/crashDetector.ts
@@ -1,8 +1,8 @@
 import type { CrashPhase } from "../../protocol/index.js";
-import type { Listening } from "../../transport/index.js";
+import type { ListenStatus } from "../../transport/index.js";
 import type { Clock, Logger, Metrics } from "../../utils/index.js";
-import type { Hold } from "./quarantine.js";
-import type { HeldRequests } from "./quarantinedRequests.js";
+import type { QuarantineStatus } from "./quarantine.js";
+import type { QuarantinedRequests } from "./quarantinedRequests.js";
 
 /** How long after a lost run heartbeats may still report that its server has ended, and the interval of checking for it. */
 const endReportTimeoutMilliseconds = 8_000;
@@ -11,7 +11,7 @@
 const pendingRunLimit = 1_000;
 
 /** One attempt of a request. */
-export type Arrived = {
+export type RequestAttempt = {
     /** Digest of its content. */
     readonly digest: string;
     /** Identifier of the attempt, for logs. */
@@ -27,7 +27,7 @@
 };
 
 /** A run that ended without a complete answer. */
-type LostRun = Arrived & {
+type LostRun = RequestAttempt & {
     readonly server: BackendIncarnation;
     readonly phase: CrashPhase;
     readonly at: number;
@@ -35,11 +35,11 @@
 
 /** Dependencies of the detector. */
 export type CrashDetectorOptions = {
-    readonly held: HeldRequests;
+    readonly quarantine: QuarantinedRequests;
     /** Whether the incarnation of this identifier is known to have gone. */
     readonly isGone: (id: string) => boolean;
     /** Probes whether anything accepts connections at an address. */
-    readonly listens: (address: string) => Promise<Listening>;
+    readonly listens: (address: string) => Promise<ListenStatus>;
     readonly clock: Clock;
     readonly logger: Logger;
     readonly metrics: Metrics;
@@ -50,29 +50,33 @@
  * A broken connection alone is no proof: it may have been reset, or the response lost. A crash counts only if nothing
  * listens at the server's address any more, or heartbeats report the incarnation as gone.
  */
-export class CrashWatch {
-    private readonly probes = new Map<string, Promise<Listening>>();
+export class CrashDetector {
+    private readonly probes = new Map<string, Promise<ListenStatus>>();
     private pendingRuns: LostRun[] = [];
     private cancelPoll: (() => void) | undefined;
 
     private constructor(private readonly options: CrashDetectorOptions) {}
 
-    static create(options: CrashDetectorOptions): CrashWatch {
-        return new CrashWatch(options);
+    static create(options: CrashDetectorOptions): CrashDetector {
+        return new CrashDetector(options);
     }
 
     /**
      * Why a request may not be sent now; undefined if it may. Check it before each send, since other daemons may have
      * reported crashes in the meantime.
      */
-    hold(request: Arrived): Hold | undefined {
-        return this.options.held.hold(request.digest);
+    quarantineStatus(request: RequestAttempt): QuarantineStatus | undefined {
+        return this.options.quarantine.quarantineStatus(request.digest);
     }
 
     /** Reports a run that ended without a complete answer, and checks whether its server has crashed. */
-    async lost({ digest, attempt }: Arrived, server: BackendIncarnation, phase: CrashPhase): Promise<void> {
+    async reportLostRun(
+        { digest, attempt }: RequestAttempt,
+        server: BackendIncarnation,
+        phase: CrashPhase,
+    ): Promise<void> {
         const run = { server, digest, attempt, phase, at: this.now() };
-        if (this.options.held.wasRecentlyAnswered(digest)) {
+        if (this.options.quarantine.wasRecentlyAnswered(digest)) {
             return;
         }
         if (await this.probe(server) === "no") {
@@ -86,8 +90,8 @@
     }
 
     /** Reports that a request was answered in full. */
-    answered({ digest }: Arrived): void {
-        this.options.held.answered(digest);
+    reportAnswered({ digest }: RequestAttempt): void {
+        this.options.quarantine.answered(digest);
     }
 
     /** Stops checking, and drops all pending runs. */
@@ -97,7 +101,7 @@
     }
 
     /** Probes a server's address; concurrent calls for one incarnation share a probe. */
-    private probe(server: BackendIncarnation): Promise<Listening> {
+    private probe(server: BackendIncarnation): Promise<ListenStatus> {
         const known = this.probes.get(server.id);
         if (known !== undefined) {
             return known;
@@ -120,7 +124,7 @@
     }
 
     private recordCrash({ server, digest, attempt, phase, at }: LostRun, proof: string): void {
-        const { held, logger, metrics } = this.options;
+        const { quarantine: held, logger, metrics } = this.options;
         const age = this.now() - at;
         logger.warn("a backend server ended under a request", {
             request: attempt,
--- a/packages/basilpaddle/src/node/coordination/quarantine/crashExchange.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/crashExchange.ts
@@ -1,5 +1,5 @@
-import type { CrashNews, CrashQuestion } from "../../protocol/index.js";
-import type { HeldRequests } from "./quarantinedRequests.js";
+import type { CrashQuery, CrashUpdate } from "../../protocol/index.js";
+import type { QuarantinedRequests } from "./quarantinedRequests.js";
 
 /** Limit of requests that wait to be sent; beyond it the oldest are dropped. */
 const pendingLimit = 512;
@@ -17,14 +17,14 @@
     /** Number of requests that were dropped from the front of `pending`. */
     private droppedCount = 0;
 
-    private constructor(private readonly held: HeldRequests) {}
+    private constructor(private readonly held: QuarantinedRequests) {}
 
-    static create(held: HeldRequests): CrashExchange {
+    static create(held: QuarantinedRequests): CrashExchange {
         return new CrashExchange(held);
     }
 
     /** Marks a request whose record changed here and has to be sent. */
-    note(digest: string): void {
+    markChanged(digest: string): void {
         this.pending.push(digest);
         if (this.pending.length > pendingLimit) {
             this.pending.shift();
@@ -33,7 +33,7 @@
     }
 
     /** The next query to a peer, and the number of marked requests that the peer has received once it has replied. */
-    question(name: string): { readonly question: CrashQuestion; readonly count: number; } {
+    question(name: string): { readonly question: CrashQuery; readonly count: number; } {
         const { source, cursor, count } = this.progressOf(name);
         const unsent = [...new Set(this.pending.slice(Math.max(0, count - this.droppedCount)))];
         return {
@@ -43,14 +43,14 @@
     }
 
     /** Merges a peer's reply to a query. */
-    answered(name: string, count: number, news: CrashNews): void {
+    mergeReply(name: string, count: number, news: CrashUpdate): void {
         const previous = this.progressOf(name);
         const hasRestarted = previous.source !== "" && previous.source !== news.source;
         this.progress.set(name, { source: news.source, cursor: news.cursor, count });
         this.held.merge(news.records);
         if (hasRestarted) {
             // The peer has restarted and lost all earlier records.
-            this.held.all().forEach(({ digest }) => this.note(digest));
+            this.held.all().forEach(({ digest }) => this.markChanged(digest));
         }
     }
 
@@ -60,7 +60,7 @@
 }
 
 /** Merges the records of a query and returns those that the querying daemon lacks. */
-export function answerCrashes(held: HeldRequests, question: CrashQuestion): CrashNews {
+export function answerCrashQuery(held: QuarantinedRequests, question: CrashQuery): CrashUpdate {
     held.merge(question.records);
     const cursor = question.source === held.source ? question.cursor : 0;
     return { source: held.source, cursor: held.newest(), records: [...held.since(cursor)] };
--- a/packages/basilpaddle/src/node/coordination/quarantine/index.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/index.ts
@@ -1,7 +1,7 @@
 export * from "./backendIncarnation.js";
 export * from "./crashDetector.js";
 export * from "./crashExchange.js";
-export type { HeldRequest, Hold } from "./quarantine.js";
+export type { QuarantinedRequest, QuarantineStatus } from "./quarantine.js";
 export * from "./quarantinedRequests.js";
 export * from "./quarantineRefusal.js";
 export * from "./requestDigest.js";
--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantine.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantine.ts
@@ -1,5 +1,5 @@
 import { LRUCache } from "lru-cache";
-import type { Crash, CrashRecord, HoldRules } from "../../protocol/index.js";
+import type { Crash, CrashRecord, QuarantineRules } from "../../protocol/index.js";
 import { CrashHistory, type KnownCrash } from "./crashHistory.js";
 
 /** Limit of requests with recorded crashes, which take 2 MB: a caller may send a different request each time. */
@@ -20,7 +20,7 @@
 const retentionMilliseconds = 10 * 60_000;
 
 /** Why a request is quarantined, and for how long. */
-export type Hold = {
+export type QuarantineStatus = {
     /** Milliseconds until it may run again. */
     readonly left: number;
     /** The crashes that count against it. */
@@ -28,7 +28,7 @@
 };
 
 /** A quarantined request. */
-export type HeldRequest = Hold & { readonly digest: string; };
+export type QuarantinedRequest = QuarantineStatus & { readonly digest: string; };
 
 /**
  * Records which requests backend servers crashed on, and decides which of them are quarantined. Every daemon keeps a copy;
@@ -37,13 +37,13 @@
 export class Quarantine {
     private readonly histories = new LRUCache<string, CrashHistory>({ max: historyLimit });
     private readonly changeNumbers = new LRUCache<string, number>({ max: historyLimit });
-    /** The request that is held back for the end of a backend server, by that server. */
+    /** The request that is quarantined for the end of a backend server, by that server. */
     private readonly culprits = new LRUCache<string, string>({ max: culpritLimit });
     private lastChangeNumber = 0;
 
-    private constructor(private readonly rules: HoldRules) {}
+    private constructor(private readonly rules: QuarantineRules) {}
 
-    static create(rules: HoldRules): Quarantine {
+    static create(rules: QuarantineRules): Quarantine {
         return new Quarantine(rules);
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** Why the request may not be sent to any backend server now; undefined if it may. */
-    hold(digest: string, now: number): Hold | undefined {
+    hold(digest: string, now: number): QuarantineStatus | undefined {
         const crashes = this.countedCrashes(digest);
         if (!this.reachesLimit(crashes)) {
             return undefined;
@@ -78,7 +78,7 @@
     }
 
     /** All requests that are quarantined now. */
-    held(now: number): readonly HeldRequest[] {
+    quarantined(now: number): readonly QuarantinedRequest[] {
         return [...this.histories.keys()].flatMap(digest => {
             const hold = this.hold(digest, now);
             return hold === undefined ? [] : [{ digest, ...hold }];
--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantineRefusal.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantineRefusal.ts
@@ -1,6 +1,6 @@
 import type { Refusal } from "../../protocol/index.js";
 import type { Logger } from "../../utils/index.js";
-import type { Arrived, CrashWatch } from "./crashDetector.js";
+import type { CrashDetector, RequestAttempt } from "./crashDetector.js";
 import { describeCrashes } from "./quarantinedRequests.js";
 
 /** The reason that callers receive and that loss reports match. */
@@ -10,8 +10,12 @@
  * The refusal of a quarantined request, with the time until it may be sent; undefined if it may be sent now. Check it
  * before each send, since other daemons may have reported crashes in the meantime.
  */
-export function heldRefusal(crashes: CrashWatch, arrived: Arrived, logger: Logger): Refusal | undefined {
-    const hold = crashes.hold(arrived);
+export function quarantineRefusal(
+    crashes: CrashDetector,
+    arrived: RequestAttempt,
+    logger: Logger,
+): Refusal | undefined {
+    const hold = crashes.quarantineStatus(arrived);
     if (hold === undefined) {
         return undefined;
     }
--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantinedRequests.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantinedRequests.ts
@@ -1,8 +1,8 @@
 import { LRUCache } from "lru-cache";
 import { randomUUID } from "node:crypto";
-import type { CrashRecord, HoldRules } from "../../protocol/index.js";
+import type { CrashRecord, QuarantineRules } from "../../protocol/index.js";
 import type { Clock, Logger, Metrics } from "../../utils/index.js";
-import { type HeldRequest, type Hold, Quarantine } from "./quarantine.js";
+import { Quarantine, type QuarantinedRequest, type QuarantineStatus } from "./quarantine.js";
 
 /** Number of fully answered requests that are remembered, and how long an answer clears a request of crashes. */
 const answeredCacheSize = 1_024;
@@ -12,9 +12,9 @@
 
 /** Dependencies of a daemon's copy. */
 export type QuarantinedRequestsOptions = {
-    readonly rules: HoldRules;
+    readonly rules: QuarantineRules;
     /** Publishes records of what this daemon detected itself, or an operator released. */
-    readonly tell: (records: readonly CrashRecord[]) => void;
+    readonly publishRecords: (records: readonly CrashRecord[]) => void;
     readonly clock: Clock;
     readonly logger: Logger;
 };
@@ -23,7 +23,7 @@
  * One daemon's copy of the records, shared by all daemons, of requests that backend servers crashed on. Logs each change of
  * a request's state.
  */
-export class HeldRequests {
+export class QuarantinedRequests {
     /** Identifies this copy: change numbers of another copy, such as one before a restart, aren't valid here. */
     readonly source = randomUUID();
     private readonly quarantine: Quarantine;
@@ -34,12 +34,12 @@
         this.quarantine = Quarantine.create(options.rules);
     }
 
-    static create(options: QuarantinedRequestsOptions): HeldRequests {
-        return new HeldRequests(options);
+    static create(options: QuarantinedRequestsOptions): QuarantinedRequests {
+        return new QuarantinedRequests(options);
     }
 
     /** Why a request may not be sent now; undefined if it may. */
-    hold(digest: string): Hold | undefined {
+    quarantineStatus(digest: string): QuarantineStatus | undefined {
         return this.quarantine.hold(digest, this.now());
     }
 
@@ -95,8 +95,8 @@
     }
 
     /** All requests that are quarantined now. */
-    held(): readonly HeldRequest[] {
-        return this.quarantine.held(this.now());
+    quarantined(): readonly QuarantinedRequest[] {
+        return this.quarantine.quarantined(this.now());
     }
 
     /** Number of the latest change that has to reach other daemons. */
@@ -121,7 +121,7 @@
 
     /** Sets the gauge of quarantined requests. */
     measure(metrics: Metrics): void {
-        metrics.gauge("basilpaddle_requests_held_back", this.held().length);
+        metrics.gauge("basilpaddle_requests_held_back", this.quarantined().length);
     }
 
     /** Removes expired records. Called only on merging: without new crashes there is no hurry. */
@@ -139,13 +139,13 @@
 
     private mergeAndPublish(record: CrashRecord): void {
         if (this.merge([record]).length > 0) {
-            this.options.tell([record]);
+            this.options.publishRecords([record]);
         }
     }
 
     private logState(digest: string): void {
         const { logger } = this.options;
-        const hold = this.hold(digest);
+        const hold = this.quarantineStatus(digest);
         if (hold !== undefined) {
             const { left, crashes } = hold;
             logger.warn("a request is held back", {
@@ -165,6 +165,6 @@
 }
 
 /** The crashed backend servers as texts "SERVER AGE PHASE", with the age in milliseconds. */
-export function describeCrashes(crashes: Hold["crashes"]): string[] {
+export function describeCrashes(crashes: QuarantineStatus["crashes"]): string[] {
     return crashes.map(({ server, age, phase }) => `${server} ${Math.round(age)} ${phase}`);
 }
--- a/packages/basilpaddle/src/node/coordination/replica.ts
+++ b/packages/basilpaddle/src/node/coordination/replica.ts
@@ -1,14 +1,14 @@
 import type { Command, CommandResult } from "../protocol/index.js";
 
 /** The outcome of a proposal, as far as this replica knows it. */
-export type Proposal =
+export type ProposalOutcome =
     | { readonly kind: "result"; readonly index: number; readonly result: CommandResult; }
     | { readonly kind: "notLeader"; readonly leader: string | undefined; }
     /** The command may or may not be committed. */
     | { readonly kind: "undecided"; readonly reason: string; };
 
 /** The status of a replica, and of its group as the replica knows it. */
-export type ReplicaStanding = {
+export type ReplicaStatus = {
     /** Identity of this replica: its name and a suffix that changes if its disk is lost. */
     readonly identity: string;
     /** Whether its vote counts: it is a voter of the latest membership in its log, and hasn't stopped. */
@@ -33,13 +33,13 @@
 /** One copy of the replicated log, with the state machine that its entries are applied to. */
 export abstract class Replica {
     /** Proposes a command; settles once it was applied locally, or after `timeout` milliseconds at the latest. */
-    abstract propose(command: Command, timeout: number): Promise<Proposal>;
+    abstract propose(command: Command, timeout: number): Promise<ProposalOutcome>;
 
     /** Handles a message from another replica. */
     abstract receive(from: string, message: unknown): void;
 
     /** The current status. */
-    abstract standing(): ReplicaStanding;
+    abstract currentStatus(): ReplicaStatus;
 
     /** Whether this replica led throughout a round trip to a quorum begun after the call; false after `timeout` milliseconds. */
     abstract confirmLeadership(timeout: number): Promise<boolean>;
--- a/packages/basilpaddle/src/node/coordination/request/__tests__/localMarks.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/leavingBackends.spec.ts
@@ -1,24 +1,24 @@
 import { expect } from "chai";
 import { commands } from "../../../state/__tests__/commands.js";
 import { ViewState } from "../../../state/index.js";
-import { LocalMarks } from "../localMarks.js";
+import { LeavingBackends } from "../leavingBackends.js";
 
-describe("local marks of leaving backend servers", () => {
+describe("leaving backend servers", () => {
     it("are kept while an order drains the backend server and makes it ready again", () => {
         // Guards against new work for an engine that announced it is leaving. The announcement reaches this daemon while there
         // is no quorum; the view shows the engine draining for a change of role, then ready again. The mark was removed as
         // soon as the engine's state in the view was no longer ready, whatever the reason.
         const state = ViewState.create();
         state.apply(1, commands.announce("decode-1", 1));
-        const marks = LocalMarks.create();
+        const marks = LeavingBackends.create();
         marks.markLeaving("decode-1", 1);
         const ready = state.view();
         const entry = ready.backends["decode-1"]!;
-        marks.follow({ ...ready, backends: { "decode-1": { ...entry, state: "draining" } } });
+        marks.removeReflected({ ...ready, backends: { "decode-1": { ...entry, state: "draining" } } });
         expect(marks.isLeaving("decode-1", 1)).to.equal(true);
-        marks.follow(ready);
+        marks.removeReflected(ready);
         expect(marks.isLeaving("decode-1", 1)).to.equal(true);
-        marks.follow({ ...ready, backends: { "decode-1": { ...entry, state: "leaving" } } });
+        marks.removeReflected({ ...ready, backends: { "decode-1": { ...entry, state: "leaving" } } });
         expect(marks.isLeaving("decode-1", 1)).to.equal(false);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/request/answer.ts
+++ b/packages/basilpaddle/src/node/coordination/request/answer.ts
@@ -1,4 +1,4 @@
-import type { KeptAnswer } from "../../protocol/index.js";
+import type { StoredAnswer } from "../../protocol/index.js";
 
 /** Why an answer ended. */
 export type EndReason = "stop" | "length";
@@ -12,7 +12,7 @@
     abstract token(text: string): Promise<void> | undefined;
 
     /** The whole answer in the form in which it is stored, to be replayed to a retry of the request. */
-    abstract kept(end: AnswerEnd): KeptAnswer;
+    abstract kept(end: AnswerEnd): StoredAnswer;
 
     /** Writes the end of the answer. */
     abstract finish(end: AnswerEnd): void;
--- a/packages/basilpaddle/src/node/coordination/request/attempt.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attempt.ts
@@ -83,12 +83,12 @@
             return await this.generateAnswer(prefill, decode);
         }
         finally {
-            this.acquiredUrls.forEach(url => this.context.parts.engines.giveBack(url));
+            this.acquiredUrls.forEach(url => this.context.parts.engines.releaseClient(url));
         }
     }
 
     private acquireEngine(backend: Announcement): void {
-        this.context.parts.engines.borrow(backend.url);
+        this.context.parts.engines.acquireClient(backend.url);
         this.acquiredUrls.push(backend.url);
     }
 
@@ -284,7 +284,7 @@
     private release(end: AttemptEnd | undefined): void {
         const { parts, work, written } = this.context;
         for (const allocation of this.allocations) {
-            parts.cancellations.owe(this.id, allocation.backend, allocation.inFlight);
+            parts.cancellations.cancelInBackground(this.id, allocation.backend, allocation.inFlight);
         }
         if (end?.kind === "answered") {
             this.progress({ attempt: this.id, stage: "finished", tokens: written.tokens });
@@ -339,7 +339,7 @@
     }
 
     private engine(backend: Announcement) {
-        return this.context.parts.engines.peek(backend.url);
+        return this.context.parts.engines.clientFor(backend.url);
     }
 
     private progress(progress: Progress): void {
--- a/packages/basilpaddle/src/node/coordination/request/attemptSchedulingRequest.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attemptSchedulingRequest.ts
@@ -1,8 +1,12 @@
-import type { Demand } from "../../protocol/index.js";
+import type { SchedulingRequest } from "../../protocol/index.js";
 import type { AttemptContext } from "./attemptContext.js";
 
 /** Builds the scheduling request of an attempt. Its time limits are what remains of them now, in milliseconds. */
-export function schedulingRequestOf(context: AttemptContext, attempt: string, avoid: readonly string[]): Demand {
+export function schedulingRequestOf(
+    context: AttemptContext,
+    attempt: string,
+    avoid: readonly string[],
+): SchedulingRequest {
     const { parts, work, written } = context;
     const now = parts.clock.monotonic();
     return {
@@ -24,6 +28,6 @@
         deadlineWithin: work.deadlineAt - now,
         alreadySent: written.tokens,
         once: work.run !== undefined,
-        avoid: [...avoid, ...parts.marks.inPool(parts.control.view(), work.pool)],
+        avoid: [...avoid, ...parts.marks.leavingInPool(parts.control.view(), work.pool)],
     };
 }
--- a/packages/basilpaddle/src/node/coordination/request/cancellations.ts
+++ b/packages/basilpaddle/src/node/coordination/request/cancellations.ts
@@ -1,6 +1,6 @@
 import type { Announcement, View } from "../../protocol/index.js";
 import type { Clock, Logger, Metrics, Randomness } from "../../utils/index.js";
-import type { EngineDirectory } from "./engineDirectory.js";
+import type { EngineClients } from "./engineClients.js";
 import { pause } from "./scope.js";
 
 const callTimeoutMilliseconds = 2_000;
@@ -14,7 +14,7 @@
 
 /** Dependencies of `Cancellations`. */
 export type CancellationParts = {
-    readonly engines: EngineDirectory;
+    readonly engines: EngineClients;
     readonly view: () => View;
     readonly clock: Clock;
     readonly randomness: Randomness;
@@ -46,7 +46,7 @@
      * abandoned before its answer. The cancel may overtake it on another connection, so it is sent again once the call must
      * have arrived.
      */
-    owe(attempt: string, backend: Announcement, inFlight: boolean): void {
+    cancelInBackground(attempt: string, backend: Announcement, inFlight: boolean): void {
         const name = `${backend.id} ${attempt}`;
         if (this.pending.has(name) || this.stopController.signal.aborted) {
             return;
@@ -108,7 +108,7 @@
     }
 
     private async cancelOnce(cancellation: PendingCancellation): Promise<boolean> {
-        const engine = this.parts.engines.borrow(cancellation.backend.url);
+        const engine = this.parts.engines.acquireClient(cancellation.backend.url);
         try {
             return (await engine.cancel(cancellation.attempt, callTimeoutMilliseconds)).isRight();
         }
@@ -120,7 +120,7 @@
             return false;
         }
         finally {
-            this.parts.engines.giveBack(cancellation.backend.url);
+            this.parts.engines.releaseClient(cancellation.backend.url);
         }
     }
 
--- a/packages/basilpaddle/src/node/coordination/request/driver.ts
+++ b/packages/basilpaddle/src/node/coordination/request/driver.ts
@@ -1,5 +1,5 @@
 import type { Refusal, RefusalCode, View } from "../../protocol/index.js";
-import { type Arrived, heldRefusal, lifeOf } from "../quarantine/index.js";
+import { backendIncarnationOf, quarantineRefusal, type RequestAttempt } from "../quarantine/index.js";
 import type { Answer, EndReason } from "./answer.js";
 import { Attempt } from "./attempt.js";
 import type { AttemptContext, AttemptEnd } from "./attemptContext.js";
@@ -55,7 +55,7 @@
 
     private async drive(): Promise<RequestEnd> {
         this.lifecycle.send("admit");
-        this.parts.budget.deposit();
+        this.parts.retryBudget.deposit();
         if (!this.parts.control.mayStart()) {
             return this.refuse(
                 this.refusal("viewExpired", "this daemon's view is not confirmed", retryAfterFailureMilliseconds),
@@ -67,7 +67,7 @@
         }
         if (this.work.run !== undefined) {
             const remaining = this.work.deadlineAt - this.parts.clock.monotonic();
-            const start = await this.parts.runs.start(this.work.run, remaining);
+            const start = await this.parts.runRecords.start(this.work.run, remaining);
             if (start.kind === "replayed") {
                 this.lifecycle.send("replay");
                 return start;
@@ -117,27 +117,27 @@
 
     /** The refusal if the request is quarantined. Its outcome also covers earlier attempts of this request. */
     private checkQuarantine(): Refusal | undefined {
-        const refusal = heldRefusal(this.parts.crashes, this.requestIdentity(), this.parts.logger);
+        const refusal = quarantineRefusal(this.parts.crashDetector, this.requestIdentity(), this.parts.logger);
         return refusal && { ...refusal, outcome: this.outcomeTracker.outcome };
     }
 
     /** Reports to the crash detector an engine that failed during the attempt, or an answer, which clears earlier crashes. */
     private reportAttemptEnd(end: AttemptEnd, backends: View["backends"], isEarly: boolean): void {
         if (end.kind === "answered") {
-            this.parts.crashes.answered(this.requestIdentity());
+            this.parts.crashDetector.reportAnswered(this.requestIdentity());
             return;
         }
         const engine = end.kind === "failed" && end.code === "backendFailed" ? backends[end.engine ?? ""] : undefined;
         if (engine !== undefined) {
-            void this.parts.crashes.lost(
+            void this.parts.crashDetector.reportLostRun(
                 this.requestIdentity(),
-                lifeOf(engine.announcement),
+                backendIncarnationOf(engine.announcement),
                 isEarly ? "early" : "late",
             );
         }
     }
 
-    private requestIdentity(): Arrived {
+    private requestIdentity(): RequestAttempt {
         return { digest: this.work.digest, attempt: this.work.requestId };
     }
 
@@ -149,7 +149,7 @@
         if (this.work.run !== undefined && this.outcomeTracker.outcome !== "notRun") {
             return false;
         }
-        return this.parts.budget.tryWithdraw();
+        return this.parts.retryBudget.tryWithdraw();
     }
 
     private async end(end: AttemptEnd): Promise<RequestEnd> {
@@ -173,7 +173,7 @@
         const { tokens, promptTokens } = this.written;
         const end = { reason, tokens, promptTokens };
         if (this.run !== undefined) {
-            const recorded = this.parts.runs.finish(this.run, "answered", this.answer.kept(end));
+            const recorded = this.parts.runRecords.finish(this.run, "answered", this.answer.kept(end));
             await untilAborted(recorded, this.scope.signal, undefined);
         }
         if (this.scope.stopped === "callerGone") {
@@ -204,10 +204,10 @@
         }
         this.run = undefined;
         if (this.outcomeTracker.outcome === "notRun") {
-            await this.parts.runs.release(run);
+            await this.parts.runRecords.release(run);
             return;
         }
-        await this.parts.runs.finish(run, this.outcomeTracker.outcome, undefined);
+        await this.parts.runRecords.finish(run, this.outcomeTracker.outcome, undefined);
     }
 
     private refuse(refusal: Refusal): RequestEnd {
--- a/packages/basilpaddle/src/node/coordination/request/engineDirectory.ts
+++ b/packages/basilpaddle/src/node/coordination/request/engineClients.ts
@@ -1,22 +1,22 @@
 import type { Engine } from "../engine/engine.js";
 
 /** Creates an engine client for a base URL. */
-export type EngineFactory = (url: string) => Engine;
+export type EngineClientFactory = (url: string) => Engine;
 
 type Entry = { readonly engine: Engine; users: number; };
 
 /** Reference-counted engine clients, one per engine URL. Unused clients are closed once the view doesn't list their URL. */
-export class EngineDirectory {
+export class EngineClients {
     private readonly entries = new Map<string, Entry>();
 
-    private constructor(private readonly factory: EngineFactory) {}
+    private constructor(private readonly factory: EngineClientFactory) {}
 
-    static create(factory: EngineFactory): EngineDirectory {
-        return new EngineDirectory(factory);
+    static create(factory: EngineClientFactory): EngineClients {
+        return new EngineClients(factory);
     }
 
     /** Returns the client for the URL, creating it if necessary, and counts one more user until the client is released. */
-    borrow(url: string): Engine {
+    acquireClient(url: string): Engine {
         let entry = this.entries.get(url);
         if (entry === undefined) {
             entry = { engine: this.factory(url), users: 0 };
@@ -27,7 +27,7 @@
     }
 
     /** Returns a client that has been acquired already. Throws if there is none for the URL. */
-    peek(url: string): Engine {
+    clientFor(url: string): Engine {
         const entry = this.entries.get(url);
         if (entry === undefined) {
             throw new Error(`no client is open for engine ${url}: acquire it first`);
@@ -35,7 +35,7 @@
         return entry.engine;
     }
 
-    giveBack(url: string): void {
+    releaseClient(url: string): void {
         const entry = this.entries.get(url);
         if (entry !== undefined) {
             entry.users--;
@@ -43,7 +43,7 @@
     }
 
     /** Closes the clients that have no users and whose URL isn't in the given set. */
-    async retain(urls: ReadonlySet<string>): Promise<void> {
+    async closeUnused(urls: ReadonlySet<string>): Promise<void> {
         const closing: Promise<void>[] = [];
         for (const [url, entry] of this.entries) {
             if (!urls.has(url) && entry.users === 0) {
--- a/packages/basilpaddle/src/node/coordination/request/localMarks.ts
+++ b/packages/basilpaddle/src/node/coordination/request/leavingBackends.ts
@@ -4,11 +4,11 @@
  * Backend servers that announced to this daemon that they are leaving. This daemon sends them no new work from then on,
  * even while the change of state isn't committed to the log yet or there is no quorum to commit it.
  */
-export class LocalMarks {
+export class LeavingBackends {
     private readonly leaving = new Map<string, number>();
 
-    static create(): LocalMarks {
-        return new LocalMarks();
+    static create(): LeavingBackends {
+        return new LeavingBackends();
     }
 
     markLeaving(id: string, incarnation: number): void {
@@ -21,7 +21,7 @@
     }
 
     /** Ids of the pool's backend servers that are marked as leaving. */
-    inPool(view: View, pool: string): string[] {
+    leavingInPool(view: View, pool: string): string[] {
         return [...this.leaving.keys()].filter(id => {
             const backend = view.backends[id];
             return backend?.announcement.pool === pool && this.isLeaving(id, backend.announcement.incarnation);
@@ -32,7 +32,7 @@
      * Removes marks that the view reflects, so that their number stays bounded. The state `draining` doesn't count: a backend
      * server that drains because of an order may become ready again, and its mark must still be there then.
      */
-    follow(view: View): void {
+    removeReflected(view: View): void {
         for (const [id, incarnation] of this.leaving) {
             const backend = view.backends[id];
             const isReflectedInView = backend === undefined
--- a/packages/basilpaddle/src/node/coordination/request/parts.ts
+++ b/packages/basilpaddle/src/node/coordination/request/parts.ts
@@ -1,11 +1,11 @@
 import type { Clock, Logger, Metrics, Randomness } from "../../utils/index.js";
 import type { ControlClient } from "../controlClient.js";
 import type { Placement } from "../placement.js";
-import type { CrashWatch } from "../quarantine/index.js";
+import type { CrashDetector } from "../quarantine/index.js";
 import type { AttemptIds } from "./attemptIds.js";
 import type { Cancellations } from "./cancellations.js";
-import type { EngineDirectory } from "./engineDirectory.js";
-import type { LocalMarks } from "./localMarks.js";
+import type { EngineClients } from "./engineClients.js";
+import type { LeavingBackends } from "./leavingBackends.js";
 import type { RetryBudget } from "./retryBudget.js";
 import type { RunRecords } from "./run.js";
 
@@ -14,13 +14,13 @@
     readonly failureDomain: string;
     readonly control: ControlClient;
     readonly placement: Placement;
-    readonly engines: EngineDirectory;
+    readonly engines: EngineClients;
     readonly cancellations: Cancellations;
-    readonly runs: RunRecords;
-    readonly marks: LocalMarks;
-    readonly budget: RetryBudget;
+    readonly runRecords: RunRecords;
+    readonly marks: LeavingBackends;
+    readonly retryBudget: RetryBudget;
     /** Detects requests that crash the backend servers running them. */
-    readonly crashes: CrashWatch;
+    readonly crashDetector: CrashDetector;
     readonly clock: Clock;
     readonly randomness: Randomness;
     readonly logger: Logger;
--- a/packages/basilpaddle/src/node/coordination/request/run.ts
+++ b/packages/basilpaddle/src/node/coordination/request/run.ts
@@ -1,5 +1,5 @@
 import { createHash } from "node:crypto";
-import type { Command, CommandResult, KeptAnswer, Outcome, Refusal } from "../../protocol/index.js";
+import type { Command, CommandResult, Outcome, Refusal, StoredAnswer } from "../../protocol/index.js";
 import type { Clock, Logger, Metrics, Randomness } from "../../utils/index.js";
 import type { ControlClient } from "../controlClient.js";
 import { pause } from "./scope.js";
@@ -22,7 +22,7 @@
 /** Whether a non-idempotent request may run. */
 export type RunStart =
     | { readonly kind: "started"; readonly run: Run; }
-    | { readonly kind: "replayed"; readonly answer: KeptAnswer; }
+    | { readonly kind: "replayed"; readonly answer: StoredAnswer; }
     | { readonly kind: "refused"; readonly refusal: Refusal; };
 
 /** Dependencies of `RunRecords`. */
@@ -89,7 +89,7 @@
     }
 
     /** Records how the run ended. If that isn't decided in time, resolves and keeps retrying in the background. */
-    async finish(run: Run, result: "answered" | Outcome, answer: KeptAnswer | undefined): Promise<void> {
+    async finish(run: Run, result: "answered" | Outcome, answer: StoredAnswer | undefined): Promise<void> {
         const storedAnswer = answer !== undefined && answer.body.length <= maxStoredAnswerBytes ? answer : undefined;
         await this.recordEnd({
             kind: "finishRun",
--- a/packages/basilpaddle/src/node/coordination/request/work.ts
+++ b/packages/basilpaddle/src/node/coordination/request/work.ts
@@ -1,4 +1,4 @@
-import type { Generation, KeptAnswer, Refusal } from "../../protocol/index.js";
+import type { Generation, Refusal, StoredAnswer } from "../../protocol/index.js";
 import type { RunIdentity } from "./run.js";
 
 /** A model request, validated and resolved against the configuration. */
@@ -24,5 +24,5 @@
 /** How a request ended. */
 export type RequestEnd =
     | { readonly kind: "finished"; readonly tokens: number; }
-    | { readonly kind: "replayed"; readonly answer: KeptAnswer; }
+    | { readonly kind: "replayed"; readonly answer: StoredAnswer; }
     | { readonly kind: "refused"; readonly refusal: Refusal; };
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/fakes.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/fakes.ts
@@ -45,7 +45,7 @@
         throw new Error("propose is not supported in this test");
     }
 
-    override noteRenewal(): void {}
+    override recordRenewal(): void {}
 
     override async close(): Promise<void> {}
 
