--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/localScheduler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/localScheduler.spec.ts
@@ -1,18 +1,18 @@
 import { expect } from "chai";
 import { demand, engine } from "../../../../../../../simulation/scheduling/samples.js";
-import type { Demand } from "../../../protocol/index.js";
+import type { SchedulingRequest } from "../../../protocol/index.js";
 import { SeededRandomness } from "../../../utils/index.js";
-import { ChoosingAlone } from "../localScheduler.js";
+import { LocalScheduler } from "../localScheduler.js";
 import type { EngineEntry } from "../scheduler.js";
 
 describe("LocalScheduler", () => {
-    function createScheduler(engines: readonly EngineEntry[]): ChoosingAlone {
-        const alone = ChoosingAlone.create({ randomness: SeededRandomness.create(7), divided: true });
+    function createScheduler(engines: readonly EngineEntry[]): LocalScheduler {
+        const alone = LocalScheduler.create({ randomness: SeededRandomness.create(7), divided: true });
         alone.step({ kind: "engines", engines }, 0);
         return alone;
     }
 
-    function ask(alone: ChoosingAlone, wanted: Demand): string {
+    function ask(alone: LocalScheduler, wanted: SchedulingRequest): string {
         const decision = alone.step({ kind: "demand", demand: wanted }, 1)[0];
         if (decision === undefined) {
             return "waits";
@@ -54,7 +54,7 @@
         const cancelled = { attempt: "a", stage: "cancelled" as const, tokens: 0 };
         const freed = alone.step({ kind: "progress", progress: cancelled }, 2);
         expect(freed.map(decision => [decision.kind, decision.attempt])).to.deep.equal([["assigned", "c"]]);
-        expect(alone.standing().held.get("d1")).to.equal(2);
+        expect(alone.status().held.get("d1")).to.equal(2);
     });
 
     // Without the limit, nearly every first token was late for seconds after the scheduler became unreachable.
@@ -89,10 +89,10 @@
             "waits",
         ]);
         alone.step({ kind: "withdraw", attempt: "d" }, 2);
-        expect(alone.wakeAt()).to.equal(1_001);
+        expect(alone.nextTickAt()).to.equal(1_001);
         const refused = alone.step({ kind: "tick" }, 1_001);
         expect(refused.map(decision => [decision.kind, decision.attempt])).to.deep.equal([["refused", "e"]]);
-        expect(alone.standing().waiting).to.equal(0);
+        expect(alone.status().waiting).to.equal(0);
     });
 
     // Guards against the final failure of a request that can't be retried, after several daemons assigned the same
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
@@ -3,7 +3,7 @@
 import { Bench } from "../../../../../../../simulation/scheduling/bench.js";
 import { schedulingRuns } from "../../../../../../../simulation/scheduling/runs.js";
 import { demand, engine } from "../../../../../../../simulation/scheduling/samples.js";
-import type { Holding } from "../../../protocol/index.js";
+import type { EngineHolding } from "../../../protocol/index.js";
 
 describe("PoolScheduler", () => {
     // Guards against prefill results being evicted before a decode slot is free.
@@ -157,7 +157,7 @@
         for (const [sequence, active] of [["a"], [], [], []].entries()) {
             bench.step({ kind: "load", report: { id: "d1", incarnation: 1, sequence, active, queuedTokens: 0 } });
         }
-        expect(bench.scheduler.standing().held.get("d1")).to.equal(0);
+        expect(bench.scheduler.status().held.get("d1")).to.equal(0);
     });
 
     // Guards against leaked slots, which make a pool slower from day to day.
@@ -165,7 +165,7 @@
         fc.assert(schedulingRuns(), { seed: 20_261_202, numRuns: 200 });
     });
 
-    function holdingOf(attempt: string, decode: string): Holding {
+    function holdingOf(attempt: string, decode: string): EngineHolding {
         return { demand: demand(attempt), prefill: "p1", decode, stage: "prefilled", tokens: 0 };
     }
 
@@ -190,7 +190,7 @@
         bench.stages(other, "finished");
         expect(bench.outcome("queued")).to.equal("waits");
         expect(bench.scheduler.move(holdingOf(moving, "d1"), bench.now)).to.equal("d2");
-        expect([...bench.scheduler.standing().held]).to.deep.include.members([["d1", 0], ["d2", 1]]);
+        expect([...bench.scheduler.status().held]).to.deep.include.members([["d1", 0], ["d2", 1]]);
         expect(bench.scheduler.move(holdingOf(moving, "d1"), bench.now), "asked again").to.equal("d2");
         // The engine that rejected the attempt counts as full until three later reports have shown otherwise.
         bench.pass(100);
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { rest } from "../../../../../../../simulation/manualClock.js";
 import { demand, engine } from "../../../../../../../simulation/scheduling/samples.js";
-import type { Decision, Holding } from "../../../protocol/index.js";
+import type { EngineHolding, SchedulingDecision } from "../../../protocol/index.js";
 import { incarnation, sampleView, TestDaemons } from "./fakes.js";
 
 const neverAborted = new AbortController().signal;
@@ -10,13 +10,13 @@
     return demand(`${daemon}/i1/${name}`, { owner: incarnation(daemon), firstTokenWithin: 20_000, ...more });
 }
 
-function holdingOf(daemon: string, name: string, stage: Holding["stage"]): Holding {
+function holdingOf(daemon: string, name: string, stage: EngineHolding["stage"]): EngineHolding {
     return { demand: demandOf(daemon, name), prefill: "p1", decode: "d1", stage, tokens: 0 };
 }
 
 describe("ScheduledPlacement", () => {
     let daemons: TestDaemons;
-    let decisions: Map<string, Decision>;
+    let decisions: Map<string, SchedulingDecision>;
 
     beforeEach(async () => {
         const engines = [engine("p1", "prefill", { slots: 8 }), engine("d1", "decode", { slots: 2 })];
@@ -84,7 +84,7 @@
         }));
         await rest();
         expect([outcome("three"), outcome("four")]).to.deep.equal([11, 11]);
-        expect(daemons.placement("a").standing().get("drafts")!.held.get("d2")).to.equal(2);
+        expect(daemons.placement("a").status().get("drafts")!.held.get("d2")).to.equal(2);
     });
 
     // Guards against a third request on two slots after the scheduler moved to another daemon.
@@ -113,7 +113,7 @@
         expect(outcome("three")).to.equal(0);
         daemons.partitioned.clear();
         await daemons.clock.pass(500);
-        expect(daemons.placement("a").standing().get("drafts")!.waiting).to.equal(0);
+        expect(daemons.placement("a").status().get("drafts")!.waiting).to.equal(0);
     });
 
     // Guards against serving old requests before new ones that could still meet their targets.
@@ -138,7 +138,7 @@
         caller.abort();
         await daemons.clock.pass(500);
         expect(outcome("one")).to.equal("callerGone");
-        expect(daemons.placement("a").standing().get("drafts")!.held.get("d1")).to.equal(0);
+        expect(daemons.placement("a").status().get("drafts")!.held.get("d1")).to.equal(0);
     });
 
     // Guards against a queue full of requests of a dead daemon.
@@ -146,7 +146,7 @@
         await ask("b", "one");
         await ask("b", "two");
         await ask("b", "three");
-        const poolStatus = () => daemons.placement("a").standing().get("drafts")!;
+        const poolStatus = () => daemons.placement("a").status().get("drafts")!;
         expect(poolStatus().waiting).to.equal(1);
         daemons.kill("b");
         await rest();
@@ -224,11 +224,11 @@
             const moved = daemons.placement("b").move(holdingOf("b", "one", "prefilled"));
             await daemons.clock.pass(300);
             expect(await moved).to.equal("d2");
-            const { held } = daemons.placement("a").standing().get("drafts")!;
+            const { held } = daemons.placement("a").status().get("drafts")!;
             expect([...held]).to.deep.equal([["p1", 0], ["d1", 0], ["d2", 1]]);
             end("b", "one");
             await daemons.clock.pass(100);
-            expect(daemons.placement("a").standing().get("drafts")!.held.get("d2")).to.equal(0);
+            expect(daemons.placement("a").status().get("drafts")!.held.get("d2")).to.equal(0);
         });
     }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/admission.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/admission.ts
@@ -1,5 +1,5 @@
-import type { Decision, Demand } from "../../protocol/index.js";
-import { fractionOf } from "../../utils/index.js";
+import type { SchedulingDecision, SchedulingRequest } from "../../protocol/index.js";
+import { hashToFraction } from "../../utils/index.js";
 import type { AdmissionForecast, ModelEnginesStatus, PhaseTimes, QueuedAhead } from "./admissionForecast.js";
 import type { EngineChooser } from "./engineChoice.js";
 import type { ModelEngineIndex, ModelEngines } from "./modelEngineIndex.js";
@@ -9,7 +9,7 @@
 import type { QueuedRequest, SchedulingQueue } from "./schedulingQueue.js";
 import type { TrackedPool } from "./trackedPool.js";
 import type { TransferTimes } from "./transferTimes.js";
-import type { Tuning } from "./tuning.js";
+import type { SchedulerTuning } from "./tuning.js";
 
 /** Retry delay given to callers when no engine is available. */
 const noEngineRetryMilliseconds = 1_000;
@@ -39,7 +39,7 @@
     readonly chooser: EngineChooser;
     readonly transfers: TransferTimes;
     readonly shares: OrganisationShares;
-    readonly tuning: Tuning;
+    readonly tuning: SchedulerTuning;
 };
 
 /** Decides which requests are queued and in which order. Refuses immediately those that can't meet their targets. */
@@ -51,7 +51,7 @@
     }
 
     /** Queues a request, or returns its refusal. */
-    admit(request: Demand, rules: PoolRules | undefined, now: number): Decision | undefined {
+    admit(request: SchedulingRequest, rules: PoolRules | undefined, now: number): SchedulingDecision | undefined {
         const { queue, modelEngineIndex: engineIndex, shares } = this.parts;
         const modelEngines = engineIndex.enginesFor(request);
         if (modelEngines.prefill.length === 0 || modelEngines.decode.length === 0) {
@@ -82,7 +82,7 @@
     }
 
     private expectedFirstToken(
-        request: Demand,
+        request: SchedulingRequest,
         modelEngines: ModelEngines,
         ahead: QueuedAhead,
         times: PhaseTimes,
@@ -104,8 +104,8 @@
      * Re-evaluates all queued requests. Refuses those that can't meet their targets any more, without waiting for their
      * deadlines.
      */
-    review(rules: PoolRules | undefined, now: number): Decision[] {
-        const refusals: Decision[] = [];
+    review(rules: PoolRules | undefined, now: number): SchedulingDecision[] {
+        const refusals: SchedulingDecision[] = [];
         let requestsAhead = 0;
         let work = 0;
         const currentLoads = new Map<ModelEngines, ModelEnginesStatus>();
@@ -140,7 +140,7 @@
         ahead: QueuedAhead,
         rules: PoolRules | undefined,
         now: number,
-    ): Decision | undefined {
+    ): SchedulingDecision | undefined {
         const { demand: request } = waiting;
         const expected = this.parts.forecast.firstTokenIn(request, modelEngines, currentLoad, ahead, waiting);
         const verdict = this.verdict(waiting, expected, reviewTolerance, waiting, rules, now);
@@ -175,7 +175,7 @@
         return lateIsBetter && whole ? "late" : "refuse";
     }
 
-    private limitRefusal(request: Demand, rules: PoolRules | undefined): Decision | undefined {
+    private limitRefusal(request: SchedulingRequest, rules: PoolRules | undefined): SchedulingDecision | undefined {
         const { queue, trackedPool: tracked } = this.parts;
         if (rules === undefined) {
             return undefined;
@@ -196,7 +196,7 @@
         return undefined;
     }
 
-    private queueEntry(request: Demand, times: PhaseTimes, late: boolean, now: number): QueuedRequest {
+    private queueEntry(request: SchedulingRequest, times: PhaseTimes, late: boolean, now: number): QueuedRequest {
         const firstTokenBy = now + request.firstTokenWithin;
         const endsBy = now + request.deadlineWithin;
         const priority = (request.priority - defaultPriority) * priorityStepMilliseconds;
@@ -212,7 +212,7 @@
     }
 
     private expectedTimes(
-        request: Demand,
+        request: SchedulingRequest,
         modelEngines: ModelEngines,
         now: number,
     ): { readonly work: number; readonly transfer: number; } {
@@ -224,7 +224,7 @@
         };
     }
 
-    private targetRefusal(request: Demand, expected: number): Decision {
+    private targetRefusal(request: SchedulingRequest, expected: number): SchedulingDecision {
         const message = `first token expected in ${Math.round(expected)} ms, too late for the target or deadline`;
         const retryAfter = Math.max(0, expected - request.firstTokenWithin) + retryJitter(request.attempt);
         return refuse(request, "targetsOutOfReach", message, retryAfter);
@@ -232,12 +232,12 @@
 }
 
 /** Time in milliseconds for which the request would occupy the whole pool. */
-function poolMilliseconds(request: Demand, modelEngines: ModelEngines, work: number): number {
+function poolMilliseconds(request: SchedulingRequest, modelEngines: ModelEngines, work: number): number {
     const decoding = request.expectedTokens * modelEngines.decode[0]!.tokenTime / modelEngines.slots;
     return Math.max(work / modelEngines.prefill.length, decoding);
 }
 
 /** Jitter in milliseconds for retry delays; deterministic for each attempt. */
 function retryJitter(attempt: string): number {
-    return Math.floor(fractionOf(attempt) * retryJitterMilliseconds);
+    return Math.floor(hashToFraction(attempt) * retryJitterMilliseconds);
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/admissionForecast.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/admissionForecast.ts
@@ -1,4 +1,4 @@
-import type { Demand } from "../../protocol/index.js";
+import type { SchedulingRequest } from "../../protocol/index.js";
 import type { ModelEngines } from "./modelEngineIndex.js";
 import type { TrackedEngine } from "./trackedEngine.js";
 import type { Assignment } from "./trackedPool.js";
@@ -41,7 +41,7 @@
 
     /** Expected time in milliseconds until the first token. */
     firstTokenIn(
-        request: Demand,
+        request: SchedulingRequest,
         modelEngines: ModelEngines,
         currentLoad: ModelEnginesStatus,
         ahead: QueuedAhead,
--- a/packages/basilpaddle/src/node/coordination/scheduling/engineChoice.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/engineChoice.ts
@@ -1,8 +1,8 @@
-import type { Demand } from "../../protocol/index.js";
+import type { SchedulingRequest } from "../../protocol/index.js";
 import type { PrefixIndex } from "./prefixIndex.js";
 import type { TrackedEngine } from "./trackedEngine.js";
 import type { TransferTimes } from "./transferTimes.js";
-import type { Tuning } from "./tuning.js";
+import type { SchedulerTuning } from "./tuning.js";
 
 /** How long a prefill's result may wait for its link; engines evict it in under a second. */
 const maximumLinkWaitMilliseconds = 400;
@@ -30,19 +30,23 @@
     private constructor(
         private readonly prefixes: PrefixIndex,
         private readonly transfers: TransferTimes,
-        private readonly tuning: Tuning,
+        private readonly tuning: SchedulerTuning,
     ) {}
 
     static create(options: {
         readonly prefixes: PrefixIndex;
         readonly transfers: TransferTimes;
-        readonly tuning: Tuning;
+        readonly tuning: SchedulerTuning;
     }): EngineChooser {
         return new EngineChooser(options.prefixes, options.transfers, options.tuning);
     }
 
     /** The prefill engine that is expected to finish the prompt first. */
-    choosePrefill(request: Demand, engines: readonly TrackedEngine[], now: number): PrefillChoice | undefined {
+    choosePrefill(
+        request: SchedulingRequest,
+        engines: readonly TrackedEngine[],
+        now: number,
+    ): PrefillChoice | undefined {
         let best: PrefillChoice | undefined;
         let bestEnd = Infinity;
         for (const prefill of engines) {
@@ -70,7 +74,7 @@
      * `cautious` leaves out engines that have not reported their load yet.
      */
     chooseDecode(
-        request: Demand,
+        request: SchedulingRequest,
         chosen: PrefillChoice,
         engines: readonly TrackedEngine[],
         cautious: boolean,
--- a/packages/basilpaddle/src/node/coordination/scheduling/localHoldings.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localHoldings.ts
@@ -1,15 +1,15 @@
-import type { Demand, Holding, Progress } from "../../protocol/index.js";
+import type { EngineHolding, Progress, SchedulingRequest } from "../../protocol/index.js";
 
 /** Engines held by this daemon's attempts, for schedulers that ask for them. */
 export class LocalHoldings {
-    private readonly byAttempt = new Map<string, Holding>();
+    private readonly byAttempt = new Map<string, EngineHolding>();
 
     static create(): LocalHoldings {
         return new LocalHoldings();
     }
 
     /** Records the engines assigned to an attempt. */
-    add(request: Demand, prefill: string, decode: string): void {
+    add(request: SchedulingRequest, prefill: string, decode: string): void {
         this.byAttempt.set(request.attempt, { demand: request, prefill, decode, stage: "prefilling", tokens: 0 });
     }
 
@@ -36,7 +36,7 @@
     }
 
     /** The holdings in a pool. */
-    ofPool(pool: string): Holding[] {
+    ofPool(pool: string): EngineHolding[] {
         return [...this.byAttempt.values()].filter(holding => holding.demand.pool === pool);
     }
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
@@ -1,8 +1,15 @@
-import type { Decision, Demand, Holding, LoadReport, Progress, View } from "../../protocol/index.js";
+import type {
+    EngineHolding,
+    LoadReport,
+    Progress,
+    SchedulingDecision,
+    SchedulingRequest,
+    View,
+} from "../../protocol/index.js";
 import type { Clock, Randomness } from "../../utils/index.js";
 import type { ControlClient } from "../controlClient.js";
 import { Placement } from "../placement.js";
-import { ChoosingAlone } from "./localScheduler.js";
+import { LocalScheduler } from "./localScheduler.js";
 import { refuse } from "./refusals.js";
 import { SchedulerHost } from "./schedulerHost.js";
 
@@ -29,7 +36,7 @@
         return new LocalPlacement(options.control, options.clock, options.randomness);
     }
 
-    override async reserve(request: Demand, signal: AbortSignal): Promise<Decision> {
+    override async reserve(request: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision> {
         const decision = await this.pools.get(request.pool)?.reserve(request, signal);
         if (signal.aborted) {
             this.pools.get(request.pool)?.withdraw(request.attempt);
@@ -38,7 +45,7 @@
         return decision ?? refuse(request, "noBackend", `no pool ${request.pool} is declared`, undefined);
     }
 
-    override async move(holding: Holding): Promise<string | undefined> {
+    override async move(holding: EngineHolding): Promise<string | undefined> {
         return this.pools.get(holding.demand.pool)?.move(holding);
     }
 
@@ -64,7 +71,7 @@
                 known.follow(view);
                 continue;
             }
-            const scheduler = ChoosingAlone.create({ randomness: this.randomness, divided: true });
+            const scheduler = LocalScheduler.create({ randomness: this.randomness, divided: true });
             const { clock } = this;
             this.pools.set(name, SchedulerHost.create({ pool: name, fence: 0, view, clock, scheduler }));
         }
--- a/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
@@ -1,4 +1,4 @@
-import type { Decision, Demand, Holding } from "../../protocol/index.js";
+import type { EngineHolding, SchedulingDecision, SchedulingRequest } from "../../protocol/index.js";
 import type { Randomness } from "../../utils/index.js";
 import { refuse } from "./refusals.js";
 import { Scheduler, type SchedulerEvent } from "./scheduler.js";
@@ -15,13 +15,13 @@
 /** Fraction of the time to the first token's target for which a daemon may keep its share of the prefill engines busy. */
 const prefillFraction = 0.35;
 
-type WaitingRequest = { readonly demand: Demand; readonly until: number; };
+type WaitingRequest = { readonly demand: SchedulingRequest; readonly until: number; };
 
 /**
  * Scheduler of one entry daemon's own attempts. Picks the less loaded of two random engines, counting its own
  * assignments since their last reports.
  */
-export class ChoosingAlone extends Scheduler {
+export class LocalScheduler extends Scheduler {
     private readonly trackedPool = TrackedPool.create();
     private readonly waiting = new Map<string, WaitingRequest>();
     private sessionCount = 1;
@@ -34,11 +34,11 @@
      * `divided`: limits this daemon to its share, among all open sessions, of the slots and of the prefill engines'
      * time.
      */
-    static create(options: { readonly randomness: Randomness; readonly divided: boolean; }): ChoosingAlone {
-        return new ChoosingAlone(options.randomness, options.divided);
+    static create(options: { readonly randomness: Randomness; readonly divided: boolean; }): LocalScheduler {
+        return new LocalScheduler(options.randomness, options.divided);
     }
 
-    override step(event: SchedulerEvent, now: number): readonly Decision[] {
+    override step(event: SchedulerEvent, now: number): readonly SchedulingDecision[] {
         const decisions = this.applyEvent(event, now);
         for (const { demand: request } of this.waiting.values()) {
             const choice = this.choose(request, now);
@@ -51,7 +51,7 @@
         return decisions;
     }
 
-    override move(holding: Holding, now: number): string | undefined {
+    override move(holding: EngineHolding, now: number): string | undefined {
         const { demand: request } = holding;
         this.trackedPool.restore(holding, now);
         const assignment = this.trackedPool.assignments.get(request.attempt);
@@ -67,7 +67,7 @@
         return decode?.id;
     }
 
-    override wakeAt(): number | undefined {
+    override nextTickAt(): number | undefined {
         let first = Infinity;
         for (const assignment of this.trackedPool.assignments.values()) {
             first = Math.min(first, assignment.endsBy);
@@ -78,11 +78,11 @@
         return first === Infinity ? undefined : first;
     }
 
-    override standing(): ReturnType<Scheduler["standing"]> {
+    override status(): ReturnType<Scheduler["status"]> {
         return { held: this.trackedPool.heldByEngine(), waiting: this.waiting.size };
     }
 
-    private applyEvent(event: SchedulerEvent, now: number): Decision[] {
+    private applyEvent(event: SchedulerEvent, now: number): SchedulingDecision[] {
         switch (event.kind) {
             case "demand":
                 return this.handleRequest(event.demand, now);
@@ -115,7 +115,7 @@
         }
     }
 
-    private handleRequest(request: Demand, now: number): Decision[] {
+    private handleRequest(request: SchedulingRequest, now: number): SchedulingDecision[] {
         const choice = this.choose(request, now);
         if (choice !== "full") {
             return [choice];
@@ -127,13 +127,13 @@
         return [];
     }
 
-    private expire(now: number): Decision[] {
+    private expire(now: number): SchedulingDecision[] {
         const expired = [...this.waiting.values()].filter(({ until }) => until <= now);
         expired.forEach(({ demand: request }) => this.waiting.delete(request.attempt));
         return expired.map(({ demand: request }) => fullRefusal(request));
     }
 
-    private choose(request: Demand, now: number): Decision | "full" {
+    private choose(request: SchedulingRequest, now: number): SchedulingDecision | "full" {
         const prefills = this.enginesFor(request, "prefill", now);
         const decodes = this.enginesFor(request, "decode", now);
         if (prefills.length === 0 || decodes.length === 0) {
@@ -177,7 +177,7 @@
      * dozens of prompts. Without this limit the prefill engines are busy for longer than the target, and every first token
      * is late for a while.
      */
-    private exceedsPrefillShare(request: Demand, prefills: readonly TrackedEngine[], now: number): boolean {
+    private exceedsPrefillShare(request: SchedulingRequest, prefills: readonly TrackedEngine[], now: number): boolean {
         const assignedWork = prefills.reduce((sum, engine) => sum + engine.readyAt(now) - now, 0);
         if (!this.divided || assignedWork === 0) {
             return false;
@@ -187,12 +187,12 @@
         return assignedWork + work > share;
     }
 
-    private queueLimit(request: Demand, now: number): number {
+    private queueLimit(request: SchedulingRequest, now: number): number {
         // As many requests may wait as this daemon has slots: each slot becomes free within the time of one answer.
         return this.enginesFor(request, "decode", now).reduce((sum, engine) => sum + this.slotShare(engine), 0);
     }
 
-    private enginesFor(request: Demand, role: "prefill" | "decode", now: number): TrackedEngine[] {
+    private enginesFor(request: SchedulingRequest, role: "prefill" | "decode", now: number): TrackedEngine[] {
         return [...this.trackedPool.engines.values()].filter(engine =>
             engine.announcement.role === role
             && engine.acceptsWork(request.avoid, now)
@@ -217,7 +217,7 @@
     }
 }
 
-function fullRefusal(request: Demand): Decision {
+function fullRefusal(request: SchedulingRequest): SchedulingDecision {
     return refuse(
         request,
         "poolFull",
--- a/packages/basilpaddle/src/node/coordination/scheduling/modelEngineIndex.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/modelEngineIndex.ts
@@ -1,4 +1,4 @@
-import type { Demand } from "../../protocol/index.js";
+import type { SchedulingRequest } from "../../protocol/index.js";
 import type { TrackedEngine } from "./trackedEngine.js";
 import type { TrackedPool } from "./trackedPool.js";
 
@@ -26,7 +26,7 @@
     }
 
     /** The engines that serve the requested model, adapter and version. */
-    enginesFor(request: Demand): ModelEngines {
+    enginesFor(request: SchedulingRequest): ModelEngines {
         const { model, adapter, version } = request;
         const key = `${model}\n${adapter ?? ""}\n${version ?? ""}`;
         const known = this.cache.get(key);
--- a/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
@@ -1,4 +1,12 @@
-import type { Decision, Demand, Holding, LoadReport, PeerAnswer, PeerRequest, Progress } from "../../protocol/index.js";
+import type {
+    EngineHolding,
+    LoadReport,
+    PeerAnswer,
+    PeerRequest,
+    Progress,
+    SchedulingDecision,
+    SchedulingRequest,
+} from "../../protocol/index.js";
 import type { Link } from "../../transport/index.js";
 import type { Clock } from "../../utils/index.js";
 
@@ -17,7 +25,7 @@
 const answerGraceMilliseconds = 1_000;
 
 /** Result of a scheduling request to another daemon. */
-export type RemoteDecision = Decision | "unreachable" | "notScheduler";
+export type RemoteDecision = SchedulingDecision | "unreachable" | "notScheduler";
 
 /** Result of a move at another daemon's scheduler: the new decode engine, undefined if none has a free slot. */
 export type RemoteMove = { readonly decode: string | undefined; } | "unreachable";
@@ -51,7 +59,7 @@
     }
 
     /** Requests engines. An assignment that arrives after the request was abandoned is withdrawn. */
-    async reserve(schedulingRequest: Demand, signal: AbortSignal): Promise<RemoteDecision> {
+    async reserve(schedulingRequest: SchedulingRequest, signal: AbortSignal): Promise<RemoteDecision> {
         if (!this.reachable) {
             this.scheduleProbe(0);
             return "unreachable";
@@ -80,7 +88,7 @@
     }
 
     /** Requests another decode engine for a holding whose engine is full. */
-    async move(holding: Holding): Promise<RemoteMove> {
+    async move(holding: EngineHolding): Promise<RemoteMove> {
         const request: PeerRequest = { kind: "move", pool: holding.demand.pool, holding };
         const answer = await this.link.request(request, probeTimeoutMilliseconds);
         const body = answer.extract() as PeerAnswer;
@@ -102,7 +110,7 @@
     }
 
     /** Reports a local placement to the scheduler without confirmation; if it is lost, load reports show the used slot. */
-    reportLocalHolding(holding: Holding): void {
+    reportLocalHolding(holding: EngineHolding): void {
         this.link.send({ kind: "taken", pool: holding.demand.pool, holding } satisfies PeerRequest);
     }
 
@@ -127,7 +135,7 @@
         this.link.close();
     }
 
-    private async requestDecision(schedulingRequest: Demand): Promise<void> {
+    private async requestDecision(schedulingRequest: SchedulingRequest): Promise<void> {
         const request: PeerRequest = { kind: "reserve", demand: schedulingRequest };
         const answer = await this.link.request(request, schedulingRequest.deadlineWithin + answerGraceMilliseconds);
         const waiting = this.pending.get(schedulingRequest.attempt);
--- a/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
@@ -1,4 +1,4 @@
-import type { Decision, Demand, Holding, Progress } from "../../protocol/index.js";
+import type { EngineHolding, Progress, SchedulingDecision, SchedulingRequest } from "../../protocol/index.js";
 import { Admission } from "./admission.js";
 import { AdmissionForecast } from "./admissionForecast.js";
 import { DisplacedAttempts } from "./displacedAttempts.js";
@@ -11,7 +11,7 @@
 import type { TrackedEngine } from "./trackedEngine.js";
 import { type Assignment, TrackedPool } from "./trackedPool.js";
 import { TransferTimes } from "./transferTimes.js";
-import { type Tuning, usualTuning } from "./tuning.js";
+import { defaultTuning, type SchedulerTuning } from "./tuning.js";
 
 /** Time between two ticks while requests are queued. */
 const tickIntervalMilliseconds = 20;
@@ -44,7 +44,11 @@
     private lastTick = 0;
     private settledAt = -Infinity;
 
-    private constructor(private readonly fence: number, private warm: boolean, private readonly tuning: Tuning) {
+    private constructor(
+        private readonly fence: number,
+        private warm: boolean,
+        private readonly tuning: SchedulerTuning,
+    ) {
         super();
         this.shares = OrganisationShares.create(tuning.mostLag);
         const { pool: tracked, prefixes, transfers } = this;
@@ -68,12 +72,12 @@
     static create(options: {
         readonly fence: number;
         readonly warm: boolean;
-        readonly tuning?: Tuning;
+        readonly tuning?: SchedulerTuning;
     }): PoolScheduler {
-        return new PoolScheduler(options.fence, options.warm, options.tuning ?? usualTuning);
+        return new PoolScheduler(options.fence, options.warm, options.tuning ?? defaultTuning);
     }
 
-    override step(event: SchedulerEvent, now: number): readonly Decision[] {
+    override step(event: SchedulerEvent, now: number): readonly SchedulingDecision[] {
         const decisions = this.applyEvent(event, now);
         if (mayFreeEngines(event) && now >= this.settledAt) {
             this.dispatch(decisions, now);
@@ -81,7 +85,7 @@
         return decisions;
     }
 
-    override move(holding: Holding, now: number): string | undefined {
+    override move(holding: EngineHolding, now: number): string | undefined {
         const { demand: request } = holding;
         this.queue.remove(request.attempt);
         this.pool.restore(holding, now);
@@ -113,18 +117,18 @@
         return choice.decode.id;
     }
 
-    override wakeAt(): number | undefined {
+    override nextTickAt(): number | undefined {
         if (this.queue.size > 0) {
             return this.lastTick + tickIntervalMilliseconds;
         }
         return this.pool.assignments.size > 0 ? this.lastTick + idleTickIntervalMilliseconds : undefined;
     }
 
-    override standing(): ReturnType<Scheduler["standing"]> {
+    override status(): ReturnType<Scheduler["status"]> {
         return { held: this.pool.heldByEngine(), waiting: this.queue.size };
     }
 
-    private applyEvent(event: SchedulerEvent, now: number): Decision[] {
+    private applyEvent(event: SchedulerEvent, now: number): SchedulingDecision[] {
         switch (event.kind) {
             case "demand":
                 return this.handleRequest(event.demand, now);
@@ -163,7 +167,7 @@
         }
     }
 
-    private handleRequest(request: Demand, now: number): Decision[] {
+    private handleRequest(request: SchedulingRequest, now: number): SchedulingDecision[] {
         if (this.queue.has(request.attempt)) {
             return [];
         }
@@ -234,7 +238,8 @@
 
     private releaseClosedSessions(open: Extract<SchedulerEvent, { kind: "sessions"; }>["open"], now: number): void {
         const names = new Set(open.map(session => `${session.daemon}/${session.incarnation}`));
-        const closed = (request: Demand): boolean => !names.has(`${request.owner.daemon}/${request.owner.incarnation}`);
+        const closed = (request: SchedulingRequest): boolean =>
+            !names.has(`${request.owner.daemon}/${request.owner.incarnation}`);
         for (const { demand: request } of this.queue.all()) {
             if (closed(request)) {
                 this.queue.remove(request.attempt);
@@ -243,7 +248,7 @@
         this.pool.releaseWhere(assignment => closed(assignment.demand), now);
     }
 
-    private tick(now: number): Decision[] {
+    private tick(now: number): SchedulingDecision[] {
         this.lastTick = now;
         this.pool.releaseWhere(assignment => assignment.endsBy <= now, now);
         if (this.queue.size === 0) {
@@ -252,7 +257,7 @@
         return this.admission.review(this.rules, now);
     }
 
-    private dispatch(decisions: Decision[], now: number): void {
+    private dispatch(decisions: SchedulingDecision[], now: number): void {
         const full = new Set<string>();
         let position = 0;
         for (let looked = 0; looked < lookahead; looked++) {
@@ -276,7 +281,7 @@
         }
     }
 
-    private choose(request: Demand, now: number): EngineChoice | "full" | "wait" {
+    private choose(request: SchedulingRequest, now: number): EngineChoice | "full" | "wait" {
         const modelEngines = this.engineIndex.enginesFor(request);
         const prefill = this.chooser.choosePrefill(request, modelEngines.prefill, now);
         if (prefill === undefined || prefill.prefillAt - now > this.tuning.lead) {
@@ -298,7 +303,7 @@
             && owed >= decodes.reduce((sum, engine) => sum + Math.max(0, engine.slots - engine.usedSlots), 0);
     }
 
-    private assign(waiting: QueuedRequest, choice: EngineChoice, now: number): Decision {
+    private assign(waiting: QueuedRequest, choice: EngineChoice, now: number): SchedulingDecision {
         const { demand: request } = waiting;
         const { prefill, decode } = choice;
         this.queue.remove(request.attempt);
@@ -317,7 +322,12 @@
         return this.assignedDecision(request, prefill.id, decode.id, choice.expectedReuse);
     }
 
-    private assignedDecision(request: Demand, prefill: string, decode: string, expectedReuse: number): Decision {
+    private assignedDecision(
+        request: SchedulingRequest,
+        prefill: string,
+        decode: string,
+        expectedReuse: number,
+    ): SchedulingDecision {
         return { kind: "assigned", attempt: request.attempt, prefill, decode, fence: this.fence, expectedReuse };
     }
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/refusals.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/refusals.ts
@@ -1,12 +1,12 @@
-import type { Decision, Demand, RefusalCode } from "../../protocol/index.js";
+import type { RefusalCode, SchedulingDecision, SchedulingRequest } from "../../protocol/index.js";
 
 /** Creates the refusal of a scheduling request for which nothing was started. `retryAfter` is in milliseconds. */
 export function refuse(
-    request: Demand,
+    request: SchedulingRequest,
     code: RefusalCode,
     message: string,
     retryAfter: number | undefined,
-): Decision {
+): SchedulingDecision {
     return {
         kind: "refused",
         attempt: request.attempt,
--- a/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
@@ -1,11 +1,11 @@
 import type {
-    Decision,
-    Demand,
-    Holding,
+    EngineHolding,
     LoadReport,
     PeerAnswer,
     PeerRequest,
     Progress,
+    SchedulingDecision,
+    SchedulingRequest,
     View,
 } from "../../protocol/index.js";
 import { schedulerLease } from "../../protocol/index.js";
@@ -91,14 +91,14 @@
         return new ScheduledPlacement(parts);
     }
 
-    override async reserve(request: Demand, signal: AbortSignal): Promise<Decision> {
+    override async reserve(request: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision> {
         const since = this.parts.clock.monotonic();
         for (let move = 0; move < moveLimit && !signal.aborted; move++) {
             let current = this.withRemainingTime(request, since);
             let decision = await this.requestDecision(current, signal);
             if (decision === "alone") {
                 current = this.withRemainingTime(request, since);
-                decision = await this.reserveLocally(current, signal);
+                decision = await this.placeLocally(current, signal);
             }
             if (decision !== "moved") {
                 return this.recordDecision(current, decision, since, signal);
@@ -112,7 +112,7 @@
      * Places a request locally within its remaining time: treated as new, a request that has waited long would take engines
      * from those that can still meet their targets. The request returns to the scheduler as soon as that answers again.
      */
-    private async reserveLocally(request: Demand, signal: AbortSignal): Promise<Decision | "moved"> {
+    private async placeLocally(request: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision | "moved"> {
         const back = new AbortController();
         const link = this.remoteLink(request.pool);
         const forget = link?.onReachable(() => back.abort());
@@ -133,7 +133,7 @@
         return decision;
     }
 
-    override async move(holding: Holding): Promise<string | undefined> {
+    override async move(holding: EngineHolding): Promise<string | undefined> {
         const { demand: { attempt, pool }, prefill, decode: full } = holding;
         const decode = await this.requestMove(holding);
         this.parts.logger.info("decode engine is full", { pool, attempt, prefill, full, movedTo: decode });
@@ -199,7 +199,7 @@
     }
 
     /** Slots held and requests queued at the schedulers of this daemon, by pool. */
-    standing(): ReadonlyMap<string, ReturnType<SchedulerHost["schedulerStatus"]>> {
+    status(): ReadonlyMap<string, ReturnType<SchedulerHost["schedulerStatus"]>> {
         return new Map([...this.hosts].map(([pool, host]) => [pool, host.schedulerStatus()]));
     }
 
@@ -212,7 +212,7 @@
     }
 
     /** The request with the time already spent subtracted from its limits. */
-    private withRemainingTime(request: Demand, since: number): Demand {
+    private withRemainingTime(request: SchedulingRequest, since: number): SchedulingRequest {
         const passed = this.parts.clock.monotonic() - since;
         return {
             ...request,
@@ -221,7 +221,10 @@
         };
     }
 
-    private async requestDecision(request: Demand, signal: AbortSignal): Promise<Decision | "moved" | "alone"> {
+    private async requestDecision(
+        request: SchedulingRequest,
+        signal: AbortSignal,
+    ): Promise<SchedulingDecision | "moved" | "alone"> {
         const { pool } = request;
         const host = this.hosts.get(pool);
         if (host !== undefined) {
@@ -244,7 +247,12 @@
         return decision;
     }
 
-    private recordDecision(request: Demand, decision: Decision, since: number, signal: AbortSignal): Decision {
+    private recordDecision(
+        request: SchedulingRequest,
+        decision: SchedulingDecision,
+        since: number,
+        signal: AbortSignal,
+    ): SchedulingDecision {
         if (signal.aborted) {
             if (decision.kind === "assigned") {
                 this.progress(request.pool, { attempt: request.attempt, stage: "cancelled", tokens: 0 });
@@ -267,7 +275,7 @@
         return decision;
     }
 
-    private async serveReserve(request: Demand, context: LinkContext): Promise<PeerAnswer> {
+    private async serveReserve(request: SchedulingRequest, context: LinkContext): Promise<PeerAnswer> {
         const host = this.hosts.get(request.pool);
         // After a freeze another daemon may hold the lease; the view doesn't show it until it is confirmed again.
         const decision = host === undefined || !this.parts.control.mayStart()
@@ -279,7 +287,7 @@
     }
 
     /** Asks the pool's scheduler also for local placements, which it may not know yet. */
-    private async requestMove(holding: Holding): Promise<string | undefined> {
+    private async requestMove(holding: EngineHolding): Promise<string | undefined> {
         const { pool } = holding.demand;
         const host = this.hosts.get(pool);
         if (host !== undefined) {
@@ -289,7 +297,7 @@
         return answer === "unreachable" ? this.localPlacement.move(holding) : answer.decode;
     }
 
-    private serveMove(pool: string, holding: Holding): PeerAnswer {
+    private serveMove(pool: string, holding: EngineHolding): PeerAnswer {
         const host = this.hosts.get(pool);
         return host === undefined || !this.parts.control.mayStart()
             ? { kind: "notScheduler", holder: this.parts.control.view().leases[schedulerLease(pool)]?.holder }
--- a/packages/basilpaddle/src/node/coordination/scheduling/scheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/scheduler.ts
@@ -1,12 +1,12 @@
 import type {
     Announcement,
-    Decision,
-    Demand,
-    Holding,
+    EngineHolding,
     LoadReport,
     Organisation,
     Pool,
     Progress,
+    SchedulingDecision,
+    SchedulingRequest,
 } from "../../protocol/index.js";
 
 /** An engine of the pool as listed in the view. */
@@ -24,7 +24,7 @@
 
 /** Input of a scheduler. */
 export type SchedulerEvent =
-    | { readonly kind: "demand"; readonly demand: Demand; }
+    | { readonly kind: "demand"; readonly demand: SchedulingRequest; }
     /** The caller or its daemon is gone: the request leaves the queue, or what was reserved for it is released. */
     | { readonly kind: "withdraw"; readonly attempt: string; }
     | { readonly kind: "progress"; readonly progress: Progress; }
@@ -37,7 +37,7 @@
         readonly open: readonly { readonly daemon: string; readonly incarnation: string; }[];
     }
     /** Engines that an attempt holds without an assignment by this scheduler: from before it started, or placed locally. */
-    | { readonly kind: "holding"; readonly holding: Holding; }
+    | { readonly kind: "holding"; readonly holding: EngineHolding; }
     /** All that could be recovered about assignments made before this scheduler started has been applied. */
     | { readonly kind: "warm"; }
     /**
@@ -53,17 +53,17 @@
  */
 export abstract class Scheduler {
     /** Applies one event and returns the resulting decisions, for its own request or for queued ones. */
-    abstract step(event: SchedulerEvent, now: number): readonly Decision[];
+    abstract step(event: SchedulerEvent, now: number): readonly SchedulingDecision[];
 
     /**
      * Called after the decode engine of a holding rejected the attempt as full. Returns another decode engine, which the
      * attempt holds from now on, or undefined if none has a free slot.
      */
-    abstract move(holding: Holding, now: number): string | undefined;
+    abstract move(holding: EngineHolding, now: number): string | undefined;
 
     /** Time of the next tick in monotonic milliseconds; undefined while none is needed. */
-    abstract wakeAt(): number | undefined;
+    abstract nextTickAt(): number | undefined;
 
     /** Slots held by engine identifier, and the number of queued requests. */
-    abstract standing(): { readonly held: ReadonlyMap<string, number>; readonly waiting: number; };
+    abstract status(): { readonly held: ReadonlyMap<string, number>; readonly waiting: number; };
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/schedulerHost.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/schedulerHost.ts
@@ -1,4 +1,11 @@
-import type { Decision, Demand, Holding, LoadReport, Progress, View } from "../../protocol/index.js";
+import type {
+    EngineHolding,
+    LoadReport,
+    Progress,
+    SchedulingDecision,
+    SchedulingRequest,
+    View,
+} from "../../protocol/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
 import { enginesOf, rulesOf } from "./poolView.js";
 import type { Scheduler, SchedulerEvent } from "./scheduler.js";
@@ -11,12 +18,12 @@
 const stallLimitMilliseconds = 150;
 
 type PendingReservation = {
-    readonly settle: (decision: Decision | undefined) => void;
+    readonly settle: (decision: SchedulingDecision | undefined) => void;
 };
 
 /** Queries daemons for their holdings in the pool, and engines for their load. */
 export type PoolSurvey = {
-    readonly holdings: () => Promise<readonly Holding[]>[];
+    readonly holdings: () => Promise<readonly EngineHolding[]>[];
     readonly reports: () => Promise<LoadReport | undefined>[];
 };
 
@@ -60,14 +67,14 @@
     }
 
     /** Waits for the decision; resolves to undefined when this host closes first or the signal aborts. */
-    reserve(request: Demand, signal: AbortSignal): Promise<Decision | undefined> {
+    reserve(request: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision | undefined> {
         const { attempt } = request;
         if (this.closed || signal.aborted) {
             return Promise.resolve(undefined);
         }
         return new Promise(resolve => {
             const withdraw = (): void => this.withdraw(attempt);
-            const settle = (decision: Decision | undefined): void => {
+            const settle = (decision: SchedulingDecision | undefined): void => {
                 this.pending.delete(attempt);
                 signal.removeEventListener("abort", withdraw);
                 resolve(decision);
@@ -86,12 +93,12 @@
     }
 
     /** Applies a holding that a daemon placed locally. */
-    applyHolding(holding: Holding): void {
+    applyHolding(holding: EngineHolding): void {
         this.step({ kind: "holding", holding });
     }
 
     /** Finds another decode engine for an attempt that its engine rejected as full. */
-    move(holding: Holding): string | undefined {
+    move(holding: EngineHolding): string | undefined {
         return this.closed ? undefined : this.scheduler.move(holding, this.clock.monotonic());
     }
 
@@ -118,8 +125,8 @@
     }
 
     /** Slots held and requests queued, as tracked by the scheduler. */
-    schedulerStatus(): ReturnType<Scheduler["standing"]> {
-        return this.scheduler.standing();
+    schedulerStatus(): ReturnType<Scheduler["status"]> {
+        return this.scheduler.status();
     }
 
     /** Stops the scheduler; pending reservations resolve to undefined. */
@@ -202,7 +209,7 @@
     }
 
     private scheduleTick(): void {
-        const wakeAt = this.scheduler.wakeAt() ?? Infinity;
+        const wakeAt = this.scheduler.nextTickAt() ?? Infinity;
         if (wakeAt >= this.tickAt || this.closed) {
             return;
         }
--- a/packages/basilpaddle/src/node/coordination/scheduling/schedulingQueue.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/schedulingQueue.ts
@@ -1,9 +1,9 @@
-import type { Demand } from "../../protocol/index.js";
+import type { SchedulingRequest } from "../../protocol/index.js";
 import { Counter } from "./counter.js";
 
 /** A scheduling request that waits for its engines. */
 export type QueuedRequest = {
-    readonly demand: Demand;
+    readonly demand: SchedulingRequest;
     readonly arrivedAt: number;
     /** Target time of the first token, in monotonic milliseconds. */
     readonly firstTokenBy: number;
--- a/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
@@ -1,5 +1,5 @@
 import { LRUCache } from "lru-cache";
-import type { Demand, Holding, LoadReport, Progress } from "../../protocol/index.js";
+import type { EngineHolding, LoadReport, Progress, SchedulingRequest } from "../../protocol/index.js";
 import { Counter } from "./counter.js";
 import type { EngineEntry } from "./scheduler.js";
 import { TrackedEngine } from "./trackedEngine.js";
@@ -13,7 +13,7 @@
 
 /** Engines assigned to one attempt. */
 export type Assignment = {
-    readonly demand: Demand;
+    readonly demand: SchedulingRequest;
     readonly prefill: string;
     decode: string;
     readonly assignedAt: number;
@@ -58,7 +58,7 @@
 
     /** Assigns engines to a request. */
     assign(
-        request: Demand,
+        request: SchedulingRequest,
         choice: { readonly prefill: TrackedEngine; readonly decode: TrackedEngine; readonly work: number; },
         now: number,
     ): Assignment {
@@ -68,7 +68,7 @@
     }
 
     /** Adds a holding that was assigned elsewhere, by an earlier scheduler or a local one. */
-    restore(holding: Holding, now: number): void {
+    restore(holding: EngineHolding, now: number): void {
         const { demand: request } = holding;
         if (
             this.assignments.has(request.attempt) || this.endedAttempts.has(request.attempt)
@@ -176,7 +176,7 @@
     }
 
     private addAssignment(
-        request: Demand,
+        request: SchedulingRequest,
         prefill: string,
         decode: string,
         stage: Assignment["stage"],
--- a/packages/basilpaddle/src/node/coordination/scheduling/tuning.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/tuning.ts
@@ -1,5 +1,5 @@
 /** Parameters of the pool's scheduler; docs/measurements/decision.md lists the runs behind their defaults. */
-export type Tuning = {
+export type SchedulerTuning = {
     /** Time in milliseconds before a prefill engine becomes free at which it may be assigned its next prompt. */
     readonly lead: number;
     /** Fraction of the prefill time saved by a cached prefix that counts in the choice of the engine; 0 ignores caches. */
@@ -11,7 +11,7 @@
 };
 
 /** Default parameters, from the measured runs. */
-export const usualTuning: Tuning = Object.freeze({
+export const defaultTuning: SchedulerTuning = Object.freeze({
     lead: 20,
     affinity: 1,
     admission: 0.97,
--- a/packages/basilpaddle/src/node/coordination/supervisor/__tests__/supervisor.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/__tests__/supervisor.spec.ts
@@ -3,7 +3,7 @@
 import { commands } from "../../../state/__tests__/commands.js";
 import { Ledger, ViewState } from "../../../state/index.js";
 import { AppliedIndexHistory } from "../appliedIndexHistory.js";
-import { Hearing } from "../livenessTable.js";
+import { LivenessTable } from "../livenessTable.js";
 import { runRecordRetentionMilliseconds, Supervisor } from "../supervisor.js";
 
 const timing = { sessionTimeout: 4_000, backendTimeout: 5_000 };
@@ -11,7 +11,7 @@
 
 /** A leader's view and supervisor with a clock that the test advances. */
 class Bench {
-    readonly liveness = Hearing.create();
+    readonly liveness = LivenessTable.create();
     readonly state = ViewState.create();
     readonly ledger = Ledger.create();
     wall = 1;
@@ -26,7 +26,7 @@
 
     recordHeartbeats(...daemons: readonly string[]): void {
         daemons.forEach(daemon =>
-            this.liveness.heardSession(commands.session(daemon), { applied: 0, revision: 0 }, this.now)
+            this.liveness.recordSession(commands.session(daemon), { applied: 0, revision: 0 }, this.now)
         );
     }
 
--- a/packages/basilpaddle/src/node/coordination/supervisor/inForce.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/inForce.ts
@@ -1,11 +1,11 @@
 import type { Timing, View } from "../../protocol/index.js";
-import type { Hearing } from "./livenessTable.js";
+import type { LivenessTable } from "./livenessTable.js";
 
 /** A change that is committed by a quorum. */
-export type HeldChange = {
+export type CommittedChange = {
     readonly index: number;
     /** Monotonic milliseconds at which this control daemon learned that it is committed. */
-    readonly heldAt: number;
+    readonly committedAt: number;
 };
 
 /** Whether a change is in force on every daemon that may start work. */
@@ -24,7 +24,7 @@
  * change is committed no lease is granted or extended without it. So the change is in force as soon as every daemon that
  * may hold a lease has confirmed it, and at the latest when the leases from before it have expired.
  */
-export class InForce {
+export class InForceTracker {
     private readonly leaseMilliseconds: number;
 
     private constructor(timing: Pick<Timing, "viewLease" | "clockDrift">, private lastSessionClosedAt: number) {
@@ -32,8 +32,8 @@
     }
 
     /** `now`: when this control daemon started; sessions may have been closed before that without its knowledge. */
-    static create(timing: Pick<Timing, "viewLease" | "clockDrift">, now: number): InForce {
-        return new InForce(timing, now);
+    static create(timing: Pick<Timing, "viewLease" | "clockDrift">, now: number): InForceTracker {
+        return new InForceTracker(timing, now);
     }
 
     /**
@@ -41,13 +41,19 @@
      * still hold a view lease, and no confirmation will cover it any more; otherwise a change would be reported as in force
      * while a partitioned daemon still starts work under the old view.
      */
-    noteClosing(now: number): void {
+    recordSessionClosed(now: number): void {
         this.lastSessionClosedAt = Math.max(this.lastSessionClosedAt, now);
     }
 
     /** Whether the change is in force, as far as a leader can know that was elected at the given time. */
-    status(change: HeldChange, leadingSince: number, view: View, liveness: Hearing, now: number): InForceStatus {
-        const until = Math.max(change.heldAt, leadingSince) + this.leaseMilliseconds;
+    status(
+        change: CommittedChange,
+        leadingSince: number,
+        view: View,
+        liveness: LivenessTable,
+        now: number,
+    ): InForceStatus {
+        const until = Math.max(change.committedAt, leadingSince) + this.leaseMilliseconds;
         if (now >= until) {
             return { kind: "inForce" };
         }
--- a/packages/basilpaddle/src/node/coordination/supervisor/livenessTable.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/livenessTable.ts
@@ -16,16 +16,16 @@
  * Records when each entry daemon and backend server last sent a heartbeat. Every control daemon maintains it, not only the
  * leader, so that a new leader knows which daemons it can grant leases to.
  */
-export class Hearing {
+export class LivenessTable {
     private readonly sessions = new Map<string, SessionHeartbeat>();
     private readonly backends = new Map<string, number>();
 
-    static create(): Hearing {
-        return new Hearing();
+    static create(): LivenessTable {
+        return new LivenessTable();
     }
 
     /** Records a heartbeat of an entry daemon. Its progress never decreases, even if heartbeats arrive out of order. */
-    heardSession(session: Incarnation, progress: Omit<SessionHeartbeat, "heardAt">, now: number): void {
+    recordSession(session: Incarnation, progress: Omit<SessionHeartbeat, "heardAt">, now: number): void {
         const key = sessionKey(session);
         const earlier = this.sessions.get(key);
         this.sessions.set(key, {
@@ -36,7 +36,7 @@
     }
 
     /** Records that a backend server renewed its announcement at some entry daemon. */
-    heardBackend(id: string, incarnation: number, now: number): void {
+    recordBackend(id: string, incarnation: number, now: number): void {
         this.backends.set(backendKey(id, incarnation), now);
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** Entry daemons and backend servers with a heartbeat after the given time. */
-    heardAfter(since: number): LivenessReport {
+    reportSince(since: number): LivenessReport {
         const sessions = [...this.sessions]
             .filter(([, heartbeat]) => heartbeat.heardAt > since)
             .map(([key, { applied, revision }]) => ({ session: sessionOf(key), applied, revision }));
--- a/packages/basilpaddle/src/node/coordination/supervisor/supervisor.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/supervisor.ts
@@ -1,7 +1,7 @@
 import type { Command, Incarnation, Timing, View } from "../../protocol/index.js";
 import { AppliedIndexHistory } from "./appliedIndexHistory.js";
 import { leaseGrants, leaseReleases } from "./leaseCommands.js";
-import { backendKey, Hearing, sessionKey } from "./livenessTable.js";
+import { backendKey, LivenessTable, sessionKey } from "./livenessTable.js";
 import { SilenceDetector } from "./silenceDetector.js";
 
 /** Input of one step of the supervisor. */
@@ -44,14 +44,14 @@
     private constructor(
         private readonly name: string,
         private readonly timing: Pick<Timing, "sessionTimeout" | "backendTimeout">,
-        private readonly liveness: Hearing,
+        private readonly liveness: LivenessTable,
     ) {}
 
     /** `name`: of the control daemon, written into the marks of backend servers. */
     static create(
         name: string,
         timing: Pick<Timing, "sessionTimeout" | "backendTimeout">,
-        liveness: Hearing,
+        liveness: LivenessTable,
     ): Supervisor {
         return new Supervisor(name, timing, liveness);
     }
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewClient.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewClient.spec.ts
@@ -24,7 +24,7 @@
         const deployment = new Deployment({ seed: 2, controls: 3, members: 3, daemons: 1 });
         const { client } = deployment.daemons[0]!;
         expect(client.mayStart()).to.equal(false);
-        expect(client.startGap()).to.deep.equal({ kind: "neverConfirmed" });
+        expect(client.startBlocker()).to.deep.equal({ kind: "neverConfirmed" });
         await until(deployment, () => client.mayStart(), 6_000);
         expect(client.view().sessions).to.have.property("entry-0");
     });
@@ -81,7 +81,7 @@
         [0, 1].forEach(at => deployment.voter(at).process.freeze(60_000));
         await deployment.run(deployment.timing.viewLease);
         const { started } = daemon!;
-        expect(daemon!.client.startGap()).to.include({ kind: "noMajority" });
+        expect(daemon!.client.startBlocker()).to.include({ kind: "noMajority" });
         await deployment.run(20_000);
         expect(daemon!.started).to.equal(started);
     });
@@ -95,7 +95,7 @@
         const [daemon] = deployment.daemons;
         const leader = deployment.group.voters.find(voter => voter.leads())!;
         deployment.separate(daemon!.process, leader.process, 6_000);
-        await until(deployment, () => daemon!.client.startGap()?.kind === "noSession", 6_000);
+        await until(deployment, () => daemon!.client.startBlocker()?.kind === "noSession", 6_000);
         await until(deployment, () => daemon!.client.mayStart(), 10_000);
     });
 
@@ -116,7 +116,7 @@
             deployment.run(3_000),
         ]);
         expect(replacements).to.deep.equal([session]);
-        expect(first.startGap()).to.deep.equal({ kind: "replaced", by: session });
+        expect(first.startBlocker()).to.deep.equal({ kind: "replaced", by: session });
         expect(first.view().sessions["entry-0"]!.session).to.deep.equal(session);
     });
 
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewOverTcp.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewOverTcp.spec.ts
@@ -88,6 +88,6 @@
         );
         names.slice(0, 2).forEach(name => group.cut(name));
         await until("the lease to expire", () => !client!.mayStart() || undefined);
-        expect(client!.startGap()).to.include({ kind: "noMajority" });
+        expect(client!.startBlocker()).to.include({ kind: "noMajority" });
     });
 });
--- a/packages/basilpaddle/src/node/coordination/view/viewClient.ts
+++ b/packages/basilpaddle/src/node/coordination/view/viewClient.ts
@@ -1,11 +1,11 @@
 /** Replicates the control daemons' view over links and keeps this daemon's session open there. */
 import type { Either } from "purify-ts";
 import type { Command, CommandResult, Incarnation, Timing, View } from "../../protocol/index.js";
-import { commandOf, ViewState } from "../../state/index.js";
+import { expandedCommand, ViewState } from "../../state/index.js";
 import type { Network } from "../../transport/index.js";
 import type { Clock, Logger, Randomness } from "../../utils/index.js";
 import { ControlClient, type Undecided } from "../controlClient.js";
-import { CrashExchange, type HeldRequests } from "../quarantine/index.js";
+import { CrashExchange, type QuarantinedRequests } from "../quarantine/index.js";
 import { type ControlAddress, Proposer } from "./proposer.js";
 import { type DaemonLocation, SessionKeeper } from "./sessionKeeper.js";
 import { type LeaseBlocker, ViewLease } from "./viewLease.js";
@@ -25,7 +25,7 @@
     readonly randomness: Randomness;
     readonly logger: Logger;
     /** This daemon's records of requests that backend servers crashed on. @default none */
-    readonly held?: HeldRequests | undefined;
+    readonly quarantined?: QuarantinedRequests | undefined;
 };
 
 /** Reason why no new work may start now. */
@@ -54,7 +54,7 @@
         this.lease = ViewLease.create(options.timing);
         this.proposer = Proposer.create(options);
         this.sessions = SessionKeeper.create({ ...options, logger: this.logger, proposer: this.proposer });
-        this.crashes = options.held && CrashExchange.create(options.held);
+        this.crashes = options.quarantined && CrashExchange.create(options.quarantined);
         this.poller = ViewPoller.create({
             ...options,
             crashes: this.crashes,
@@ -86,7 +86,7 @@
     }
 
     /** The reason why no new work may start now; undefined if it may. */
-    startGap(): StartBlocker | undefined {
+    startBlocker(): StartBlocker | undefined {
         if (this.closed) {
             return { kind: "closed" };
         }
@@ -121,13 +121,13 @@
         return proposed.map(committed => committed.result);
     }
 
-    override noteRenewal(id: string, incarnation: number): void {
-        this.poller.noteRenewal(id, incarnation);
+    override recordRenewal(id: string, incarnation: number): void {
+        this.poller.recordRenewal(id, incarnation);
     }
 
     /** Sends the records of requests that backend servers crashed on to the control daemons with an early poll. */
-    tellCrashes(digests: readonly string[]): void {
-        digests.forEach(digest => this.crashes?.note(digest));
+    reportCrashes(digests: readonly string[]): void {
+        digests.forEach(digest => this.crashes?.markChanged(digest));
         this.poller.pollSoon();
     }
 
@@ -152,7 +152,7 @@
         for (const step of answer.steps ?? []) {
             // An answer that arrives after a newer one contains steps that are already applied.
             if (step.index > this.view().index) {
-                this.state.apply(step.index, commandOf(step, this.view()));
+                this.state.apply(step.index, expandedCommand(step, this.view()));
                 this.sessions.observe(this.view());
             }
         }
--- a/packages/basilpaddle/src/node/coordination/view/viewPoller.ts
+++ b/packages/basilpaddle/src/node/coordination/view/viewPoller.ts
@@ -63,7 +63,7 @@
     }
 
     /** Adds a backend server's renewal to the coming rounds, until a control daemon has acknowledged it. */
-    noteRenewal(id: string, incarnation: number): void {
+    recordRenewal(id: string, incarnation: number): void {
         this.renewals.note(id, incarnation);
     }
 
@@ -194,7 +194,7 @@
             Right: viewAnswer => {
                 control.voter = viewAnswer.voter;
                 if (viewAnswer.crashes !== undefined) {
-                    this.options.crashes?.answered(control.address.name, sentCrashes, viewAnswer.crashes);
+                    this.options.crashes?.mergeReply(control.address.name, sentCrashes, viewAnswer.crashes);
                 }
                 this.options.onAnswer(viewAnswer);
                 this.options.lease.recordAnswer(poll.round, viewAnswer);
--- a/packages/basilpaddle/src/node/daemon/backends/__tests__/backendConnections.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/backends/__tests__/backendConnections.spec.ts
@@ -1,18 +1,20 @@
 import { expect } from "chai";
 import * as net from "node:net";
-import type { Announced } from "../../../protocol/index.js";
+import type { ServerAnnouncement } from "../../../protocol/index.js";
 import { createSilentLogger } from "../../../utils/index.js";
-import { BackendConnections, isAnswer, wholeBody } from "../index.js";
+import { BackendConnections, isAnswer, readWholeBody } from "../index.js";
 
 /** Starts a server that reads a request and then calls `act` with the connection. */
-async function startServer(act: (socket: net.Socket) => void): Promise<{ server: net.Server; announced: Announced; }> {
+async function startServer(
+    act: (socket: net.Socket) => void,
+): Promise<{ server: net.Server; announced: ServerAnnouncement; }> {
     const server = net.createServer(socket => {
         socket.on("error", () => undefined);
         socket.once("data", () => act(socket));
     });
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const { port } = server.address() as net.AddressInfo;
-    const announced: Announced = {
+    const announced: ServerAnnouncement = {
         id: "i-1",
         service: "s",
         address: `127.0.0.1:${port}`,
@@ -30,7 +32,7 @@
     const signal = AbortSignal.timeout(5_000);
     const call = { server: announced, method: "GET", path: "/", headers: [], body: undefined, signal };
     const answer = await connections.call(call, 10, 1);
-    const body = isAnswer(answer) ? await wholeBody(answer, 1_000) : undefined;
+    const body = isAnswer(answer) ? await readWholeBody(answer, 1_000) : undefined;
     await connections.close();
     server.close();
     return body?.toString();
--- a/packages/basilpaddle/src/node/daemon/backends/answers.ts
+++ b/packages/basilpaddle/src/node/daemon/backends/answers.ts
@@ -1,7 +1,7 @@
 import type { BackendAnswer } from "./backendConnections.js";
 
 /** Reads the whole body of an answer; undefined if it was cut short or exceeds the limit in bytes. */
-export async function wholeBody(answer: BackendAnswer, limit: number): Promise<Buffer | undefined> {
+export async function readWholeBody(answer: BackendAnswer, limit: number): Promise<Buffer | undefined> {
     const chunks: Buffer[] = [];
     let size = 0;
     try {
--- a/packages/basilpaddle/src/node/daemon/backends/backendConnections.ts
+++ b/packages/basilpaddle/src/node/daemon/backends/backendConnections.ts
@@ -1,7 +1,7 @@
 import * as net from "node:net";
 import type { Readable } from "node:stream";
 import { type buildConnector, Pool } from "undici";
-import type { Announced } from "../../protocol/index.js";
+import type { ServerAnnouncement } from "../../protocol/index.js";
 import { afterPoll, type Logger } from "../../utils/index.js";
 
 /**
@@ -83,7 +83,7 @@
 
 /** One HTTP call to a backend server. */
 export type BackendCall = {
-    readonly server: Announced;
+    readonly server: ServerAnnouncement;
     readonly method: string;
     readonly path: string;
     /** Alternating names and values. */
@@ -138,7 +138,7 @@
     }
 
     /** Closes the connections to an incarnation that has ended or is idle; calls in progress can finish. */
-    forget(id: string): void {
+    closeConnections(id: string): void {
         const known = this.pools.get(id);
         if (known !== undefined) {
             this.pools.delete(id);
@@ -156,7 +156,7 @@
         await Promise.all(pools.map(({ pool }) => pool.destroy()));
     }
 
-    private pool(server: Announced, connections: number): Pool {
+    private pool(server: ServerAnnouncement, connections: number): Pool {
         const known = this.pools.get(server.id);
         if (known !== undefined) {
             known.usedAt = performance.now();
@@ -177,7 +177,7 @@
         const since = performance.now() - idleTimeoutMilliseconds;
         this.pools.forEach(({ usedAt }, id) => {
             if (usedAt < since) {
-                this.forget(id);
+                this.closeConnections(id);
             }
         });
     }
--- a/packages/basilpaddle/src/node/daemon/control/__tests__/soloReplica.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/soloReplica.ts
@@ -1,4 +1,4 @@
-import { type Proposal, Replica, type ReplicaStanding } from "../../../coordination/index.js";
+import { type ProposalOutcome, Replica, type ReplicaStatus } from "../../../coordination/index.js";
 import { type Command, isViewCommand } from "../../../protocol/index.js";
 import type { StateMachine } from "../../../state/index.js";
 import type { Clock } from "../../../utils/index.js";
@@ -17,7 +17,7 @@
         super();
     }
 
-    override propose(command: Command): Promise<Proposal> {
+    override propose(command: Command): Promise<ProposalOutcome> {
         if (!this.leading) {
             return Promise.resolve({ kind: "notLeader", leader: undefined });
         }
@@ -30,7 +30,7 @@
 
     override receive(): void {}
 
-    override standing(): ReplicaStanding {
+    override currentStatus(): ReplicaStatus {
         return {
             identity: "solo#1",
             voting: true,
--- a/packages/basilpaddle/src/node/daemon/control/controlDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/control/controlDaemon.ts
@@ -1,4 +1,10 @@
-import { Hearing, HeldRequests, InForce, type Replica, Supervisor } from "../../coordination/index.js";
+import {
+    InForceTracker,
+    LivenessTable,
+    QuarantinedRequests,
+    type Replica,
+    Supervisor,
+} from "../../coordination/index.js";
 import type { Address, Command, ControlSettings } from "../../protocol/index.js";
 import { FolderDisk, FolderLock, Ledger, type StateMachine } from "../../state/index.js";
 import { type LinkHandler, type Network, TcpNetwork, TcpServer } from "../../transport/index.js";
@@ -41,7 +47,7 @@
         private readonly proposals: Proposals,
         private readonly operatorStatus: ControlStatus,
         /** Requests that are quarantined because backend servers crashed while running them. */
-        readonly held: HeldRequests,
+        readonly quarantinedRequests: QuarantinedRequests,
     ) {}
 
     /** Opens the replica and listens for other daemons. If a later step fails, everything opened before is closed again. */
@@ -74,9 +80,14 @@
             logger,
             ledger,
             replica,
-            livenessTable: Hearing.create(),
-            inForce: InForce.create(settings.timing, clock.monotonic()),
-            quarantine: HeldRequests.create({ rules: settings.holds, tell: () => undefined, clock, logger }),
+            livenessTable: LivenessTable.create(),
+            inForce: InForceTracker.create(settings.timing, clock.monotonic()),
+            quarantine: QuarantinedRequests.create({
+                rules: settings.holds,
+                publishRecords: () => undefined,
+                clock,
+                logger,
+            }),
         };
         const proposals = Proposals.create(core);
         const status = ControlStatus.create(core);
@@ -167,18 +178,18 @@
         if (ledger.restores() !== restores) {
             restores = ledger.restores();
             sessionEnds = SessionEndDetector.create(ledger.view());
-            inForce.noteClosing(clock.monotonic());
+            inForce.recordSessionClosed(clock.monotonic());
             status.recordChange();
         }
     };
     store.add(replica.onApplied((_index, command, result) => {
         detectRestore();
         if (sessionEnds.endedUnannounced(command, result, ledger.view())) {
-            inForce.noteClosing(clock.monotonic());
+            inForce.recordSessionClosed(clock.monotonic());
         }
         if (command.kind === "announceBackend") {
             const { id, incarnation } = command.announcement;
-            livenessTable.heardBackend(id, incarnation, clock.monotonic());
+            livenessTable.recordBackend(id, incarnation, clock.monotonic());
         }
         if (command.kind === "changeConfiguration") {
             status.recordChange();
--- a/packages/basilpaddle/src/node/daemon/control/controlStatus.ts
+++ b/packages/basilpaddle/src/node/daemon/control/controlStatus.ts
@@ -1,4 +1,4 @@
-import type { HeldChange, ReplicaStanding } from "../../coordination/index.js";
+import type { CommittedChange, ReplicaStatus } from "../../coordination/index.js";
 import type { Incarnation, View } from "../../protocol/index.js";
 import type { AuditEntry, AuditQuery, HistoryEntry } from "../../state/index.js";
 import type { ControlCore } from "./core.js";
@@ -25,7 +25,7 @@
 
 /** Status of a control daemon as reported to operators. */
 export class ControlStatus {
-    private lastChange: HeldChange;
+    private lastChange: CommittedChange;
 
     private constructor(private readonly core: ControlCore) {
         this.lastChange = this.currentChange();
@@ -36,8 +36,8 @@
     }
 
     /** Status of the replica and its group. */
-    standing(): ReplicaStanding {
-        return this.core.replica.standing();
+    replicaStatus(): ReplicaStatus {
+        return this.core.replica.currentStatus();
     }
 
     /** Whether the replica led during a whole round trip to a quorum that began after the call; `timeout` is in milliseconds. */
@@ -69,7 +69,7 @@
     configuration(): ConfigurationStatus {
         const { replica, clock, inForce, livenessTable } = this.core;
         const now = clock.monotonic();
-        const leadingSince = replica.standing().leadingSince ?? now;
+        const leadingSince = replica.currentStatus().leadingSince ?? now;
         const status = inForce.status(this.lastChange, leadingSince, this.view(), livenessTable, now);
         return {
             revision: this.view().configuration.revision,
@@ -98,7 +98,7 @@
         this.lastChange = this.currentChange();
     }
 
-    private currentChange(): HeldChange {
-        return { index: this.core.ledger.view().index, heldAt: this.core.clock.monotonic() };
+    private currentChange(): CommittedChange {
+        return { index: this.core.ledger.view().index, committedAt: this.core.clock.monotonic() };
     }
 }
--- a/packages/basilpaddle/src/node/daemon/control/core.ts
+++ b/packages/basilpaddle/src/node/daemon/control/core.ts
@@ -1,4 +1,4 @@
-import type { Hearing, HeldRequests, InForce, Replica } from "../../coordination/index.js";
+import type { InForceTracker, LivenessTable, QuarantinedRequests, Replica } from "../../coordination/index.js";
 import type { Timing } from "../../protocol/index.js";
 import type { Ledger } from "../../state/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
@@ -11,8 +11,8 @@
     readonly logger: Logger;
     readonly ledger: Ledger;
     readonly replica: Replica;
-    readonly livenessTable: Hearing;
-    readonly inForce: InForce;
+    readonly livenessTable: LivenessTable;
+    readonly inForce: InForceTracker;
     /** Requests that are quarantined because backend servers crashed while running them, as known to all daemons. */
-    readonly quarantine: HeldRequests;
+    readonly quarantine: QuarantinedRequests;
 };
--- a/packages/basilpaddle/src/node/daemon/control/groupReplica.ts
+++ b/packages/basilpaddle/src/node/daemon/control/groupReplica.ts
@@ -1,4 +1,4 @@
-import { AgreementReplica, FixedPeers, initialise, type Replica } from "../../coordination/index.js";
+import { AgreementReplica, FixedPeers, initialiseDataFolder, type Replica } from "../../coordination/index.js";
 import type { ControlSettings } from "../../protocol/index.js";
 import { type Disk, FolderDisk, FolderLock, type Identity, type StateMachine } from "../../state/index.js";
 import type { Network } from "../../transport/index.js";
@@ -44,7 +44,7 @@
     const lock = await FolderLock.create(settings.dataFolder);
     try {
         const disk = await FolderDisk.create(settings.dataFolder);
-        return await initialise(disk, cluster, settings.name, settings.controls.map(control => control.name));
+        return await initialiseDataFolder(disk, cluster, settings.name, settings.controls.map(control => control.name));
     }
     finally {
         await lock.close();
--- a/packages/basilpaddle/src/node/daemon/control/livenessRelay.ts
+++ b/packages/basilpaddle/src/node/daemon/control/livenessRelay.ts
@@ -47,8 +47,8 @@
 
     /** A lost message needs no retry: those that are still alive send another heartbeat before the next report. */
     private sendReport(): void {
-        const { leader, leading } = this.core.replica.standing();
-        const report = this.core.livenessTable.heardAfter(this.reportedUpTo);
+        const { leader, leading } = this.core.replica.currentStatus();
+        const report = this.core.livenessTable.reportSince(this.reportedUpTo);
         this.reportedUpTo = this.core.clock.monotonic();
         const link = leading || leader === undefined ? undefined : this.links.get(leader);
         if (link !== undefined && report.sessions.length + report.renewals.length > 0) {
@@ -68,9 +68,9 @@
 ): void {
     const now = clock.monotonic();
     for (const { session, applied, revision } of message.sessions) {
-        livenessTable.heardSession(session, { applied, revision }, now);
+        livenessTable.recordSession(session, { applied, revision }, now);
     }
     for (const { id, incarnation } of message.renewals) {
-        livenessTable.heardBackend(id, incarnation, now);
+        livenessTable.recordBackend(id, incarnation, now);
     }
 }
--- a/packages/basilpaddle/src/node/daemon/control/peerService.ts
+++ b/packages/basilpaddle/src/node/daemon/control/peerService.ts
@@ -1,4 +1,4 @@
-import { findingsOf, type PeerAnswer, type PeerRequest, peerRequestSchema } from "../../protocol/index.js";
+import { findingsFromZodError, type PeerAnswer, type PeerRequest, peerRequestSchema } from "../../protocol/index.js";
 import type { ControlCore } from "./core.js";
 import { findingsText } from "./declarationCheck.js";
 import { mergeLivenessMessage } from "./livenessRelay.js";
@@ -17,7 +17,7 @@
     async handle(body: unknown): Promise<PeerAnswer> {
         const request = peerRequestSchema.safeParse(body);
         if (!request.success) {
-            return { kind: "failure", message: findingsText(findingsOf("request", request.error)) };
+            return { kind: "failure", message: findingsText(findingsFromZodError("request", request.error)) };
         }
         return this.answer(request.data);
     }
--- a/packages/basilpaddle/src/node/daemon/control/proposals.ts
+++ b/packages/basilpaddle/src/node/daemon/control/proposals.ts
@@ -1,11 +1,11 @@
-import type { HeldChange, InForceStatus, Proposal } from "../../coordination/index.js";
+import type { CommittedChange, InForceStatus, ProposalOutcome } from "../../coordination/index.js";
 import type { Command, Finding } from "../../protocol/index.js";
 import type { ControlCore } from "./core.js";
 import { checkChange } from "./declarationCheck.js";
 
 /** Result of a proposal at this control daemon. */
 export type ProposalAnswer =
-    | Proposal
+    | ProposalOutcome
     /** Nothing was proposed because the declaration is invalid. */
     | { readonly kind: "findings"; readonly findings: readonly Finding[]; };
 
@@ -47,8 +47,10 @@
      * opened, and their daemons may not have applied the change. Therefore leadership is confirmed by a round trip to a
      * quorum that begins after the wait.
      */
-    private async acceptedOnceInForce(accepted: Extract<Proposal, { kind: "result"; }>): Promise<Proposal> {
-        const change = { index: accepted.index, heldAt: this.core.clock.monotonic() };
+    private async acceptedOnceInForce(
+        accepted: Extract<ProposalOutcome, { kind: "result"; }>,
+    ): Promise<ProposalOutcome> {
+        const change = { index: accepted.index, committedAt: this.core.clock.monotonic() };
         const inForce = await this.untilInForce(change);
         if (inForce && await this.core.replica.confirmLeadership(this.timeoutMilliseconds())) {
             return accepted;
@@ -56,7 +58,7 @@
         return { kind: "undecided", reason: "leadership ended before the change was known to be in force" };
     }
 
-    private untilInForce(change: HeldChange): Promise<boolean> {
+    private untilInForce(change: CommittedChange): Promise<boolean> {
         return new Promise(resolve => {
             let cancelTimer: (() => void) | undefined;
             const settle = (inForce: boolean): void => {
@@ -80,9 +82,9 @@
     }
 
     /** Status of the change; undefined if this control daemon doesn't lead. */
-    private status(change: HeldChange): InForceStatus | undefined {
+    private status(change: CommittedChange): InForceStatus | undefined {
         const { replica, inForce, ledger, livenessTable, clock } = this.core;
-        const { leadingSince } = replica.standing();
+        const { leadingSince } = replica.currentStatus();
         return leadingSince === undefined
             ? undefined
             : inForce.status(change, leadingSince, ledger.view(), livenessTable, clock.monotonic());
--- a/packages/basilpaddle/src/node/daemon/control/supervisorLoop.ts
+++ b/packages/basilpaddle/src/node/daemon/control/supervisorLoop.ts
@@ -43,7 +43,7 @@
     /** Settles after the commands of the step have settled, so that the next step doesn't propose them again. */
     private async step(): Promise<void> {
         const { replica, ledger, clock } = this.core;
-        const { leadingSince } = replica.standing();
+        const { leadingSince } = replica.currentStatus();
         const commands = this.supervisor.step({
             view: ledger.view(),
             leadingSince,
--- a/packages/basilpaddle/src/node/daemon/control/viewAnswers.ts
+++ b/packages/basilpaddle/src/node/daemon/control/viewAnswers.ts
@@ -1,4 +1,4 @@
-import { answerCrashes } from "../../coordination/index.js";
+import { answerCrashQuery } from "../../coordination/index.js";
 import type { PeerAnswer, PeerRequest } from "../../protocol/index.js";
 import type { ControlCore } from "./core.js";
 
@@ -15,11 +15,11 @@
 export function answerConfirmView(core: ControlCore, request: ConfirmView): ViewAnswer {
     const now = core.clock.monotonic();
     const { applied, revision } = request;
-    core.livenessTable.heardSession(request.session, { applied, revision }, now);
+    core.livenessTable.recordSession(request.session, { applied, revision }, now);
     for (const { id, incarnation } of request.renewals) {
-        core.livenessTable.heardBackend(id, incarnation, now);
+        core.livenessTable.recordBackend(id, incarnation, now);
     }
-    const status = core.replica.standing();
+    const status = core.replica.currentStatus();
     return {
         kind: "viewAnswer",
         voter: status.identity,
@@ -30,7 +30,7 @@
         appendedView: status.appendedView,
         committedView: core.ledger.view().index,
         ...(request.wantsSteps ? viewUpdateAfter(core, applied) : {}),
-        ...(request.crashes === undefined ? {} : { crashes: answerCrashes(core.quarantine, request.crashes) }),
+        ...(request.crashes === undefined ? {} : { crashes: answerCrashQuery(core.quarantine, request.crashes) }),
     };
 }
 
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/backendServerRegistry.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/backendServerRegistry.spec.ts
@@ -53,6 +53,6 @@
         expect(changes).to.equal(0);
         registry.announce(announced({ id: "i", sequence: 5 }));
         expect(changes).to.equal(1);
-        expect(registry.announcements.memorable().map(({ id }) => id)).to.deep.equal(["i"]);
+        expect(registry.announcements.restartCacheEntries().map(({ id }) => id)).to.deep.equal(["i"]);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/placementService.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/placementService.spec.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { ManualClock } from "../../../../../../../simulation/manualClock.js";
-import { demand, engines, poolTraffic } from "../../../coordination/gateway/__tests__/fakes.js";
+import { engines, poolTraffic, typicalPlacementRequest } from "../../../coordination/gateway/__tests__/fakes.js";
 import { InstanceTable } from "../../../coordination/index.js";
-import type { Announced } from "../../../protocol/index.js";
+import type { ServerAnnouncement } from "../../../protocol/index.js";
 import { createSilentLogger } from "../../../utils/index.js";
 import { PlacementService } from "../placementService.js";
 
@@ -10,7 +10,7 @@
 class CountedInstances extends InstanceTable {
     reads = 0;
 
-    override all(): readonly Announced[] {
+    override all(): readonly ServerAnnouncement[] {
         this.reads += 1;
         return super.all();
     }
@@ -28,7 +28,7 @@
 }
 
 async function decodeEngine(service: PlacementService, attempt: string): Promise<string> {
-    const answer = await service.handle({ kind: "place", demand: demand(attempt) });
+    const answer = await service.handle({ kind: "place", demand: typicalPlacementRequest(attempt) });
     if (answer?.kind !== "decided" || answer.decision.kind !== "placed") {
         throw new Error(`${attempt} was not placed`);
     }
@@ -42,11 +42,11 @@
     it("places nothing on an engine that has just left, even right after another engine's change", async () => {
         const instances = new CountedInstances();
         const all = engines(1, 3);
-        all.forEach(engine => instances.take(engine));
+        all.forEach(engine => instances.apply(engine));
         const service = createPlacementService(instances);
         const leftIds = ["decode-0", "decode-1"];
         for (const id of leftIds) {
-            instances.take({ ...all.find(engine => engine.id === id)!, state: "left", sequence: 2 });
+            instances.apply({ ...all.find(engine => engine.id === id)!, state: "left", sequence: 2 });
             service.markPoolsOutdated();
         }
         for (let number = 0; number < 6; number++) {
@@ -61,7 +61,7 @@
         const instances = new CountedInstances();
         const service = createPlacementService(instances);
         for (const engine of engines(200, 800)) {
-            instances.take(engine);
+            instances.apply(engine);
             service.markPoolsOutdated();
         }
         await decodeEngine(service, "a");
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/stageOrders.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/stageOrders.spec.ts
@@ -8,7 +8,7 @@
 import { StageOrders } from "../stageOrders.js";
 
 /** Prompts long enough that the plan calls for two more prefill engines. */
-const longPrompts = { readingTime: 400, holdTime: 2_000, cacheTokens: 12_000 };
+const longPrompts = { prefillTime: 400, holdTime: 2_000, cacheTokens: 12_000 };
 
 type Scenario = { readonly prefill: number; readonly waiting: (now: number) => number; };
 
@@ -16,13 +16,13 @@
 async function ordersIssuedWithin(milliseconds: number, { prefill, waiting }: Scenario): Promise<string[]> {
     const clock = new ManualClock();
     const instances = InstanceTable.create();
-    engines(prefill, 10).forEach(engine => instances.take(engine));
+    engines(prefill, 10).forEach(engine => instances.apply(engine));
     const ordered: string[] = [];
     const orders = StageOrders.create({
         holder: "d-1",
         instances,
         traffic: () => poolTraffic,
-        usualRequest: () => longPrompts,
+        typicalRequest: () => longPrompts,
         waiting: () => waiting(clock.monotonic()),
         onOrdered: ({ id }, stage, within) => ordered.push(`${id} ${stage} ${within > 0}`),
         wire: { order: () => ({ method: "POST", path: "/", headers: {} }) } as unknown as DirectoryWire,
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/watchService.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/watchService.spec.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { ManualClock } from "../../../../../../../simulation/manualClock.js";
 import { announced } from "../../../coordination/gateway/__tests__/fakes.js";
-import { Announcements, HeldRequests } from "../../../coordination/index.js";
-import { holdRulesSchema } from "../../../protocol/index.js";
+import { Announcements, QuarantinedRequests } from "../../../coordination/index.js";
+import { quarantineRulesSchema } from "../../../protocol/index.js";
 import { createSilentLogger } from "../../../utils/index.js";
 import { WatchService } from "../watchService.js";
 
@@ -10,10 +10,10 @@
     return createService(previousGateways, clock, Announcements.create(1_000));
 }
 
-function createQuarantinedRequests(clock: ManualClock): HeldRequests {
-    return HeldRequests.create({
-        rules: holdRulesSchema.parse({}),
-        tell: () => undefined,
+function createQuarantinedRequests(clock: ManualClock): QuarantinedRequests {
+    return QuarantinedRequests.create({
+        rules: quarantineRulesSchema.parse({}),
+        publishRecords: () => undefined,
         clock,
         logger: createSilentLogger(),
     });
@@ -126,7 +126,7 @@
         await clock.pass(300);
         answers.count = 0;
         const before = clock.monotonic();
-        announcements.take(announced({ id: "single" }), before);
+        announcements.apply(announced({ id: "single" }), before);
         watchService.notifyWatchers();
         await clock.pass(0);
         expect(answers.count).to.equal(40);
@@ -165,7 +165,7 @@
         const watchService = createService(0, clock, announcements);
         countAnswers(watchService, clock, 40, 0);
         await clock.pass(10);
-        announcements.take(announced({ id: "new" }), clock.monotonic());
+        announcements.apply(announced({ id: "new" }), clock.monotonic());
         watchService.notifyWatchers();
         await clock.pass(1);
         const again = { kind: "watch", gateway: "g-1", version: -1, incarnation: "", cursor: 0 } as const;
@@ -207,7 +207,7 @@
     gap: number,
 ): Promise<void> {
     for (let number = 0; number < count; number++) {
-        announcements.take(announced({ id: `i-${number}` }), clock.monotonic());
+        announcements.apply(announced({ id: `i-${number}` }), clock.monotonic());
         watchService.notifyWatchers();
         await clock.pass(gap);
     }
--- a/packages/basilpaddle/src/node/daemon/directory/backendServerCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/backendServerCalls.ts
@@ -1,5 +1,10 @@
 import { type Either, Left, Right } from "purify-ts";
-import { type Announced, announcedSchema, type Finding, findingsOf } from "../../protocol/index.js";
+import {
+    type Finding,
+    findingsFromZodError,
+    type ServerAnnouncement,
+    serverAnnouncementSchema,
+} from "../../protocol/index.js";
 import type { Logger } from "../../utils/index.js";
 import type { BackendServerRegistry } from "./backendServerRegistry.js";
 import type { CallResponse } from "./callServer.js";
@@ -70,7 +75,7 @@
  * Validates an announcement against the schema under which it is sent to watchers. A single invalid value, such as a
  * sequence of 1.5, would make every watcher discard the whole update, and with it everything this directory reports.
  */
-function validateAnnouncement(announced: Announced): Either<readonly Finding[], Announced> {
-    const parsed = announcedSchema.safeParse(announced);
-    return parsed.success ? Right(parsed.data) : Left(findingsOf("announcement", parsed.error));
+function validateAnnouncement(announced: ServerAnnouncement): Either<readonly Finding[], ServerAnnouncement> {
+    const parsed = serverAnnouncementSchema.safeParse(announced);
+    return parsed.success ? Right(parsed.data) : Left(findingsFromZodError("announcement", parsed.error));
 }
--- a/packages/basilpaddle/src/node/daemon/directory/backendServerRegistry.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/backendServerRegistry.ts
@@ -1,6 +1,6 @@
 import { Announcements, InstanceTable } from "../../coordination/index.js";
-import { type Announced, incarnationOf } from "../../protocol/index.js";
-import { type Clock, fractionOf, type Logger } from "../../utils/index.js";
+import { incarnationOf, type ServerAnnouncement } from "../../protocol/index.js";
+import { type Clock, hashToFraction, type Logger } from "../../utils/index.js";
 import type { Departure } from "./directoryWire.js";
 
 /**
@@ -42,11 +42,11 @@
     }
 
     /** Restores backend servers from before a restart; heartbeats confirm or refute their state later. */
-    restore(servers: readonly Announced[]): void {
+    restore(servers: readonly ServerAnnouncement[]): void {
         const { clock, logger } = this.options;
         servers.forEach(server => {
-            this.announcements.recall(server, clock.monotonic());
-            this.instances.take(server);
+            this.announcements.restoreServer(server, clock.monotonic());
+            this.instances.apply(server);
         });
         logger.info("restored backend servers from before the restart", { count: servers.length });
     }
@@ -55,20 +55,20 @@
      * Backend servers to keep across a restart: those that send heartbeats here, and some of those known from other
      * directories. The selection of the latter differs between directories, so that together they cover as many as possible.
      */
-    serversForRestart(): readonly Announced[] {
-        const own = this.announcements.memorable();
+    serversForRestart(): readonly ServerAnnouncement[] {
+        const own = this.announcements.restartCacheEntries();
         const ownIds = new Set(own.map(({ id }) => id));
         const others = this.instances.all().filter(({ id, state }) => {
             return (state === "ready" || state === "draining") && !ownIds.has(id);
         });
-        const rank = (server: Announced): number => fractionOf(server.id + this.options.name);
+        const rank = (server: ServerAnnouncement): number => hashToFraction(server.id + this.options.name);
         return [...own, ...others.sort((one, other) => rank(one) - rank(other)).slice(0, maximumRemoteServers)];
     }
 
     /** Applies a heartbeat of a backend server. */
-    announce(announced: Announced): void {
+    announce(announced: ServerAnnouncement): void {
         const { clock, logger, onAnnouncementsChanged } = this.options;
-        if (this.announcements.take(announced, clock.monotonic())) {
+        if (this.announcements.apply(announced, clock.monotonic())) {
             const { id, service, address, state, stage, sequence } = announced;
             logger.info("a backend server announced itself", { id, service, address, state, stage, sequence });
             this.updateInstance(announced);
@@ -80,7 +80,7 @@
     leave({ name, startedAt }: Departure): void {
         const newest = this.instances.newestOf(name);
         const known = newest === undefined ? undefined : this.instances.get(newest.id);
-        if (startedAt === undefined && newest?.tellsStart === true && known !== undefined) {
+        if (startedAt === undefined && newest?.hasStartTime === true && known !== undefined) {
             this.options.logger.warn("a backend server leaves without reporting its start time; draining it", {
                 id: known.id,
             });
@@ -99,7 +99,7 @@
     }
 
     /** Applies another directory's announcement of a backend server. */
-    applyRemoteAnnouncement(announced: Announced): void {
+    applyRemoteAnnouncement(announced: ServerAnnouncement): void {
         this.updateInstance(announced);
         this.announcements.confirm(announced);
         if (this.announcements.refutes(announced)) {
@@ -121,20 +121,20 @@
 
     /** Records that an incarnation is gone for good, and publishes it. */
     private end(id: string, logMessage: string): void {
-        if (this.announcements.leave(id, this.options.clock.monotonic())) {
+        if (this.announcements.markLeft(id, this.options.clock.monotonic())) {
             this.options.logger.info(logMessage, { id });
             this.publishAll();
         }
     }
 
     private publishAll(): void {
-        this.announcements.since(0).forEach(announced => this.instances.take(announced));
+        this.announcements.changedAfter(0).forEach(announced => this.instances.apply(announced));
         this.options.onInstancesChanged();
         this.options.onAnnouncementsChanged();
     }
 
-    private updateInstance(announced: Announced): void {
-        if (this.instances.take(announced)) {
+    private updateInstance(announced: ServerAnnouncement): void {
+        if (this.instances.apply(announced)) {
             this.options.onInstancesChanged();
         }
     }
--- a/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
@@ -1,4 +1,4 @@
-import { DirectoryWatcher, HeldRequests, OutlierDetector } from "../../coordination/index.js";
+import { DirectoryWatcher, OutlierDetector, QuarantinedRequests } from "../../coordination/index.js";
 import {
     type CrashRecord,
     type DirectoryMessage,
@@ -45,7 +45,7 @@
     private readonly connections: BackendConnections;
     private readonly watchService: WatchService;
     /** Requests that crashed backend servers while running. */
-    readonly held: HeldRequests;
+    readonly quarantinedRequests: QuarantinedRequests;
     private readonly name: string;
     private outliers = OutlierDetector.create();
     /** Cache of the parsed configuration, by version. */
@@ -79,9 +79,9 @@
         });
         this.store.add(() => restartCache.close());
         restartCache.setSource(() => this.restartState());
-        this.held = HeldRequests.create({
+        this.quarantinedRequests = QuarantinedRequests.create({
             rules: settings.holds,
-            tell: () => this.publishCrashes(),
+            publishRecords: () => this.publishCrashes(),
             clock,
             logger: options.logger,
         });
@@ -91,7 +91,7 @@
             incarnation: randomness.identifier(),
             failureDomain: settings.failureDomain,
             announcements: this.backendServers.announcements,
-            quarantined: this.held,
+            quarantined: this.quarantinedRequests,
             document: () => group.current(),
             members: () => this.members(),
             ejected: () => this.placement === undefined ? [] : this.outliers.ejected(),
@@ -120,7 +120,7 @@
         const network = options.network ?? TcpNetwork.create(logger, settings.bindHost);
         // The group may be writing to the same folder: deleting temporary files here could delete one that it is writing, and
         // its replica would stop.
-        const openDisk = (): Promise<FolderDisk> => FolderDisk.createBeside(settings.dataFolder);
+        const openDisk = (): Promise<FolderDisk> => FolderDisk.createWithoutCleanup(settings.dataFolder);
         const savedState = await RestartCache.create({ openDisk, clock, logger });
         const group = await DocumentGroup.create({
             committed: identity => savedState.committed(identity),
@@ -165,7 +165,7 @@
         metrics.gauge("basilpaddle_places_held", placementStatus?.held ?? 0);
         metrics.gauge("basilpaddle_places_waiting", placementStatus?.waiting ?? 0);
         this.backendServers.instances.measure(metrics);
-        this.held.measure(metrics);
+        this.quarantinedRequests.measure(metrics);
     }
 
     override async handle(call: DirectoryCall, body: string): Promise<CallResponse> {
@@ -209,7 +209,7 @@
             logger,
             onAnnounced: announced => this.backendServers.applyRemoteAnnouncement(announced),
             onCrashes: records => this.mergeCrashes(records),
-            knownCrashes: () => this.held.since(0),
+            knownCrashes: () => this.quarantinedRequests.since(0),
         });
         this.store.add(() => watcher.close());
         const calls = await CallServer.create({ address: settings.calls, handler: this, wire, logger });
@@ -251,7 +251,7 @@
 
     /** Merges crash records from gateways or other directories, and publishes them if any was new. */
     private mergeCrashes(records: readonly CrashRecord[]): void {
-        if (this.held.merge(records).length > 0) {
+        if (this.quarantinedRequests.merge(records).length > 0) {
             this.publishCrashes();
         }
     }
@@ -262,10 +262,10 @@
     }
 
     private restartState(): RestartState | undefined {
-        const committed = this.group.committedMark();
+        const committed = this.group.committedPosition();
         const servers = this.backendServers.serversForRestart();
         const gateways = this.watchService.gatewayCount();
-        const crashes = this.held.since(0);
+        const crashes = this.quarantinedRequests.since(0);
         return committed && { identity: committed.identity, committed: committed.mark, servers, gateways, crashes };
     }
 
@@ -283,7 +283,7 @@
 
     /** Recomputes which servers are ejected as outliers, and notifies gateways immediately if the set changed. */
     private reviewOutliers(): void {
-        if (this.placement !== undefined && this.outliers.review(this.options.clock.monotonic())) {
+        if (this.placement !== undefined && this.outliers.updateEjections(this.options.clock.monotonic())) {
             this.options.logger.info("the set of ejected backend servers of plain services changed", {
                 ejected: this.outliers.ejected(),
             });
@@ -343,14 +343,14 @@
                 ...sharedOptions,
                 repeats: settings.repeats,
                 borrowed: service => this.watchService.borrowed(service),
-                onServerCalls: calls => this.outliers.note(calls, clock.monotonic()),
+                onServerCalls: calls => this.outliers.addCalls(calls, clock.monotonic()),
                 onIncarnationEnded: instance => this.backendServers.markEnded(instance),
             },
             term,
         );
         this.stageOrders = StageOrders.create({
             ...sharedOptions,
-            usualRequest: service => this.placement?.usualRequest(service),
+            typicalRequest: service => this.placement?.typicalRequest(service),
             waiting: service => this.placement?.waiting(service) ?? 0,
             onOrdered: (engine, stage, within) => this.placement?.noteStageOrder(engine, stage, within),
             holder: settings.name,
--- a/packages/basilpaddle/src/node/daemon/directory/directoryWire.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/directoryWire.ts
@@ -1,5 +1,5 @@
 import type { Either } from "purify-ts";
-import type { Announced, Finding, Traffic } from "../../protocol/index.js";
+import type { Finding, ServerAnnouncement, Traffic } from "../../protocol/index.js";
 import type { EngineCall } from "../backends/index.js";
 
 /** A parsed call to a directory. */
@@ -17,7 +17,7 @@
 
 /** An order to an engine to change its stage. */
 export type StageOrder = {
-    readonly engine: Announced;
+    readonly engine: ServerAnnouncement;
     readonly stage: "prefill" | "decode";
     /** The daemon that issues the order, and its fencing token, which increases with each new holder. */
     readonly holder: string;
@@ -33,7 +33,7 @@
     abstract call(method: string, path: string): DirectoryCall;
 
     /** Parses the body of a heartbeat. */
-    abstract announcement(name: string, body: string): Either<readonly Finding[], Announced>;
+    abstract announcement(name: string, body: string): Either<readonly Finding[], ServerAnnouncement>;
 
     /** Parses the body of a leave call. */
     abstract departure(name: string, body: string): Either<readonly Finding[], Departure>;
--- a/packages/basilpaddle/src/node/daemon/directory/documentGroup.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/documentGroup.ts
@@ -1,10 +1,10 @@
 import {
     AddressedPeers,
     AgreementReplica,
-    type CommittedMark,
-    initialise,
+    type CommittedPosition,
+    initialiseDataFolder,
     type Replica,
-    type ReplicaStanding,
+    type ReplicaStatus,
 } from "../../coordination/index.js";
 import type { DocumentAnswer } from "../../protocol/index.js";
 import { DocumentState, FolderDisk, type StoredDocument } from "../../state/index.js";
@@ -46,7 +46,7 @@
     readonly firstStart: boolean;
     readonly dataFolder: string;
     /** The newest entry known to be committed before the restart, for the given identity of this member. */
-    readonly committed: (identity: string) => CommittedMark | undefined;
+    readonly committed: (identity: string) => CommittedPosition | undefined;
     /** Target number of voters. */
     readonly voters: number;
     readonly network: Network;
@@ -82,13 +82,13 @@
     }
 
     /** The group's status as this member knows it; undefined while its replica is closed. */
-    replicaStatus(): ReplicaStanding | undefined {
-        return this.replica?.standing();
+    replicaStatus(): ReplicaStatus | undefined {
+        return this.replica?.currentStatus();
     }
 
     /** The newest entry that this member knows to be committed, and its identity; undefined while its replica is closed. */
-    committedMark(): { readonly identity: string; readonly mark: CommittedMark; } | undefined {
-        const status = this.replica?.standing();
+    committedPosition(): { readonly identity: string; readonly mark: CommittedPosition; } | undefined {
+        const status = this.replica?.currentStatus();
         return status === undefined ? undefined : {
             identity: status.identity,
             mark: { index: status.committedIndex, term: status.committedTerm },
@@ -135,7 +135,7 @@
     /** Linearizable read of the newest document: a quorum confirms the leadership in a round trip that starts after the call. */
     async readDocument(): Promise<DocumentAnswer> {
         const { replica, state } = this;
-        const status = replica?.standing();
+        const status = replica?.currentStatus();
         if (replica === undefined || status === undefined || !status.leading) {
             return unavailable("this member is not the leader");
         }
@@ -160,8 +160,8 @@
     private async waitUntilCommitted(replica: Replica, index: number): Promise<boolean> {
         const { clock } = this.options;
         const until = clock.monotonic() + readTimeoutMilliseconds;
-        while (replica.standing().committedIndex < index) {
-            if (clock.monotonic() > until || !replica.standing().leading) {
+        while (replica.currentStatus().committedIndex < index) {
+            if (clock.monotonic() > until || !replica.currentStatus().leading) {
                 return false;
             }
             await new Promise<void>(resolve => clock.after(commitPollMilliseconds, resolve));
@@ -194,7 +194,7 @@
         const disk = await FolderDisk.create(dataFolder);
         const founders = [...seeds()];
         if (firstStart && founders.includes(name) && (await disk.list()).length === 0) {
-            await initialise(disk, clusterName, name, founders);
+            await initialiseDataFolder(disk, clusterName, name, founders);
             logger.info("initialised an empty data folder for a founding member", { founders });
         }
         const state = DocumentState.create();
@@ -220,7 +220,7 @@
         this.publishIfNewer(state.current());
         replica.onLeadership(leading => this.leadershipListeners.forEach(listener => listener(leading)));
         this.replica = replica;
-        logger.info("replica opened", { identity: replica.standing().identity, version: state.current().version });
+        logger.info("replica opened", { identity: replica.currentStatus().identity, version: state.current().version });
     }
 
     private handleFailure(error: unknown): void {
--- a/packages/basilpaddle/src/node/daemon/directory/placementService.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/placementService.ts
@@ -1,12 +1,19 @@
 import {
-    EnginePlaces,
     type InstanceTable,
-    placingForAll,
-    type RepeatBudgetRules,
-    SharedRepeatBudget,
-    type UsualRequest,
+    leaderPlacementTuning,
+    PlacementQueue,
+    type RetryBudgetRules,
+    SharedRetryBudget,
+    type TypicalRequest,
 } from "../../coordination/index.js";
-import type { Announced, PlaceDecision, Placing, PlacingAnswer, ServerCalls, Traffic } from "../../protocol/index.js";
+import type {
+    PlacementDecision,
+    PlacementMessage,
+    PlacementReply,
+    ServerAnnouncement,
+    ServerCalls,
+    Traffic,
+} from "../../protocol/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
 
 /**
@@ -19,7 +26,7 @@
 const tickIntervalMilliseconds = 25;
 /** Minimum age of a grant before a gateway's list without it revokes it: the list may be older than the grant. */
 const holdingsGraceMilliseconds = 1_500;
-type DecisionCallback = (decision: PlaceDecision) => void;
+type DecisionCallback = (decision: PlacementDecision) => void;
 
 /** Inputs and dependencies of `PlacementService`. */
 export type PlacementServiceOptions = {
@@ -30,7 +37,7 @@
     /** Called with an incarnation that a gateway reports as ended. */
     readonly onIncarnationEnded: (instance: string) => void;
     /** Rules of the retry budget that all gateways share; undefined if this leader lends no retries. */
-    readonly repeats?: RepeatBudgetRules | undefined;
+    readonly repeats?: RetryBudgetRules | undefined;
     /** Retries of a service that gateways borrowed within the last window, as returned by `WatchService.borrowed`. */
     readonly borrowed?: (service: string) => number | undefined;
     readonly clock: Clock;
@@ -39,10 +46,10 @@
 
 /** Places runs on engines for all gateways while this directory leads, with one `PlacementQueue` per service. */
 export class PlacementService {
-    private readonly pools = new Map<string, EnginePlaces>();
+    private readonly pools = new Map<string, PlacementQueue>();
     private readonly serviceOfAttempt = new Map<string, string>();
     private readonly waiters = new Map<string, DecisionCallback>();
-    private readonly sharedRetryBudgets = new Map<string, SharedRepeatBudget>();
+    private readonly sharedRetryBudgets = new Map<string, SharedRetryBudget>();
     private readonly startedAt: number;
     private cancelTick: (() => void) | undefined;
     private closed = false;
@@ -69,7 +76,7 @@
     }
 
     /** Handles a message from a gateway; undefined for messages that have no reply. */
-    async handle(message: Placing): Promise<PlacingAnswer | undefined> {
+    async handle(message: PlacementMessage): Promise<PlacementReply | undefined> {
         const now = this.options.clock.monotonic();
         this.refreshPools();
         switch (message.kind) {
@@ -80,7 +87,7 @@
                 this.serviceOfAttempt.delete(message.attempt);
                 return undefined;
             case "prefilled":
-                this.poolOfAttempt(message.attempt)?.prefilled(message.attempt, now);
+                this.poolOfAttempt(message.attempt)?.prefillCompleted(message.attempt, now);
                 return undefined;
             case "release":
                 this.deliver(this.poolOfAttempt(message.attempt)?.release(message.attempt, message.end, now));
@@ -113,23 +120,23 @@
     }
 
     /** Records that an engine was ordered to change its stage, and within how many milliseconds it may do so. */
-    noteStageOrder({ id, service }: Announced, stage: Announced["stage"], within: number): void {
-        this.pools.get(service)?.orderedTo(id, stage, this.options.clock.monotonic() + within);
+    noteStageOrder({ id, service }: ServerAnnouncement, stage: ServerAnnouncement["stage"], within: number): void {
+        this.pools.get(service)?.recordStageOrder(id, stage, this.options.clock.monotonic() + within);
     }
 
     /** Number of a service's queued placement requests. */
     waiting(service: string): number {
-        return this.pools.get(service)?.standing().waiting ?? 0;
+        return this.pools.get(service)?.counts().waiting ?? 0;
     }
 
     /** Resources that a typical request of the service uses; undefined until enough have been served under this leader. */
-    usualRequest(service: string): UsualRequest | undefined {
-        return this.pools.get(service)?.usualRequest();
+    typicalRequest(service: string): TypicalRequest | undefined {
+        return this.pools.get(service)?.typicalRequest();
     }
 
     /** Numbers of queued requests and of held grants, over all pools. */
     queueStatus(): { readonly waiting: number; readonly held: number; } {
-        const statuses = [...this.pools.values()].map(pool => pool.standing());
+        const statuses = [...this.pools.values()].map(pool => pool.counts());
         return {
             waiting: statuses.reduce((sum, status) => sum + status.waiting, 0),
             held: statuses.reduce((sum, status) => sum + status.held, 0),
@@ -153,7 +160,7 @@
         const all = instances.all();
         for (const service of traffic()?.services ?? []) {
             if (service.engine !== undefined) {
-                const pool = this.pools.get(service.name) ?? EnginePlaces.create(placingForAll);
+                const pool = this.pools.get(service.name) ?? PlacementQueue.create(leaderPlacementTuning);
                 this.pools.set(service.name, pool);
                 pool.setEngines(all.filter(instance => instance.service === service.name), service.engine);
             }
@@ -161,9 +168,9 @@
     }
 
     private async requestPlacement(
-        demand: Extract<Placing, { kind: "place"; }>["demand"],
+        demand: Extract<PlacementMessage, { kind: "place"; }>["demand"],
         now: number,
-    ): Promise<PlacingAnswer> {
+    ): Promise<PlacementReply> {
         const pool = this.pools.get(demand.service);
         if (pool === undefined) {
             // A new leader may not have parsed its configuration yet.
@@ -171,7 +178,7 @@
             return { kind: "waiting", term: this.term };
         }
         this.serviceOfAttempt.set(demand.attempt, demand.service);
-        const answer = new Promise<PlacingAnswer>(resolve => {
+        const answer = new Promise<PlacementReply>(resolve => {
             const cancel = this.options.clock.after(replyTimeoutMilliseconds, () => {
                 this.waiters.delete(demand.attempt);
                 resolve({ kind: "waiting", term: this.term });
@@ -190,14 +197,14 @@
         if (repeats === undefined) {
             return false;
         }
-        const budget = this.sharedRetryBudgets.get(service) ?? SharedRepeatBudget.create(repeats, this.startedAt);
+        const budget = this.sharedRetryBudgets.get(service) ?? SharedRetryBudget.create(repeats, this.startedAt);
         this.sharedRetryBudgets.set(service, budget);
         const granted = budget.lend(now, this.options.borrowed?.(service));
         logger.info("a gateway requested a retry from the shared budget", { gateway, service, granted });
         return granted;
     }
 
-    private reconcile(message: Extract<Placing, { kind: "holdings"; }>, now: number): void {
+    private reconcile(message: Extract<PlacementMessage, { kind: "holdings"; }>, now: number): void {
         for (const [service, pool] of this.pools) {
             const held = message.held.filter(({ demand }) => demand.service === service);
             held.forEach(({ demand }) => this.serviceOfAttempt.set(demand.attempt, service));
@@ -205,7 +212,7 @@
         }
     }
 
-    private deliver(decisions: readonly PlaceDecision[] = []): void {
+    private deliver(decisions: readonly PlacementDecision[] = []): void {
         for (const decision of decisions) {
             // Without a pending call the decision is returned when the gateway asks again: its grant stays held until then.
             const waiter = this.waiters.get(decision.attempt);
@@ -217,11 +224,11 @@
         }
     }
 
-    private poolOfAttempt(attempt: string): EnginePlaces | undefined {
+    private poolOfAttempt(attempt: string): PlacementQueue | undefined {
         return this.pools.get(this.serviceOfAttempt.get(attempt) ?? "");
     }
 
-    private decisionReply(decision: PlaceDecision): PlacingAnswer {
+    private decisionReply(decision: PlacementDecision): PlacementReply {
         return { kind: "decided", term: this.term, decision };
     }
 
--- a/packages/basilpaddle/src/node/daemon/directory/restartCache.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/restartCache.ts
@@ -1,7 +1,12 @@
 import { decode, encode } from "cbor-x";
 import { z } from "zod";
-import type { CommittedMark } from "../../coordination/index.js";
-import { type Announced, announcedSchema, type CrashRecord, crashRecordSchema } from "../../protocol/index.js";
+import type { CommittedPosition } from "../../coordination/index.js";
+import {
+    type CrashRecord,
+    crashRecordSchema,
+    type ServerAnnouncement,
+    serverAnnouncementSchema,
+} from "../../protocol/index.js";
 import { type Disk, readSnapshot, writeSnapshot } from "../../state/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
 
@@ -26,13 +31,13 @@
     /** Wall clock time in Unix milliseconds. */
     writtenAt: z.number(),
 });
-const serversSchema = z.array(announcedSchema);
+const serversSchema = z.array(serverAnnouncementSchema);
 
 /** State that is kept across a restart. */
 export type RestartState = {
     readonly identity: string;
-    readonly committed: CommittedMark;
-    readonly servers: readonly Announced[];
+    readonly committed: CommittedPosition;
+    readonly servers: readonly ServerAnnouncement[];
     readonly gateways: number;
     readonly crashes: readonly CrashRecord[];
 };
@@ -72,12 +77,12 @@
     }
 
     /** The newest entry known to be committed; undefined if it was stored under another identity. */
-    committed(identity: string): CommittedMark | undefined {
+    committed(identity: string): CommittedPosition | undefined {
         return this.restored?.identity === identity ? this.restored.committed : undefined;
     }
 
     /** Restored backend servers. */
-    servers(): readonly Announced[] {
+    servers(): readonly ServerAnnouncement[] {
         return this.restored?.servers ?? [];
     }
 
--- a/packages/basilpaddle/src/node/daemon/directory/stageOrders.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/stageOrders.ts
@@ -1,5 +1,5 @@
-import { type InstanceTable, planStages, type StageChange, type UsualRequest } from "../../coordination/index.js";
-import type { Announced, Traffic } from "../../protocol/index.js";
+import { type InstanceTable, planStages, type StageChange, type TypicalRequest } from "../../coordination/index.js";
+import type { ServerAnnouncement, Traffic } from "../../protocol/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
 import { type BackendConnections, drain, isAnswer } from "../backends/index.js";
 import type { DirectoryWire, StageOrderOutcome } from "./directoryWire.js";
@@ -32,11 +32,11 @@
     readonly instances: InstanceTable;
     readonly traffic: () => Traffic | undefined;
     /** Resources that a typical request of a service uses; undefined if none have been observed. */
-    readonly usualRequest: (service: string) => UsualRequest | undefined;
+    readonly typicalRequest: (service: string) => TypicalRequest | undefined;
     /** Number of a service's queued placement requests. */
     readonly waiting: (service: string) => number;
     /** Called when an engine may have accepted an order: from then on it accepts no work of its old stage. */
-    readonly onOrdered: (engine: Announced, stage: StageChange["stage"], within: number) => void;
+    readonly onOrdered: (engine: ServerAnnouncement, stage: StageChange["stage"], within: number) => void;
     readonly wire: DirectoryWire;
     readonly connections: BackendConnections;
     readonly clock: Clock;
@@ -89,7 +89,7 @@
     }
 
     private checkStages(): void {
-        const { clock, instances, traffic, usualRequest } = this.options;
+        const { clock, instances, traffic, typicalRequest } = this.options;
         const now = clock.monotonic();
         if (now < this.mayOrderAt || now < this.cooldownUntil) {
             return;
@@ -102,7 +102,7 @@
             if (!this.hasSettled(service.name, engines.length, now)) {
                 continue;
             }
-            const changes = planStages(engines, service.engine, usualRequest(service.name)).filter(change =>
+            const changes = planStages(engines, service.engine, typicalRequest(service.name)).filter(change =>
                 now >= (this.pending.get(change.engine.id) ?? 0)
             );
             if (!changes.some(({ stage }) => stage === "prefill")) {
@@ -118,7 +118,7 @@
     /** Whether to order the changes now: converting decode engines needs sustained demand unless no prefill engine is ready. */
     private isDue(
         service: string,
-        engines: readonly Announced[],
+        engines: readonly ServerAnnouncement[],
         changes: readonly StageChange[],
         now: number,
     ): boolean {
@@ -158,7 +158,10 @@
         logger.info("ordered an engine to change its stage", { engine: engine.id, stage, fence: this.fence, outcome });
     }
 
-    private async send(engine: Announced, call: ReturnType<DirectoryWire["order"]>): Promise<StageOrderOutcome> {
+    private async send(
+        engine: ServerAnnouncement,
+        call: ReturnType<DirectoryWire["order"]>,
+    ): Promise<StageOrderOutcome> {
         const { connections, wire, logger } = this.options;
         const result = await connections.call(
             {
--- a/packages/basilpaddle/src/node/daemon/directory/watchService.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/watchService.ts
@@ -1,6 +1,6 @@
 import { LRUCache } from "lru-cache";
-import type { Announcements, HeldRequests } from "../../coordination/index.js";
-import { type PackedDocument, packText, type Watch, type Watched } from "../../protocol/index.js";
+import type { Announcements, QuarantinedRequests } from "../../coordination/index.js";
+import { type PackedDocument, packText, type WatchRequest, type WatchUpdate } from "../../protocol/index.js";
 import type { StoredDocument } from "../../state/index.js";
 import type { Clock } from "../../utils/index.js";
 
@@ -32,7 +32,7 @@
     readonly incarnation: string;
     readonly failureDomain: string;
     readonly announcements: Announcements;
-    readonly quarantined: Pick<HeldRequests, "newest" | "since">;
+    readonly quarantined: Pick<QuarantinedRequests, "newest" | "since">;
     readonly document: () => StoredDocument;
     readonly members: () => { readonly members: readonly string[]; readonly leader: string | undefined; };
     /** Ejected backend servers of plain services; empty unless this directory leads. */
@@ -45,7 +45,10 @@
 /** Answers watches by long polling: immediately if the watcher is out of date, otherwise on the next change. */
 export class WatchService {
     private readonly waiting = new Set<() => void>();
-    private readonly gateways = new Map<string, { readonly at: number; readonly borrowed: Watch["borrowed"]; }>();
+    private readonly gateways = new Map<
+        string,
+        { readonly at: number; readonly borrowed: WatchRequest["borrowed"]; }
+    >();
     private packedDocument: PackedDocument | undefined;
     /** When each watcher last received an update. */
     private readonly lastUpdateAt = new LRUCache<string, number>({ max: maximumWatchers });
@@ -60,7 +63,7 @@
     }
 
     /** Answers one watch; without a change, after the long poll's time limit. */
-    async watch(watch: Watch): Promise<Watched> {
+    async watch(watch: WatchRequest): Promise<WatchUpdate> {
         const { clock } = this.options;
         if (!watch.observer) {
             this.gateways.set(watch.gateway, { at: clock.monotonic(), borrowed: watch.borrowed });
@@ -119,7 +122,7 @@
     }
 
     /** The number of gateways that share the common budgets, and whether that number is reliable. */
-    private gatewayShares(): Pick<Watched, "gateways" | "gatewaysSettled"> {
+    private gatewayShares(): Pick<WatchUpdate, "gateways" | "gatewaysSettled"> {
         const { previousGateways } = this.options;
         const areSettled = this.haveGatewaysSettled();
         return {
@@ -128,10 +131,10 @@
         };
     }
 
-    private hasUpdates(watch: Watch): boolean {
+    private hasUpdates(watch: WatchRequest): boolean {
         const { incarnation, announcements, quarantined, document } = this.options;
         return watch.incarnation !== incarnation
-            || announcements.newest() > watch.cursor
+            || announcements.latestChange() > watch.cursor
             || quarantined.newest() > (watch.crashCursor ?? 0)
             || document().version > watch.version;
     }
@@ -168,7 +171,7 @@
         this.lastUpdateAt.set(watcher, clock.monotonic());
     }
 
-    private answer(watch: Watch): Watched {
+    private answer(watch: WatchRequest): WatchUpdate {
         const { incarnation, announcements, quarantined, document, members } = this.options;
         const current = document();
         const newer = watch.wantsDocument && current.version > watch.version;
@@ -179,10 +182,10 @@
         const ejected = this.options.ejected();
         return {
             incarnation,
-            cursor: announcements.newest(),
+            cursor: announcements.latestChange(),
             version: current.version,
             ...newer ? { document: this.packed() } : {},
-            announced: [...announcements.since(since)],
+            announced: [...announcements.changedAfter(since)],
             members: [...group.members],
             failureDomain: this.options.failureDomain,
             ...group.leader === undefined ? {} : { leader: group.leader },
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/entryHarness.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/entryHarness.ts
@@ -1,8 +1,8 @@
 import * as http from "node:http";
 import { FakePlacement } from "../../../../../../../simulation/requests/fakePlacement.js";
 import { announcement, FakeControl, FakeEngine, viewOf } from "../../../../../../../simulation/requests/fakes.js";
-import { HeldRequests } from "../../../coordination/index.js";
-import { entrySettingsSchema, holdRulesSchema } from "../../../protocol/index.js";
+import { QuarantinedRequests } from "../../../coordination/index.js";
+import { entrySettingsSchema, quarantineRulesSchema } from "../../../protocol/index.js";
 import { createSilentLogger, SilentMetrics, SystemClock, SystemRandomness } from "../../../utils/index.js";
 import { EntryDaemon } from "../entryDaemon.js";
 
@@ -46,9 +46,9 @@
             }),
             control,
             placement,
-            held: HeldRequests.create({
-                rules: holdRulesSchema.parse({}),
-                tell: () => undefined,
+            quarantinedRequests: QuarantinedRequests.create({
+                rules: quarantineRulesSchema.parse({}),
+                publishRecords: () => undefined,
                 clock: SystemClock.create(),
                 logger: createSilentLogger(),
             }),
--- a/packages/basilpaddle/src/node/daemon/entry/backendMessages.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/backendMessages.ts
@@ -1,13 +1,13 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { isDeepStrictEqual } from "node:util";
 import type { ControlClient, Placement } from "../../coordination/index.js";
-import type { AttemptIds, Cancellations, LocalMarks } from "../../coordination/request/index.js";
+import type { AttemptIds, Cancellations, LeavingBackends } from "../../coordination/request/index.js";
 import {
     type Announcement,
     type BackendAnswer,
-    type BackendWord,
-    backendWordPath,
-    backendWordSchema,
+    type BackendMessage,
+    backendMessagePath,
+    backendMessageSchema,
     type Command,
     type EntrySettings,
     type LoadReport,
@@ -27,7 +27,7 @@
     readonly settings: EntrySettings;
     readonly control: ControlClient;
     readonly placement: Placement;
-    readonly marks: LocalMarks;
+    readonly marks: LeavingBackends;
     readonly attempts: AttemptIds;
     readonly cancellations: Cancellations;
     readonly clock: Clock;
@@ -46,8 +46,8 @@
 
     /** Handles one message received over HTTP. */
     async serve(requestId: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
-        if (request.url !== backendWordPath) {
-            sendRefusal(response, notRun("unknownRoute", `backend servers POST to ${backendWordPath}`), requestId);
+        if (request.url !== backendMessagePath) {
+            sendRefusal(response, notRun("unknownRoute", `backend servers POST to ${backendMessagePath}`), requestId);
             return;
         }
         if (request.method !== "POST") {
@@ -61,7 +61,7 @@
             sendRefusal(response, parsed.extract() as Refusal, requestId);
             return;
         }
-        const message = backendWordSchema.safeParse(parsed.extract());
+        const message = backendMessageSchema.safeParse(parsed.extract());
         if (!message.success) {
             const causes = message.error.issues.slice(0, 5).map(issue => `${issue.path.join(".")}: ${issue.message}`);
             sendRefusal(response, notRun("badRequest", causes.join("; ")), requestId);
@@ -72,7 +72,7 @@
     }
 
     /** Applies one message and returns its outcome. */
-    async handle(message: BackendWord): Promise<AnswerOutcome> {
+    async handle(message: BackendMessage): Promise<AnswerOutcome> {
         switch (message.kind) {
             case "announce": {
                 const outcome = await this.announce(message.announcement);
@@ -101,7 +101,7 @@
             return "superseded";
         }
         if (known?.state === "ready" && isDeepStrictEqual(known.announcement, announcement)) {
-            this.parts.control.noteRenewal(announcement.id, announcement.incarnation);
+            this.parts.control.recordRenewal(announcement.id, announcement.incarnation);
             return "accepted";
         }
         return this.propose({ kind: "announceBackend", announcement, at: this.parts.clock.wall() });
@@ -115,7 +115,7 @@
         if (known.announcement.incarnation > incarnation) {
             return "superseded";
         }
-        this.parts.control.noteRenewal(id, incarnation);
+        this.parts.control.recordRenewal(id, incarnation);
         return "accepted";
     }
 
@@ -150,7 +150,7 @@
         this.parts.placement.load(backend.pool, report);
         // A call can reach the engine after the cancel for it; the engine then runs an attempt that has already ended.
         for (const attempt of this.parts.attempts.ended(report.active)) {
-            this.parts.cancellations.owe(attempt, backend, false);
+            this.parts.cancellations.cancelInBackground(attempt, backend, false);
         }
     }
 
--- a/packages/basilpaddle/src/node/daemon/entry/entryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/entryDaemon.ts
@@ -1,23 +1,23 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
     type ControlClient,
-    CrashWatch,
+    CrashDetector,
     hasEnded,
-    type HeldRequests,
     type Placement,
+    type QuarantinedRequests,
 } from "../../coordination/index.js";
 import {
     AttemptIds,
     Cancellations,
-    EngineDirectory,
-    type EngineFactory,
-    LocalMarks,
+    type EngineClientFactory,
+    EngineClients,
+    LeavingBackends,
     type RequestParts,
     RetryBudget,
     RunRecords,
 } from "../../coordination/request/index.js";
 import { callerHeaders, type EntrySettings, PrefixHash, type View } from "../../protocol/index.js";
-import { listens } from "../../transport/index.js";
+import { probeListening } from "../../transport/index.js";
 import { type Clock, DisposableStore, type Logger, type Metrics, type Randomness } from "../../utils/index.js";
 import { BackendMessages } from "./backendMessages.js";
 import { CallerRoutes } from "./callerRoutes.js";
@@ -36,13 +36,13 @@
     readonly settings: EntrySettings;
     readonly control: ControlClient;
     readonly placement: Placement;
-    readonly engines: EngineFactory;
+    readonly engines: EngineClientFactory;
     readonly clock: Clock;
     readonly randomness: Randomness;
     readonly logger: Logger;
     readonly metrics: Metrics;
     /** This daemon's copy of the quarantined requests. */
-    readonly held: HeldRequests;
+    readonly quarantinedRequests: QuarantinedRequests;
 };
 
 /** Result of a drain. */
@@ -134,8 +134,8 @@
         this.store.add(() => connections.close());
         this.store.add(() => this.request.engines.close());
         this.store.add(() => this.request.cancellations.close());
-        this.store.add(() => this.request.runs.close());
-        this.store.add(() => this.request.crashes.close());
+        this.store.add(() => this.request.runRecords.close());
+        this.store.add(() => this.request.crashDetector.close());
         this.store.add(control.onView(view => this.applyView(view)));
         const receiveTimeout = settings.limits.receiveTimeout;
         this.callerListener = await HttpServer.create({
@@ -179,15 +179,15 @@
         await this.open.untilEmpty();
         const [unconfirmedCancels, undecidedRuns] = await Promise.all([
             this.request.cancellations.drain(settleTimeoutMilliseconds),
-            this.request.runs.drain(settleTimeoutMilliseconds),
+            this.request.runRecords.drain(settleTimeoutMilliseconds),
         ]);
         return { cut: this.cut, unconfirmedCancels, undecidedRuns };
     }
 
     private applyView(view: View): void {
-        this.request.marks.follow(view);
+        this.request.marks.removeReflected(view);
         const urls = new Set(Object.values(view.backends).map(backend => backend.announcement.url));
-        this.request.engines.retain(urls).catch((failure: unknown) => {
+        this.request.engines.closeUnused(urls).catch((failure: unknown) => {
             this.parts.logger.warn("the client of a removed engine didn't close", { failure: String(failure) });
         });
     }
@@ -195,7 +195,7 @@
 
 function requestParts(parts: EntryDaemonParts): RequestParts {
     const { settings, control, clock, randomness, logger, metrics } = parts;
-    const engines = EngineDirectory.create(parts.engines);
+    const engines = EngineClients.create(parts.engines);
     const view = () => control.view();
     return {
         failureDomain: settings.failureDomain,
@@ -203,17 +203,17 @@
         placement: parts.placement,
         engines,
         cancellations: Cancellations.create({ engines, view, clock, randomness, logger, metrics }),
-        runs: RunRecords.create({ control, clock, randomness, logger, metrics }),
-        marks: LocalMarks.create(),
-        budget: RetryBudget.create(),
+        runRecords: RunRecords.create({ control, clock, randomness, logger, metrics }),
+        marks: LeavingBackends.create(),
+        retryBudget: RetryBudget.create(),
         clock,
         randomness,
         logger,
         metrics,
-        crashes: CrashWatch.create({
-            held: parts.held,
+        crashDetector: CrashDetector.create({
+            quarantine: parts.quarantinedRequests,
             isGone: incarnation => hasEnded(control.view(), incarnation),
-            listens,
+            listens: probeListening,
             clock,
             logger,
             metrics,
--- a/packages/basilpaddle/src/node/daemon/entry/modelAnswer.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/modelAnswer.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from "node:http";
 import { Answer, type AnswerEnd, type RequestScope } from "../../coordination/request/index.js";
-import { callerHeaders, errorBody, type KeptAnswer, type Refusal } from "../../protocol/index.js";
+import { callerHeaders, errorBody, type Refusal, type StoredAnswer } from "../../protocol/index.js";
 import type { Clock } from "../../utils/index.js";
 import type { ModelRequest } from "./modelRequest.js";
 import { sendRefusal } from "./reply.js";
@@ -70,7 +70,7 @@
         this.texts.push(text);
     }
 
-    override kept(end: AnswerEnd): KeptAnswer {
+    override kept(end: AnswerEnd): StoredAnswer {
         return { status: 200, headers: { "content-type": "application/json" }, body: Buffer.from(this.body(end)) };
     }
 
@@ -134,7 +134,7 @@
         return bufferedLength > this.parts.limits.waitingBytes ? this.waitForDrain() : undefined;
     }
 
-    override kept(end: AnswerEnd): KeptAnswer {
+    override kept(end: AnswerEnd): StoredAnswer {
         const text = this.head + JSON.stringify(this.texts.join("")) + this.tail;
         return {
             status: 200,
--- a/packages/basilpaddle/src/node/daemon/entry/reply.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/reply.ts
@@ -2,11 +2,11 @@
 import {
     callerHeaders,
     errorBody,
-    type KeptAnswer,
     type Outcome,
     type Refusal,
     type RefusalCode,
     refusalStatus,
+    type StoredAnswer,
     wireOutcomes,
 } from "../../protocol/index.js";
 
@@ -75,7 +75,7 @@
 }
 
 /** Replays the recorded answer of an earlier request with the same key. */
-export function sendRecordedAnswer(response: ServerResponse, answer: KeptAnswer): void {
+export function sendRecordedAnswer(response: ServerResponse, answer: StoredAnswer): void {
     response.writeHead(answer.status, {
         ...answer.headers,
         "content-length": answer.body.length,
--- a/packages/basilpaddle/src/node/daemon/entry/services/recordedCall.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/recordedCall.ts
@@ -1,7 +1,12 @@
 import { type ServerResponse } from "node:http";
 import type { Dispatcher } from "undici";
 import { type RequestParts, type Run, untilAborted } from "../../../coordination/request/index.js";
-import { engineRefusalSchema, engineRefusalStatuses, type KeptAnswer, type Outcome } from "../../../protocol/index.js";
+import {
+    engineRefusalSchema,
+    engineRefusalStatuses,
+    type Outcome,
+    type StoredAnswer,
+} from "../../../protocol/index.js";
 import { type ServiceCall, writeHead } from "./serviceCall.js";
 import { endToEnd } from "./serviceHeaders.js";
 
@@ -50,13 +55,17 @@
             request: call.requestId,
             failure: String(failure),
         });
-        await parts.runs.finish(run, "failedAfterStarting", undefined);
+        await parts.runRecords.finish(run, "failedAfterStarting", undefined);
         throw failure;
     }
     const proved = mayProve && length <= maxProofBytes && isNotRunProof(Buffer.concat(chunks));
     const recorded = proved
-        ? parts.runs.release(run)
-        : parts.runs.finish(run, "answered", length <= maxRecordedBytes ? recordedAnswer(answer, chunks) : undefined);
+        ? parts.runRecords.release(run)
+        : parts.runRecords.finish(
+            run,
+            "answered",
+            length <= maxRecordedBytes ? recordedAnswer(answer, chunks) : undefined,
+        );
     await untilAborted(recorded, call.scope.signal, undefined);
     if (!call.response.headersSent) {
         writeHead(call, answer, proved ? "notRun" : undefined);
@@ -67,7 +76,7 @@
 /** Outcome reported to the caller for a call whose answer ended prematurely. */
 export const brokenAnswerOutcome: Outcome = "failedAfterStarting";
 
-function recordedAnswer(answer: Dispatcher.ResponseData, chunks: readonly Buffer[]): KeptAnswer {
+function recordedAnswer(answer: Dispatcher.ResponseData, chunks: readonly Buffer[]): StoredAnswer {
     const all = endToEnd(answer.headers);
     const headers: Record<string, string> = {};
     for (const name of recordedHeaders) {
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceCall.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceCall.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Dispatcher } from "undici";
-import type { Arrived } from "../../../coordination/quarantine/index.js";
+import type { RequestAttempt } from "../../../coordination/quarantine/index.js";
 import type { RequestScope } from "../../../coordination/request/index.js";
 import {
     type Announcement,
@@ -28,7 +28,7 @@
     /** Disposed when the call has ended. */
     readonly store: DisposableStore;
     /** Digest and attempt of the call; undefined where the body isn't known before it is forwarded. */
-    readonly arrived?: Arrived;
+    readonly arrived?: RequestAttempt;
 };
 
 /** Result of sending a call to an instance of its service. */
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceCalls.ts
@@ -1,6 +1,11 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { pipeline } from "node:stream/promises";
-import { type Arrived, digestOf, heldRefusal, lifeOf } from "../../../coordination/quarantine/index.js";
+import {
+    backendIncarnationOf,
+    digestOf,
+    quarantineRefusal,
+    type RequestAttempt,
+} from "../../../coordination/quarantine/index.js";
 import { identifyRun, type RequestParts, type RequestScope, type Run } from "../../../coordination/request/index.js";
 import { type Announcement, callerHeaders, type EntrySettings, type Refusal } from "../../../protocol/index.js";
 import { DisposableStore } from "../../../utils/index.js";
@@ -120,7 +125,7 @@
         }
         const { name } = call.route;
         const content = Buffer.concat([Buffer.from(`${call.request.method} ${call.request.url}\n`), body]);
-        const start = await parts.runs.start(
+        const start = await parts.runRecords.start(
             identifyRun(options.organisation, `/${name}`, options.key, content),
             limit,
         );
@@ -136,7 +141,7 @@
     }
 
     private async runRecorded(call: ServiceCall, run: Run, body: Buffer): Promise<void> {
-        const { runs } = this.parts.request;
+        const { runRecords: runs } = this.parts.request;
         const connections = this.parts.connections;
         const sent = await this.send(call, new Set(), async instance => {
             const connection = connections.createDedicated(instance);
@@ -162,8 +167,8 @@
     ): Promise<SendResult> {
         const { control, marks } = this.parts.request;
         const { name } = call.route;
-        const { crashes, logger } = this.parts.request;
-        const quarantined = call.arrived && heldRefusal(crashes, call.arrived, logger);
+        const { crashDetector: crashes, logger } = this.parts.request;
+        const quarantined = call.arrived && quarantineRefusal(crashes, call.arrived, logger);
         if (quarantined !== undefined) {
             return { kind: "failed", refusal: quarantined };
         }
@@ -190,13 +195,13 @@
 
     private reportLostInstance({ arrived }: ServiceCall, instance: Announcement): void {
         if (arrived !== undefined) {
-            void this.parts.request.crashes.lost(arrived, lifeOf(instance), "whole");
+            void this.parts.request.crashDetector.reportLostRun(arrived, backendIncarnationOf(instance), "whole");
         }
     }
 
     private reportAnswer({ arrived }: ServiceCall, { answer }: Extract<SendResult, { kind: "answer"; }>): void {
         if (arrived !== undefined && answer.statusCode < firstErrorStatus) {
-            this.parts.request.crashes.answered(arrived);
+            this.parts.request.crashDetector.reportAnswered(arrived);
         }
     }
 
@@ -222,7 +227,7 @@
     }
 }
 
-function arrivedOf(call: ServiceCall, options: CallerOptions, body: Buffer | undefined): Arrived {
+function arrivedOf(call: ServiceCall, options: CallerOptions, body: Buffer | undefined): RequestAttempt {
     const { method = "GET", url = "/" } = call.request;
     const digest = digestOf({ caller: options.organisation, method, target: url, body });
     return { digest, attempt: call.requestId };
--- a/packages/basilpaddle/src/node/daemon/gateway/__tests__/placementClient.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/__tests__/placementClient.spec.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { FakeDirectories, until } from "../../../coordination/gateway/__tests__/fakeDirectories.js";
-import { demand, engines, rule } from "../../../coordination/gateway/__tests__/fakes.js";
+import { engines, rule, typicalPlacementRequest } from "../../../coordination/gateway/__tests__/fakes.js";
 import { DirectoryWatcher, InstanceTable } from "../../../coordination/index.js";
 import { createSilentLogger, SystemClock } from "../../../utils/index.js";
 import { PlacementClient } from "../placementClient.js";
@@ -20,7 +20,7 @@
         const clock = SystemClock.create();
         const logger = createSilentLogger();
         const instances = InstanceTable.create();
-        engines(1, 2).forEach(engine => instances.take(engine));
+        engines(1, 2).forEach(engine => instances.apply(engine));
         watcher = DirectoryWatcher.create({
             name: "gateway",
             observer: false,
@@ -44,10 +44,10 @@
     });
 
     const placementRequests = (): number =>
-        directories.all[0]!.placings.filter(placing => placing.kind === "place").length;
+        directories.all[0]!.placementMessages.filter(placing => placing.kind === "place").length;
 
     it("gets placements from the leader", async () => {
-        expect(await placements.requestPlacement(demand("one"), open)).to.include({
+        expect(await placements.requestPlacement(typicalPlacementRequest("one"), open)).to.include({
             decode: "by-leader",
             by: "leader",
         });
@@ -57,10 +57,12 @@
     // for the whole timeout, some of them twice.
     it("places locally if the leader doesn't answer, and lets only one request time out", async () => {
         directories.all[0]!.frozen = true;
-        expect(await placements.requestPlacement(demand("one"), open)).to.include({ by: "alone" });
+        expect(await placements.requestPlacement(typicalPlacementRequest("one"), open)).to.include({ by: "alone" });
         const before = placementRequests();
         const next = await Promise.all(
-            ["two", "three", "four"].map(attempt => placements.requestPlacement(demand(attempt), open)),
+            ["two", "three", "four"].map(attempt =>
+                placements.requestPlacement(typicalPlacementRequest(attempt), open)
+            ),
         );
         expect(next.map(place => place?.kind === "placed" && place.by)).to.deep.equal(["alone", "alone", "alone"]);
         expect(placementRequests() - before).to.be.at.most(1);
@@ -70,16 +72,18 @@
     // after each interval the next request was used to check whether the leader answered again, and waited for the timeout.
     it("doesn't use requests to check whether an unresponsive leader answers again", async () => {
         directories.all[0]!.frozen = true;
-        await placements.requestPlacement(demand("one"), open);
+        await placements.requestPlacement(typicalPlacementRequest("one"), open);
         const before = placementRequests();
         for (let number = 0; number < 12; number++) {
-            expect(await placements.requestPlacement(demand(`next-${number}`), open)).to.include({ by: "alone" });
+            expect(await placements.requestPlacement(typicalPlacementRequest(`next-${number}`), open)).to.include({
+                by: "alone",
+            });
             placements.release(`next-${number}`, {});
             await new Promise(resolve => setTimeout(resolve, 60));
         }
         expect(placementRequests()).to.equal(before);
         directories.all[0]!.frozen = false;
-        await until(() => directories.all[0]!.placings.some(placing => placing.kind === "holdings"));
+        await until(() => directories.all[0]!.placementMessages.some(placing => placing.kind === "holdings"));
     });
 
     it("borrows retries only from a leader that answers", async () => {
@@ -90,18 +94,18 @@
 
     it("returns to the leader after a while, and reports what was placed in the meantime", async () => {
         directories.all[0]!.frozen = true;
-        await placements.requestPlacement(demand("one"), open);
+        await placements.requestPlacement(typicalPlacementRequest("one"), open);
         directories.all[0]!.frozen = false;
         let number = 0;
         let by: string | undefined;
         while (by !== "leader") {
             number += 1;
-            const place = await placements.requestPlacement(demand(`next-${number}`), open);
+            const place = await placements.requestPlacement(typicalPlacementRequest(`next-${number}`), open);
             by = place?.kind === "placed" ? place.by : undefined;
             placements.release(`next-${number}`, {});
             await new Promise(resolve => setTimeout(resolve, 20));
         }
-        const lists = directories.all[0]!.placings.filter(placing => placing.kind === "holdings");
+        const lists = directories.all[0]!.placementMessages.filter(placing => placing.kind === "holdings");
         expect(lists.some(list => list.kind === "holdings" && list.held.some(held => held.demand.attempt === "one"))).to
             .equal(true);
     });
@@ -115,12 +119,12 @@
         directory!.leader = undefined;
         await until(() => watcher.leader() === undefined);
         placements = PlacementClient.create({ ...common, watcher });
-        const waiting = placements.requestPlacement(demand("one"), open);
+        const waiting = placements.requestPlacement(typicalPlacementRequest("one"), open);
         const since = performance.now();
-        expect(await placements.requestPlacement(demand("two"), open)).to.include({ by: "alone" });
+        expect(await placements.requestPlacement(typicalPlacementRequest("two"), open)).to.include({ by: "alone" });
         expect(performance.now() - since).to.be.above(500);
         expect(await waiting).to.include({ by: "alone" });
-        const third = placements.requestPlacement(demand("three"), open);
+        const third = placements.requestPlacement(typicalPlacementRequest("three"), open);
         directory!.leader = name;
         expect(await third).to.include({ by: "leader" });
     });
@@ -131,8 +135,13 @@
     it("sends requests that wait for a local placement to the leader once there is one", async () => {
         directories.all[0]!.frozen = true;
         const large = { cacheTokens: 34_000 };
-        await Promise.all(["one", "two"].map(attempt => placements.requestPlacement(demand(attempt, large), open)));
-        const third = placements.requestPlacement(demand("three", { ...large, patienceWithin: 5_000 }), open);
+        await Promise.all(
+            ["one", "two"].map(attempt => placements.requestPlacement(typicalPlacementRequest(attempt, large), open)),
+        );
+        const third = placements.requestPlacement(
+            typicalPlacementRequest("three", { ...large, patienceWithin: 5_000 }),
+            open,
+        );
         await new Promise(resolve => setTimeout(resolve, 50));
         directories.all[0]!.frozen = false;
         expect(await third).to.include({ decode: "by-leader", by: "leader" });
@@ -141,9 +150,9 @@
     it("withdraws the request of a caller that disconnects", async () => {
         const caller = new AbortController();
         directories.all[0]!.frozen = true;
-        const reserved = placements.requestPlacement(demand("one"), caller.signal);
+        const reserved = placements.requestPlacement(typicalPlacementRequest("one"), caller.signal);
         caller.abort();
         expect(await reserved).to.equal(undefined);
-        expect(directories.all[0]!.placings.at(-1)).to.deep.equal({ kind: "withdraw", attempt: "one" });
+        expect(directories.all[0]!.placementMessages.at(-1)).to.deep.equal({ kind: "withdraw", attempt: "one" });
     });
 });
--- a/packages/basilpaddle/src/node/daemon/gateway/backendSender.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/backendSender.ts
@@ -1,5 +1,5 @@
-import type { CallTally, CrashWatch, InstanceTable, LinkQuality, ServerChoice } from "../../coordination/index.js";
-import { type Announced, serverName, type ServiceRule } from "../../protocol/index.js";
+import type { CallTally, CrashDetector, InstanceTable, LinkQuality, ServerChoice } from "../../coordination/index.js";
+import { type ServerAnnouncement, serverName, type ServiceRule } from "../../protocol/index.js";
 import type { Clock, Logger, Metrics } from "../../utils/index.js";
 import {
     type BackendAnswer,
@@ -10,7 +10,7 @@
     isAnswer,
 } from "../backends/index.js";
 import type { CallerRequest } from "./callerRequest.js";
-import type { AnswerFacts, GatewayWire, RunFacts } from "./gatewayWire.js";
+import type { AnswerMetadata, GatewayWire, RunMetadata } from "./gatewayWire.js";
 import type { RetryAllowance } from "./retryAllowance.js";
 
 const misdirectedStatus = 421;
@@ -31,7 +31,7 @@
     /** Reports to the leading directory that an incarnation has ended. */
     readonly reportEnded: (instance: string) => void;
     /** Detects backend servers that crash while running a request. */
-    readonly crashes: CrashWatch;
+    readonly crashes: CrashDetector;
     /** How many requests may be sent to another backend server. */
     readonly retryAllowance: RetryAllowance;
     /** Number of gateways of the deployment. */
@@ -41,7 +41,7 @@
 /** Result of sending a request to one backend server. */
 export type SendResult =
     /** The head of an answer to this request. */
-    | { readonly kind: "answer"; readonly answer: BackendAnswer; readonly facts: AnswerFacts; }
+    | { readonly kind: "answer"; readonly answer: BackendAnswer; readonly facts: AnswerMetadata; }
     /** It has not run there: it was rejected, or nothing was sent. */
     | { readonly kind: "notRun"; readonly cause: string; readonly unreachable: boolean; readonly status?: number; }
     /** It may have run. */
@@ -58,13 +58,13 @@
     /** Sends the caller's request with this system's own headers. */
     async send(
         request: CallerRequest,
-        server: Announced,
+        server: ServerAnnouncement,
         service: ServiceRule,
-        facts: Omit<RunFacts, "attempt" | "deadlineWithin" | "instance">,
+        facts: Omit<RunMetadata, "attempt" | "deadlineWithin" | "instance">,
         signal: AbortSignal,
     ): Promise<SendResult> {
         const { wire, connections, gateways } = this.parts;
-        const ownHeaders = wire.run({
+        const ownHeaders = wire.runHeaders({
             ...facts,
             attempt: request.facts.attempt,
             deadlineWithin: Math.max(1, Math.floor(request.left())),
@@ -86,8 +86,8 @@
         return isAnswer(result) ? this.classify(request, server, result) : failureResult(result);
     }
 
-    private classify(request: CallerRequest, server: Announced, answer: BackendAnswer): SendResult {
-        const facts = this.parts.wire.answer(answer.status, answer.headers);
+    private classify(request: CallerRequest, server: ServerAnnouncement, answer: BackendAnswer): SendResult {
+        const facts = this.parts.wire.parseAnswer(answer.status, answer.headers);
         if (facts.attempt !== undefined && facts.attempt !== request.facts.attempt) {
             // A second answer to an earlier request on the connection: all later answers would be off by one.
             discard(answer);
@@ -102,7 +102,7 @@
                 address: server.address,
             });
             this.parts.instances.end(server.id);
-            this.parts.connections.forget(server.id);
+            this.parts.connections.closeConnections(server.id);
             // Otherwise each gateway would detect it by a request of its own, and spend a retry on it.
             this.parts.reportEnded(server.id);
         }
--- a/packages/basilpaddle/src/node/daemon/gateway/callerRequest.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/callerRequest.ts
@@ -2,7 +2,7 @@
 import { digestOf } from "../../coordination/index.js";
 import type { CallerLimits, TrafficRoute } from "../../protocol/index.js";
 import type { BackendAnswer } from "../backends/index.js";
-import type { CallerFacts } from "./gatewayWire.js";
+import type { CallerMetadata } from "./gatewayWire.js";
 import { endToEndHeaders } from "./headers.js";
 
 /** Minimum of the Retry-After header, and the step that it is rounded to. */
@@ -32,7 +32,7 @@
     private constructor(
         readonly incoming: http.IncomingMessage,
         private readonly response: http.ServerResponse,
-        readonly facts: CallerFacts,
+        readonly facts: CallerMetadata,
         readonly route: TrafficRoute,
         readonly body: Buffer | undefined,
         readonly arrivedAt: number,
@@ -49,7 +49,7 @@
     static create(parts: {
         readonly incoming: http.IncomingMessage;
         readonly response: http.ServerResponse;
-        readonly facts: CallerFacts;
+        readonly facts: CallerMetadata;
         readonly route: TrafficRoute;
         readonly body: Buffer | undefined;
         readonly arrivedAt: number;
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
@@ -1,16 +1,16 @@
 import * as http from "node:http";
 import {
     CallTally,
-    CrashWatch,
+    CrashDetector,
     DirectoryWatcher,
-    HeldRequests,
     InstanceTable,
     LinkQuality,
+    QuarantinedRequests,
     RouteTable,
     ServerChoice,
 } from "../../coordination/index.js";
 import { type GatewaySettings, seedNames, type TrafficRoute } from "../../protocol/index.js";
-import { listens, TcpNetwork } from "../../transport/index.js";
+import { probeListening, TcpNetwork } from "../../transport/index.js";
 import { DisposableStore, type Metrics } from "../../utils/index.js";
 import { BackendConnections } from "../backends/index.js";
 import type { RoutingOptions } from "../routingOptions.js";
@@ -53,8 +53,8 @@
     private readonly retries: RetryAllowance;
     private readonly connections: BackendConnections;
     /** Requests that backend servers crashed on. */
-    readonly held: HeldRequests;
-    private readonly crashDetector: CrashWatch;
+    readonly quarantinedRequests: QuarantinedRequests;
+    private readonly crashDetector: CrashDetector;
     private readonly watcher: DirectoryWatcher;
     private readonly placementClient: PlacementClient;
     private readonly exchangeDependencies: ExchangeDependencies;
@@ -69,21 +69,21 @@
         this.retries = RetryAllowance.create({
             rules: settings.repeats,
             clock,
-            sharers: () => this.watcher.mostGateways(),
+            sharers: () => this.watcher.highestRecentGateways(),
             borrow: service => this.placementClient.borrowRetry(service),
         });
         this.connections = BackendConnections.create(logger);
         this.store.add(() => this.connections.close());
-        this.held = HeldRequests.create({
+        this.quarantinedRequests = QuarantinedRequests.create({
             rules: settings.holds,
-            tell: records => this.watcher.report(records),
+            publishRecords: records => this.watcher.report(records),
             clock,
             logger,
         });
-        this.crashDetector = CrashWatch.create({
-            held: this.held,
+        this.crashDetector = CrashDetector.create({
+            quarantine: this.quarantinedRequests,
             isGone: id => this.instances.isGone(id),
-            listens,
+            listens: probeListening,
             clock,
             logger,
             metrics,
@@ -98,10 +98,10 @@
             clock,
             logger,
             settleTime: options.settleTime,
-            onAnnounced: announced => this.instances.take(announced),
+            onAnnounced: announced => this.instances.apply(announced),
             borrowed: () => this.retries.borrowed(),
-            onCrashes: records => void this.held.merge(records),
-            knownCrashes: () => this.held.all(),
+            onCrashes: records => void this.quarantinedRequests.merge(records),
+            knownCrashes: () => this.quarantinedRequests.all(),
             onDocument: (version, content) => this.configure(version, content),
         });
         this.store.add(() => this.watcher.close());
@@ -110,7 +110,7 @@
             watcher: this.watcher,
             instances: this.instances,
             engineRule: service => this.routeTable?.service(service)?.engine,
-            calls: () => this.tally.take(clock.monotonic()),
+            calls: () => this.tally.takeCounts(clock.monotonic()),
             clock,
             logger,
         });
@@ -188,7 +188,7 @@
     /** Sets the gauges of a gateway. */
     measure(metrics: Metrics): void {
         this.instances.measure(metrics);
-        this.held.measure(metrics);
+        this.quarantinedRequests.measure(metrics);
     }
 
     private async open(): Promise<void> {
@@ -217,7 +217,7 @@
 
     private configure(version: number, content: string): void {
         const { wire, logger, clock } = this.options;
-        wire.traffic(content).caseOf<void>({
+        wire.parseTraffic(content).caseOf<void>({
             Left: findings => {
                 logger.error("cannot parse a stored configuration", { version, findings });
             },
@@ -254,7 +254,7 @@
         arrivedAt: number,
     ): Promise<void> {
         const { wire, clock } = this.options;
-        const table = this.routeTable ?? await this.awaitRouteTable(wire.caller(incoming.headers).deadlineWithin);
+        const table = this.routeTable ?? await this.awaitRouteTable(wire.parseCaller(incoming.headers).deadlineWithin);
         if (table === undefined) {
             const retry = { "Retry-After": String(unconfiguredRetryAfterSeconds) };
             this.rejectRequest(incoming, response, 503, "no configuration received yet", retry);
@@ -270,7 +270,7 @@
             this.rejectRequest(incoming, response, 404, "no route matches the request");
             return;
         }
-        const facts = wire.caller(incoming.headers);
+        const facts = wire.parseCaller(incoming.headers);
         const body = await readBody(incoming, limits);
         if (body === "tooLarge") {
             this.rejectRequest(incoming, response, 413, `the body is larger than ${limits.bodyBytes} bytes`);
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayWire.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayWire.ts
@@ -4,7 +4,7 @@
 import type { EngineCall } from "../backends/index.js";
 
 /** Metadata that a caller sends with its request beside method, path and body. */
-export type CallerFacts = {
+export type CallerMetadata = {
     /** Identifier of this attempt; undefined if the caller sent none. */
     readonly attempt: string | undefined;
     /** Milliseconds that the caller will wait, counted from when it sent the request. */
@@ -16,7 +16,7 @@
 };
 
 /** Metadata that this system sends to a backend server in addition to the caller's headers. */
-export type RunFacts = {
+export type RunMetadata = {
     readonly attempt: string | undefined;
     /** Milliseconds left until the deadline. */
     readonly deadlineWithin: number;
@@ -31,7 +31,7 @@
 };
 
 /** Metadata in the head of a backend server's answer. */
-export type AnswerFacts = {
+export type AnswerMetadata = {
     /** The attempt that it answers. */
     readonly attempt: string | undefined;
     /** Whether it carries the backend server's seal of a complete answer. */
@@ -51,20 +51,20 @@
     abstract readonly reserved: ReadonlySet<string>;
 
     /** Parses a caller's headers. */
-    abstract caller(headers: IncomingHttpHeaders): CallerFacts;
+    abstract parseCaller(headers: IncomingHttpHeaders): CallerMetadata;
 
     /** Headers that replace those of the same names in the caller's request. */
-    abstract run(facts: RunFacts): Readonly<Record<string, string>>;
+    abstract runHeaders(facts: RunMetadata): Readonly<Record<string, string>>;
 
     /** Parses the head of an answer. */
-    abstract answer(status: number, headers: Readonly<Record<string, string | undefined>>): AnswerFacts;
+    abstract parseAnswer(status: number, headers: Readonly<Record<string, string | undefined>>): AnswerMetadata;
 
     /** Parses the answer to a prefill; returns the handle of the KV cache, undefined if there is none. */
-    abstract prefilled(body: string): string | undefined;
+    abstract parsePrefill(body: string): string | undefined;
 
     /** The call that frees a prompt's unused KV cache. */
     abstract dropHandle(handle: string): EngineCall;
 
     /** Parses a configuration; Left holds the findings. */
-    abstract traffic(content: string): Either<readonly Finding[], Traffic>;
+    abstract parseTraffic(content: string): Either<readonly Finding[], Traffic>;
 }
--- a/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
@@ -1,9 +1,14 @@
-import { type DirectoryWatcher, EnginePlaces, type InstanceTable, placingAlone } from "../../coordination/index.js";
+import {
+    type DirectoryWatcher,
+    type InstanceTable,
+    localPlacementTuning,
+    PlacementQueue,
+} from "../../coordination/index.js";
 import {
     type EngineRule,
-    type PlaceDecision,
-    type PlaceDemand,
-    type PlaceEnd,
+    type PlacementDecision,
+    type PlacementOutcome,
+    type PlacementRequest,
     type ServerCalls,
 } from "../../protocol/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
@@ -32,12 +37,12 @@
 const localReviewIntervalMilliseconds = 25;
 
 /** A placement on engines, and whether the leader or this gateway alone granted it. */
-export type PlacementGrant = Extract<PlaceDecision, { kind: "placed"; }> & { readonly by: "leader" | "alone"; };
+export type PlacementGrant = Extract<PlacementDecision, { kind: "placed"; }> & { readonly by: "leader" | "alone"; };
 /** A granted or refused placement; undefined if the caller disconnected in the meantime. */
-export type PlacementResult = PlacementGrant | Extract<PlaceDecision, { kind: "refused"; }> | undefined;
+export type PlacementResult = PlacementGrant | Extract<PlacementDecision, { kind: "refused"; }> | undefined;
 
-type HeldGrant = { readonly demand: PlaceDemand; readonly decode: string; };
-type DecisionCallback = (decision: PlaceDecision) => void;
+type HeldGrant = { readonly demand: PlacementRequest; readonly decode: string; };
+type DecisionCallback = (decision: PlacementDecision) => void;
 
 /** Dependencies of the placement client. */
 export type PlacementClientOptions = {
@@ -58,7 +63,7 @@
  */
 export class PlacementClient {
     private readonly heldGrants = new Map<string, HeldGrant>();
-    private readonly localPools = new Map<string, EnginePlaces>();
+    private readonly localPools = new Map<string, PlacementQueue>();
     private readonly localCallbacks = new Map<string, DecisionCallback>();
     private readonly cancels: (() => void)[] = [];
     private readonly leader: PlacementLeader;
@@ -88,7 +93,7 @@
     }
 
     /** Requests a placement until there is a decision. When the signal aborts, the request is withdrawn. */
-    async requestPlacement(request: PlaceDemand, signal: AbortSignal): Promise<PlacementResult> {
+    async requestPlacement(request: PlacementRequest, signal: AbortSignal): Promise<PlacementResult> {
         const { clock } = this.options;
         const askedAt = clock.monotonic();
         while (!signal.aborted) {
@@ -126,11 +131,11 @@
     /** Reports that the prefill of an attempt is done. */
     prefilled(attempt: string): void {
         this.leader.send({ kind: "prefilled", attempt });
-        this.localPools.forEach(pool => pool.prefilled(attempt, this.options.clock.monotonic()));
+        this.localPools.forEach(pool => pool.prefillCompleted(attempt, this.options.clock.monotonic()));
     }
 
     /** Releases a placement. */
-    release(attempt: string, end: PlaceEnd): void {
+    release(attempt: string, end: PlacementOutcome): void {
         this.heldGrants.delete(attempt);
         this.leader.send({ kind: "release", attempt, end });
         const now = this.options.clock.monotonic();
@@ -152,7 +157,7 @@
         this.cancels.forEach(cancel => cancel());
     }
 
-    private accept(request: PlaceDemand, decision: PlaceDecision, by: PlacementGrant["by"]): PlacementResult {
+    private accept(request: PlacementRequest, decision: PlacementDecision, by: PlacementGrant["by"]): PlacementResult {
         if (decision.kind === "refused") {
             return decision;
         }
@@ -171,7 +176,7 @@
      * that were waiting when a leader was elected would still wait for this gateway's share of the engines: after a power
      * loss of the whole deployment, some first events came a second later than necessary.
      */
-    private placeLocally(request: PlaceDemand, signal: AbortSignal): Promise<PlacementResult | "waiting"> {
+    private placeLocally(request: PlacementRequest, signal: AbortSignal): Promise<PlacementResult | "waiting"> {
         const pool = this.localPool(request.service);
         if (pool === undefined) {
             const reason = "the service has no engine rule";
@@ -202,14 +207,14 @@
         });
     }
 
-    private localPool(service: string): EnginePlaces | undefined {
+    private localPool(service: string): PlacementQueue | undefined {
         const rule = this.options.engineRule(service);
         if (rule === undefined) {
             return undefined;
         }
         let pool = this.localPools.get(service);
         if (pool === undefined) {
-            pool = EnginePlaces.create({ ...placingAlone, share: 1 });
+            pool = PlacementQueue.create({ ...localPlacementTuning, share: 1 });
             this.localPools.set(service, pool);
         }
         const now = this.options.clock.monotonic();
@@ -225,7 +230,7 @@
         this.localPools.forEach(pool => this.settleLocal(pool.review(now)));
     }
 
-    private settleLocal(decisions: readonly PlaceDecision[]): void {
+    private settleLocal(decisions: readonly PlacementDecision[]): void {
         for (const decision of decisions) {
             const settle = this.localCallbacks.get(decision.attempt);
             this.localCallbacks.delete(decision.attempt);
--- a/packages/basilpaddle/src/node/daemon/gateway/placementLeader.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementLeader.ts
@@ -1,5 +1,10 @@
 import type { DirectoryWatcher } from "../../coordination/index.js";
-import { type PlaceDemand, type Placing, type PlacingAnswer, placingAnswerSchema } from "../../protocol/index.js";
+import {
+    type PlacementMessage,
+    type PlacementReply,
+    placementReplySchema,
+    type PlacementRequest,
+} from "../../protocol/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
 import { LeaderTimeout } from "./leaderTimeout.js";
 
@@ -7,7 +12,7 @@
 const borrowTimeoutMilliseconds = 150;
 
 /** The leader's answer to a placement request: its decision, or that the request is queued there. */
-export type LeaderAnswer = Extract<PlacingAnswer, { kind: "decided" | "waiting"; }>;
+export type LeaderAnswer = Extract<PlacementReply, { kind: "decided" | "waiting"; }>;
 
 /** Dependencies of the connection to the leader. */
 export type PlacementLeaderOptions = {
@@ -44,7 +49,7 @@
     }
 
     /** Requests a placement; undefined if no leader answers. */
-    async requestPlacement(demand: PlaceDemand): Promise<LeaderAnswer | undefined> {
+    async requestPlacement(demand: PlacementRequest): Promise<LeaderAnswer | undefined> {
         const { watcher, clock } = this.options;
         const leader = watcher.leader();
         const askedAt = clock.monotonic();
@@ -85,7 +90,7 @@
     }
 
     /** Sends a message that has no reply. */
-    send(message: Placing): void {
+    send(message: PlacementMessage): void {
         const leader = this.options.watcher.leader();
         if (leader !== undefined) {
             this.options.watcher.link(leader)?.send(message);
@@ -94,12 +99,12 @@
 
     private async request(
         leader: string | undefined,
-        message: Placing,
+        message: PlacementMessage,
         timeout: number,
-    ): Promise<PlacingAnswer | undefined> {
+    ): Promise<PlacementReply | undefined> {
         const link = leader === undefined ? undefined : this.options.watcher.link(leader);
         const answer = await link?.request(message, timeout);
-        return placingAnswerSchema.safeParse(answer?.toMaybe().extract()).data;
+        return placementReplySchema.safeParse(answer?.toMaybe().extract()).data;
     }
 
     private recordAnswer(leader: string | undefined, term: number, askedAt: number): void {
--- a/packages/basilpaddle/src/node/daemon/gateway/placementRequest.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementRequest.ts
@@ -1,4 +1,4 @@
-import type { LinkStalls, PlaceDemand } from "../../protocol/index.js";
+import type { LinkStalls, PlacementRequest } from "../../protocol/index.js";
 import type { CallerRequest } from "./callerRequest.js";
 
 /** How long a caller waits for the first event, as a multiple of its target, and the minimum of that time. */
@@ -19,7 +19,7 @@
     gateway: { readonly name: string; readonly failureDomain: string; },
     avoid: readonly string[],
     linkStalls: LinkStalls = [],
-): PlaceDemand {
+): PlacementRequest {
     const { facts, route } = request;
     const answer = Math.min(
         facts.maxTokens,
--- a/packages/basilpaddle/src/node/daemon/gateway/prefilledPrompt.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/prefilledPrompt.ts
@@ -1,4 +1,4 @@
-import type { Announced, ServiceRule } from "../../protocol/index.js";
+import type { ServerAnnouncement, ServiceRule } from "../../protocol/index.js";
 import { drain, isAnswer } from "../backends/index.js";
 import type { ExchangeDependencies } from "./backendSender.js";
 
@@ -32,7 +32,11 @@
 }
 
 /** A prompt whose KV cache waits at its prefill engine for a decode engine. */
-export type PrefilledPrompt = { readonly engine: Announced; readonly handle: string; readonly prefilledAt: number; };
+export type PrefilledPrompt = {
+    readonly engine: ServerAnnouncement;
+    readonly handle: string;
+    readonly prefilledAt: number;
+};
 
 /** Frees the KV cache of a prompt that won't be decoded: otherwise it takes up memory until it expires. */
 export function freePromptCache(parts: ExchangeDependencies, service: ServiceRule, prompt: PrefilledPrompt): void {
--- a/packages/basilpaddle/src/node/daemon/gateway/refuseQuarantined.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/refuseQuarantined.ts
@@ -1,4 +1,4 @@
-import { type CrashWatch, describeCrashes, quarantineReason } from "../../coordination/index.js";
+import { type CrashDetector, describeCrashes, quarantineReason } from "../../coordination/index.js";
 import type { Metrics } from "../../utils/index.js";
 import type { CallerRequest } from "./callerRequest.js";
 
@@ -7,12 +7,12 @@
  * early as possible, so that no work is spent on a request that must not run.
  */
 export function refuseQuarantined(
-    { crashes, metrics }: { readonly crashes: CrashWatch; readonly metrics: Metrics; },
+    { crashes, metrics }: { readonly crashes: CrashDetector; readonly metrics: Metrics; },
     request: CallerRequest,
     hasRun: boolean,
     trace: string[],
 ): boolean {
-    const hold = crashes.hold(request);
+    const hold = crashes.quarantineStatus(request);
     if (hold === undefined) {
         return false;
     }
--- a/packages/basilpaddle/src/node/daemon/gateway/retryAllowance.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/retryAllowance.ts
@@ -1,9 +1,9 @@
-import { RepeatBudget, type RepeatBudgetRules } from "../../coordination/index.js";
+import { type RetryBudgetRules, ServiceRetryBudget } from "../../coordination/index.js";
 import type { Clock } from "../../utils/index.js";
 
 /** Dependencies of the allowance. */
 export type RetryAllowanceOptions = {
-    readonly rules: RepeatBudgetRules;
+    readonly rules: RetryBudgetRules;
     readonly clock: Clock;
     /** Upper bound of the number of gateways that share the allowance. */
     readonly sharers: () => number;
@@ -13,9 +13,9 @@
 
 /** The retry allowance of each service: this gateway's own share first, then retries that the leader lends. */
 export class RetryAllowance {
-    private readonly budgets = new Map<string, RepeatBudget>();
+    private readonly budgets = new Map<string, ServiceRetryBudget>();
     /** Retries that the leader lent, to be reported to the next leader. */
-    private readonly loans = new Map<string, RepeatBudget>();
+    private readonly loans = new Map<string, ServiceRetryBudget>();
 
     private constructor(private readonly options: RetryAllowanceOptions) {}
 
@@ -36,7 +36,8 @@
         }
         const granted = await borrow(service);
         if (granted) {
-            const loans = this.loans.get(service) ?? RepeatBudget.create({ ...rules, slack: Number.POSITIVE_INFINITY });
+            const loans = this.loans.get(service)
+                ?? ServiceRetryBudget.create({ ...rules, slack: Number.POSITIVE_INFINITY });
             this.loans.set(service, loans);
             loans.take(this.now(), 1);
         }
@@ -54,10 +55,10 @@
         this.budget(service).giveBack(this.now());
     }
 
-    private budget(service: string): RepeatBudget {
+    private budget(service: string): ServiceRetryBudget {
         let budget = this.budgets.get(service);
         if (budget === undefined) {
-            budget = RepeatBudget.create(this.options.rules);
+            budget = ServiceRetryBudget.create(this.options.rules);
             this.budgets.set(service, budget);
         }
         return budget;
--- a/packages/basilpaddle/src/node/daemon/gateway/serviceExchange.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/serviceExchange.ts
@@ -1,6 +1,6 @@
 import type { CallOutcome } from "../../coordination/index.js";
-import type { Announced, ServiceRule } from "../../protocol/index.js";
-import { type BackendAnswer, discard, wholeBody } from "../backends/index.js";
+import type { ServerAnnouncement, ServiceRule } from "../../protocol/index.js";
+import { type BackendAnswer, discard, readWholeBody } from "../backends/index.js";
 import { BackendSender, type ExchangeDependencies, type SendResult } from "./backendSender.js";
 import type { CallerRequest } from "./callerRequest.js";
 import { refuseQuarantined } from "./refuseQuarantined.js";
@@ -80,7 +80,7 @@
         this.giveUp(last);
     }
 
-    private nextServer(): Announced | undefined {
+    private nextServer(): ServerAnnouncement | undefined {
         const { instances, choice, clock } = this.parts;
         return choice.choose(instances.usable(this.service.name), this.tried, clock.monotonic());
     }
@@ -89,7 +89,7 @@
      * Waits until a first backend server is known: after a restart of every directory, the servers' heartbeats arrive again
      * within about a second. A caller that was refused at once would spend its only retry before that.
      */
-    private async firstServer(): Promise<Announced | undefined> {
+    private async firstServer(): Promise<ServerAnnouncement | undefined> {
         const { clock } = this.parts;
         const until = clock.monotonic() + this.request.left() * firstServerWaitFraction;
         while (clock.monotonic() < until && !this.request.isGone()) {
@@ -121,7 +121,7 @@
         }
     }
 
-    private async sendTo(server: Announced): Promise<ServerResult> {
+    private async sendTo(server: ServerAnnouncement): Promise<ServerResult> {
         const { request, parts } = this;
         const { clock, choice, tally } = parts;
         const startedAt = clock.monotonic();
@@ -149,7 +149,7 @@
      * Timeout in milliseconds of one backend server. Without it a hanging server would block a request that another one
      * could still answer in time. A request that may run only once gets all of its remaining time.
      */
-    private serverTimeout(server: Announced): number {
+    private serverTimeout(server: ServerAnnouncement): number {
         const { request, parts } = this;
         const { route } = request;
         const others = new Set([...this.tried, server.id]);
@@ -158,7 +158,7 @@
         return mayAskAnother ? Math.min(request.left(), serverTimeoutFactor * route.target) : request.left();
     }
 
-    private async classify(server: Announced, sent: SendResult): Promise<[ServerResult, CallOutcome]> {
+    private async classify(server: ServerAnnouncement, sent: SendResult): Promise<[ServerResult, CallOutcome]> {
         if (sent.kind === "notRun") {
             this.tried.add(server.id);
             return [{ kind: "next", ran: false, cause: sent.cause }, sent.unreachable ? "unreachable" : "rejected"];
@@ -175,7 +175,7 @@
             discard(answer);
             return [{ kind: "next", ran: true, cause: "the answer has no seal" }, "failed"];
         }
-        const body = await wholeBody(answer, maxAnswerBytes);
+        const body = await readWholeBody(answer, maxAnswerBytes);
         if (body === undefined) {
             this.reportPossibleCrash(server);
             return [{ kind: "next", ran: true, cause: "the answer was cut off" }, "failed"];
@@ -185,14 +185,14 @@
             return [{ kind: "next", ran: true, cause: `status ${status}`, give }, "failed"];
         }
         give();
-        this.parts.crashes.answered(this.request);
+        this.parts.crashes.reportAnswered(this.request);
         return [{ kind: "done" }, "answered"];
     }
 
     /** Reports that the server may have crashed while running the request. */
-    private reportPossibleCrash(server: Announced): void {
+    private reportPossibleCrash(server: ServerAnnouncement): void {
         if (!this.request.isGone()) {
-            void this.parts.crashes.lost(this.request, server, "whole");
+            void this.parts.crashes.reportLostRun(this.request, server, "whole");
         }
     }
 
--- a/packages/basilpaddle/src/node/daemon/gateway/streamExchange.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/streamExchange.ts
@@ -1,6 +1,6 @@
-import { PauseWatch } from "../../coordination/index.js";
-import type { Announced, PlaceEnd, ServiceRule } from "../../protocol/index.js";
-import { type BackendAnswer, discard, wholeBody } from "../backends/index.js";
+import { StallDetector } from "../../coordination/index.js";
+import type { PlacementOutcome, ServerAnnouncement, ServiceRule } from "../../protocol/index.js";
+import { type BackendAnswer, discard, readWholeBody } from "../backends/index.js";
 import { awaitEngines } from "./awaitEngines.js";
 import { BackendSender, type ExchangeDependencies } from "./backendSender.js";
 import type { CallerRequest } from "./callerRequest.js";
@@ -125,7 +125,7 @@
     }
 
     /** Uses a placement for the prefill and the run; returns what to report on its release. */
-    private async useGrant(grant: PlacementGrant): Promise<PlaceEnd> {
+    private async useGrant(grant: PlacementGrant): Promise<PlacementOutcome> {
         const { instances } = this.parts;
         await awaitEngines(this.parts, grant, () => this.request.isGone());
         const decode = instances.get(grant.decode);
@@ -162,17 +162,19 @@
      * caller disconnected. A failed engine gets no work for a while, and many callers disconnect during a burst.
      */
     private async prefillAt(
-        prefill: Announced,
+        prefill: ServerAnnouncement,
         forecast: number | undefined,
         reportPrefill: ReportSendOutcome,
-    ): Promise<PlaceEnd | undefined> {
+    ): Promise<PlacementOutcome | undefined> {
         const { request, parts, placementClient } = this;
         const startedAt = this.now();
         const limit = TimeLimit.create(parts.clock, prefillTimeout(request, forecast), request.disconnected.signal);
         try {
             const sent = await this.sender.send(request, prefill, this.service, { prefillOnly: true }, limit.signal);
             const handle = sent.kind === "answer" && sent.answer.status === 200
-                ? parts.wire.prefilled((await wholeBody(sent.answer, maxShortAnswerBytes))?.toString("utf8") ?? "")
+                ? parts.wire.parsePrefill(
+                    (await readWholeBody(sent.answer, maxShortAnswerBytes))?.toString("utf8") ?? "",
+                )
                 : undefined;
             this.path.push(`read ${prefill.id} ${handle === undefined ? "failed" : "done"} ${this.since(startedAt)}`);
             if (handle !== undefined) {
@@ -182,7 +184,7 @@
                 return undefined;
             }
             if (sent.kind === "unknown" && !request.isGone()) {
-                void parts.crashes.lost(request, prefill, "early");
+                void parts.crashes.reportLostRun(request, prefill, "early");
             }
             const unreached = sent.kind === "notRun" && sent.unreachable;
             reportPrefill(unreached ? "unreached" : handle === undefined ? "counted" : "read");
@@ -199,7 +201,7 @@
         }
     }
 
-    private async runAt(decode: Announced, reportRun: ReportSendOutcome): Promise<PlaceEnd> {
+    private async runAt(decode: ServerAnnouncement, reportRun: ReportSendOutcome): Promise<PlacementOutcome> {
         const startedAt = this.now();
         const eventsBefore = this.relay.events();
         const end = await this.runOnce(decode);
@@ -218,7 +220,7 @@
             case "turnedAway":
                 return this.afterRejection(decode, end);
             case "lost":
-                void this.parts.crashes.lost(
+                void this.parts.crashes.reportLostRun(
                     this.request,
                     decode,
                     this.relay.events() === eventsBefore ? "early" : "late",
@@ -235,7 +237,10 @@
      * Continues after an engine rejected the run. The prompt's KV cache is offered to one more engine. If that rejects it
      * too, the next decode engine runs the prefill itself: a separate prefill would waste as much again if caches expire.
      */
-    private afterRejection(decode: Announced, end: Extract<RunEnd, { kind: "turnedAway"; }>): PlaceEnd {
+    private afterRejection(
+        decode: ServerAnnouncement,
+        end: Extract<RunEnd, { kind: "turnedAway"; }>,
+    ): PlacementOutcome {
         const { prompt } = this;
         this.retryElsewhere(decode.id, end.cause);
         if (end.unreachable) {
@@ -252,7 +257,7 @@
         return { turnedAwayBy: decode.id, readBy: prompt.engine.id };
     }
 
-    private async runOnce(decode: Announced): Promise<RunEnd> {
+    private async runOnce(decode: ServerAnnouncement): Promise<RunEnd> {
         const { request, prompt, relay, parts } = this;
         const limit = TimeLimit.create(parts.clock, request.left(), request.disconnected.signal);
         const clearHead = this.canResume() ? parts.clock.after(headLimitMilliseconds, () => limit.expire()) : undefined;
@@ -293,7 +298,7 @@
 
     /** Forwards the engine's error, unless the answer has begun or the status would guarantee that the request didn't run. */
     private async forwardFailure(answer: BackendAnswer): Promise<RunEnd> {
-        const body = await wholeBody(answer, maxShortAnswerBytes);
+        const body = await readWholeBody(answer, maxShortAnswerBytes);
         const { status } = answer;
         const claimsNotRun = status === 503 || status === 429 || status === 408 || status === 421;
         if (body === undefined || claimsNotRun || this.request.hasBegun()) {
@@ -303,9 +308,9 @@
         return { kind: "failureGiven" };
     }
 
-    private async stream(decode: Announced, answer: BackendAnswer, signal: AbortSignal): Promise<RunEnd> {
+    private async stream(decode: ServerAnnouncement, answer: BackendAnswer, signal: AbortSignal): Promise<RunEnd> {
         const { request, relay, parts } = this;
-        const pauses = PauseWatch.create();
+        const pauses = StallDetector.create();
         const onBytes = (): void => parts.links.event(decode, pauses.event(this.now()), this.now());
         const end = await relay.forward(answer, this.canResume() ? idleLimitMilliseconds : undefined, signal, onBytes);
         if (pauses.longest() > (request.route.gap ?? Number.POSITIVE_INFINITY)) {
@@ -316,11 +321,11 @@
         }
         request.finishStream();
         if (answer.framed) {
-            parts.crashes.answered(request);
+            parts.crashes.reportAnswered(request);
         }
         else {
             // The answer ended with its connection: a regular end and a crash of the engine look the same.
-            void parts.crashes.lost(request, decode, "late");
+            void parts.crashes.reportLostRun(request, decode, "late");
         }
         return { kind: "done" };
     }
--- a/packages/basilpaddle/src/node/daemon/operators/controlOperations.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/controlOperations.ts
@@ -31,7 +31,7 @@
     async handle(request: OperatorRequest): Promise<ControlAnswer> {
         const changing = request.kind === "apply" || request.kind === "drain";
         const leading = await this.leads();
-        const { leader } = this.status().standing();
+        const { leader } = this.status().replicaStatus();
         const answer = changing && !leading
             ? failure("notLeader", `${this.options.name} doesn't lead`)
             : await this.answer(request, leading);
@@ -40,7 +40,8 @@
 
     // A leader whose process was suspended may not know that it was replaced, and would report its old state as current.
     private async leads(): Promise<boolean> {
-        return this.status().standing().leading && await this.status().confirmLeadership(leadershipTimeoutMilliseconds);
+        return this.status().replicaStatus().leading
+            && await this.status().confirmLeadership(leadershipTimeoutMilliseconds);
     }
 
     private async answer(request: OperatorRequest, leading: boolean): Promise<OperatorAnswer> {
@@ -111,7 +112,7 @@
 }
 
 function deploymentStatus(name: string, status: ControlStatus, leading: boolean): DeploymentStatus {
-    const replica = status.standing();
+    const replica = status.replicaStatus();
     const { revision, inForceEverywhere, waitingFor } = status.configuration();
     return {
         answeredBy: name,
--- a/packages/basilpaddle/src/node/daemon/operators/operatorServer.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/operatorServer.ts
@@ -1,6 +1,6 @@
 import * as http from "node:http";
 import type { AddressInfo } from "node:net";
-import type { HeldRequests } from "../../coordination/index.js";
+import type { QuarantinedRequests } from "../../coordination/index.js";
 import type { Address, Finding } from "../../protocol/index.js";
 import { mergeFiles } from "../../state/index.js";
 import type { Logger, RecordedMetrics } from "../../utils/index.js";
@@ -24,7 +24,7 @@
     readonly metrics: RecordedMetrics;
     readonly operations: Operations;
     /** This daemon's copy of the quarantined requests. @default none, and calls about them aren't served */
-    readonly quarantine?: HeldRequests | undefined;
+    readonly quarantine?: QuarantinedRequests | undefined;
     /** Returns the current status of this daemon. */
     readonly daemon: () => DaemonStatus;
 };
--- a/packages/basilpaddle/src/node/daemon/operators/quarantineCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/quarantineCalls.ts
@@ -1,5 +1,5 @@
 import type { IncomingMessage } from "node:http";
-import type { HeldRequests } from "../../coordination/index.js";
+import type { QuarantinedRequests } from "../../coordination/index.js";
 import { readBody } from "./body.js";
 import { releaseSchema } from "./quarantineWire.js";
 
@@ -14,12 +14,12 @@
  * share these records with each other. Resolves with undefined for any other call.
  */
 export async function answerQuarantineCall(
-    quarantine: HeldRequests,
+    quarantine: QuarantinedRequests,
     request: IncomingMessage,
 ): Promise<QuarantineReply | undefined> {
     const path = (request.url ?? "").split("?", 1)[0];
     if (request.method === "GET" && path === quarantinedRequestsPath) {
-        return { status: 200, body: { kind: "held", requests: quarantine.held() } };
+        return { status: 200, body: { kind: "held", requests: quarantine.quarantined() } };
     }
     if (request.method !== "POST" || path !== releasePath) {
         return undefined;
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/metricsServer.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/metricsServer.spec.ts
@@ -1,20 +1,20 @@
 import { expect } from "chai";
-import { HeldRequests } from "../../../coordination/index.js";
-import { holdRulesSchema } from "../../../protocol/index.js";
+import { QuarantinedRequests } from "../../../coordination/index.js";
+import { quarantineRulesSchema } from "../../../protocol/index.js";
 import { createSilentLogger, RecordedMetrics, SystemClock } from "../../../utils/index.js";
 import { MetricsServer } from "../metricsServer.js";
 
 describe("the server of metrics and quarantined requests", () => {
-    let quarantine: HeldRequests;
+    let quarantine: QuarantinedRequests;
     let server: MetricsServer;
     let base: string;
 
     beforeEach(async () => {
         const clock = SystemClock.create();
         const logger = createSilentLogger();
-        quarantine = HeldRequests.create({
-            rules: holdRulesSchema.parse({}),
-            tell: () => undefined,
+        quarantine = QuarantinedRequests.create({
+            rules: quarantineRulesSchema.parse({}),
+            publishRecords: () => undefined,
             clock,
             logger,
         });
@@ -53,6 +53,6 @@
         for (const body of ["{", "{}", "{\"digest\":1,\"operator\":\"x\"}"]) {
             expect((await release(body))[0]).to.equal(400);
         }
-        expect(quarantine.held()).to.have.length(1);
+        expect(quarantine.quarantined()).to.have.length(1);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/start/controlMetrics.ts
+++ b/packages/basilpaddle/src/node/daemon/start/controlMetrics.ts
@@ -5,7 +5,7 @@
 export function collectControlMetrics(metrics: RecordedMetrics, daemon: ControlDaemon): () => void {
     return metrics.onCollect(() => {
         const status = daemon.status();
-        const replica = status.standing();
+        const replica = status.replicaStatus();
         metrics.gauge("basilpaddle_control_leading", replica.leading ? 1 : 0);
         metrics.gauge("basilpaddle_control_voting", replica.voting ? 1 : 0);
         metrics.gauge("basilpaddle_control_term", replica.term);
--- a/packages/basilpaddle/src/node/daemon/start/controlStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/controlStart.ts
@@ -58,7 +58,7 @@
             logger,
             metrics: this.metrics,
             operations: LeaderOperations.create(this.channels(operations), clock),
-            quarantine: daemon.held,
+            quarantine: daemon.quarantinedRequests,
             daemon: () => this.status(),
         });
         // The operators' server is closed last, so that operators can follow the handover of leadership.
@@ -92,7 +92,7 @@
 
     private status(): DaemonStatus {
         const state = this.daemon?.state() ?? "starting";
-        const replica = this.daemon?.status().standing();
+        const replica = this.daemon?.status().replicaStatus();
         const reason = state !== "serving"
             ? state
             : replica?.leader === undefined
