--- a/packages/basilpaddle/src/node/daemon/start/entryStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryStart.ts
@@ -1,9 +1,9 @@
 import {
     type Engine,
-    HeldRequests,
     HttpEngine,
     OrderService,
     PeerControlClient,
+    QuarantinedRequests,
     ScheduledPlacement,
 } from "../../coordination/index.js";
 import { type EntrySettings, type Incarnation, type PeerAnswer, peerRequestSchema } from "../../protocol/index.js";
@@ -24,7 +24,7 @@
 
 class RunningEntry extends AssembledDaemon {
     private readonly network: TcpNetwork;
-    private readonly quarantine: HeldRequests;
+    private readonly quarantine: QuarantinedRequests;
     private control!: PeerControlClient;
     private placement: ScheduledPlacement | undefined;
     private daemon!: EntryDaemon;
@@ -33,9 +33,9 @@
     constructor(private readonly settings: EntrySettings, logger: Logger) {
         super(logger);
         this.network = TcpNetwork.create(logger);
-        this.quarantine = HeldRequests.create({
+        this.quarantine = QuarantinedRequests.create({
             rules: settings.holds,
-            tell: records => this.control?.tellCrashes(records.map(({ digest }) => digest)),
+            publishRecords: records => this.control?.reportCrashes(records.map(({ digest }) => digest)),
             clock: this.clock,
             logger,
         });
@@ -84,7 +84,7 @@
             randomness,
             logger,
             metrics,
-            held: this.quarantine,
+            quarantinedRequests: this.quarantine,
         });
         this.store.add(() => this.daemon.close());
         // Closed before the placement, so that this daemon can still answer others that it is no longer their scheduler while
@@ -146,7 +146,7 @@
             clock,
             randomness,
             logger,
-            held: this.quarantine,
+            quarantined: this.quarantine,
         });
         control.onReplaced(by => this.fail(`another process runs as ${settings.name} (incarnation ${by.incarnation})`));
         return control;
@@ -178,6 +178,6 @@
         if (this.stopping !== undefined) {
             return "shutting down";
         }
-        return this.control?.startGap()?.kind ?? "starting";
+        return this.control?.startBlocker()?.kind ?? "starting";
     }
 }
--- a/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
+++ b/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
@@ -1,6 +1,6 @@
 import * as http from "node:http";
 import type { AddressInfo } from "node:net";
-import type { HeldRequests } from "../../coordination/index.js";
+import type { QuarantinedRequests } from "../../coordination/index.js";
 import type { RecordedMetrics } from "../../utils/index.js";
 import { answerQuarantineCall } from "../operators/quarantineCalls.js";
 
@@ -18,7 +18,7 @@
     static async create(
         address: { readonly host: string; readonly port: number; },
         metrics: RecordedMetrics,
-        quarantine: HeldRequests,
+        quarantine: QuarantinedRequests,
     ): Promise<MetricsServer> {
         const server = http.createServer({ requestTimeout: requestTimeoutMilliseconds }, (request, response) => {
             void answerQuarantineCall(quarantine, request).then(reply => {
--- a/packages/basilpaddle/src/node/daemon/start/routingSettings.ts
+++ b/packages/basilpaddle/src/node/daemon/start/routingSettings.ts
@@ -1,5 +1,10 @@
 import { type Either, Left, Right } from "purify-ts";
-import { type Finding, findingsOf, type RoutingSettings, routingSettingsSchema } from "../../protocol/index.js";
+import {
+    type Finding,
+    findingsFromZodError,
+    type RoutingSettings,
+    routingSettingsSchema,
+} from "../../protocol/index.js";
 import { printWaitNotice, readWhenComplete, type WaitNotice } from "./settingsFile.js";
 
 /** Reads the settings file of a gateway or a directory. Waits for a file that is still being written. */
@@ -21,5 +26,5 @@
         return Left([{ file, place: "", cause: `can't be read: ${(error as Error).message}` }]);
     }
     const parsed = routingSettingsSchema.safeParse(content);
-    return parsed.success ? Right(parsed.data) : Left(findingsOf(file, parsed.error));
+    return parsed.success ? Right(parsed.data) : Left(findingsFromZodError(file, parsed.error));
 }
--- a/packages/basilpaddle/src/node/daemon/start/routingStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/routingStart.ts
@@ -1,4 +1,4 @@
-import type { HeldRequests } from "../../coordination/index.js";
+import type { QuarantinedRequests } from "../../coordination/index.js";
 import type { DirectorySettings, GatewaySettings, RoutingSettings } from "../../protocol/index.js";
 import { type DisposableStore, HostRandomness, type Logger, type RecordedMetrics } from "../../utils/index.js";
 import { DirectoryDaemon, type DirectoryWire } from "../directory/index.js";
@@ -37,7 +37,7 @@
     store: DisposableStore,
     settings: RoutingSettings,
     metrics: RecordedMetrics,
-    quarantine: HeldRequests,
+    quarantine: QuarantinedRequests,
     logger: Logger,
 ): Promise<void> {
     try {
@@ -79,7 +79,7 @@
     }
 
     /** Opens the daemon itself; resolves with its copy of the quarantined requests. */
-    protected abstract openDaemon(seeds: () => readonly string[]): Promise<HeldRequests>;
+    protected abstract openDaemon(seeds: () => readonly string[]): Promise<QuarantinedRequests>;
 
     /** Shuts the daemon down gracefully; resolves with the number of requests that were aborted. */
     protected abstract closeDaemon(): Promise<number>;
@@ -103,12 +103,12 @@
         super(settings, file, logger);
     }
 
-    protected override async openDaemon(seeds: () => readonly string[]): Promise<HeldRequests> {
+    protected override async openDaemon(seeds: () => readonly string[]): Promise<QuarantinedRequests> {
         const { settings, wire, clock, logger, metrics } = this;
         const daemon = await GatewayDaemon.create({ settings, seeds, wire, clock, logger, metrics });
         this.daemon = daemon;
         this.store.add(metrics.onCollect(() => daemon.measure(metrics)));
-        return daemon.held;
+        return daemon.quarantinedRequests;
     }
 
     protected override async closeDaemon(): Promise<number> {
@@ -128,13 +128,13 @@
         super(settings, file, logger);
     }
 
-    protected override async openDaemon(seeds: () => readonly string[]): Promise<HeldRequests> {
+    protected override async openDaemon(seeds: () => readonly string[]): Promise<QuarantinedRequests> {
         const { settings, wire, clock, logger, metrics } = this;
         const randomness = HostRandomness.create(settings.name);
         const daemon = await DirectoryDaemon.create({ settings, seeds, wire, clock, randomness, logger });
         this.daemon = daemon;
         this.store.add(metrics.onCollect(() => daemon.measure(metrics)));
-        return daemon.held;
+        return daemon.quarantinedRequests;
     }
 
     protected override async closeDaemon(): Promise<number> {
--- a/packages/basilpaddle/src/node/protocol/backend.ts
+++ b/packages/basilpaddle/src/node/protocol/backend.ts
@@ -3,7 +3,7 @@
 const identifier = z.string().min(1).max(200);
 
 /** Path for messages of backend servers, on the `backends` address of any entry daemon: POST with JSON bodies. */
-export const backendWordPath = "/backends/v1/word";
+export const backendMessagePath = "/backends/v1/word";
 
 /** Description of a backend server. An announcement with a higher incarnation replaces all earlier ones. */
 export const announcementSchema = z.object({
@@ -55,7 +55,7 @@
 });
 
 /** Message of a backend server to any entry daemon: announcement, heartbeat or leave notification. */
-export const backendWordSchema = z.discriminatedUnion("kind", [
+export const backendMessageSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("announce"), announcement: announcementSchema, load: loadReportSchema.optional() }),
     z.object({
         kind: z.literal("renew"),
@@ -79,6 +79,6 @@
 /** Load of an engine as reported by itself. */
 export type LoadReport = z.infer<typeof loadReportSchema>;
 /** Message of a backend server to any entry daemon. */
-export type BackendWord = z.infer<typeof backendWordSchema>;
+export type BackendMessage = z.infer<typeof backendMessageSchema>;
 /** Answer to a message of a backend server. */
 export type BackendAnswer = z.infer<typeof backendAnswerSchema>;
--- a/packages/basilpaddle/src/node/protocol/command.ts
+++ b/packages/basilpaddle/src/node/protocol/command.ts
@@ -28,7 +28,7 @@
 });
 
 /** The answer of a finished run, stored so that it can be replayed to a duplicate request. */
-export const keptAnswerSchema = z.object({
+export const storedAnswerSchema = z.object({
     status: z.int(),
     headers: z.record(z.string(), z.string()),
     body: z.instanceof(Uint8Array),
@@ -105,7 +105,7 @@
         token: identifier,
         /** `answered`, or what is known about the execution of a failed run. */
         result: z.enum(["answered", ...outcomes]),
-        answer: keptAnswerSchema.optional(),
+        answer: storedAnswerSchema.optional(),
         at: wallTime,
     }),
     /** Deletes the record of a run that provably wasn't executed, so that its key can be used again. */
@@ -150,7 +150,7 @@
         state: z.enum(["running", "answered", ...outcomes]),
         owner: incarnationSchema,
         sameDigest: z.boolean(),
-        answer: keptAnswerSchema.optional(),
+        answer: storedAnswerSchema.optional(),
     }),
     z.object({ kind: z.literal("full"), limit: z.int() }),
 ]);
@@ -160,7 +160,7 @@
 /** A configuration change as submitted by an operator. */
 export type Change = z.infer<typeof changeSchema>;
 /** The answer of a finished run, stored so that it can be replayed to a duplicate request. */
-export type KeptAnswer = z.infer<typeof keptAnswerSchema>;
+export type StoredAnswer = z.infer<typeof storedAnswerSchema>;
 /** A change of the replicated state. */
 export type Command = z.infer<typeof commandSchema>;
 /** Result of a committed command. */
--- a/packages/basilpaddle/src/node/protocol/crash.ts
+++ b/packages/basilpaddle/src/node/protocol/crash.ts
@@ -4,10 +4,10 @@
 const milliseconds = z.number().min(0);
 
 /** Maximum number of crashes that are stored and reported for one request. */
-export const mostCrashes = 8;
+export const maximumRecordedCrashes = 8;
 
 /** When a request is quarantined because backend servers crashed while running it. The same for all daemons of a deployment. */
-export const holdRulesSchema = z.object({
+export const quarantineRulesSchema = z.object({
     /**
      * Crashes after which a request is quarantined. One may have an unrelated cause, and a second may be a coincidence.
      */
@@ -27,7 +27,7 @@
 });
 
 /** When a request is quarantined, and for how long. */
-export type HoldRules = z.infer<typeof holdRulesSchema>;
+export type QuarantineRules = z.infer<typeof quarantineRulesSchema>;
 
 /** Progress of a run: before or after the first part of its answer, or `whole` for requests that are answered in one piece. */
 export const crashPhases = ["early", "late", "whole"] as const;
@@ -47,7 +47,7 @@
 export const crashRecordSchema = z.object({
     /** Digest of the request, as computed by `digestOf`. */
     digest: identifier,
-    crashes: z.array(crashSchema).max(mostCrashes),
+    crashes: z.array(crashSchema).max(maximumRecordedCrashes),
     /** Milliseconds since it was answered completely or released by an operator; earlier crashes don't count. */
     clearedAge: milliseconds.optional(),
 });
@@ -74,8 +74,8 @@
 /** Crash history of a request that backend servers crashed while running. */
 export type CrashRecord = z.infer<typeof crashRecordSchema>;
 /** Query for changed crash histories: the cursor of the querying daemon, and the records that it contributes. */
-export type CrashQuestion = z.infer<typeof crashQuerySchema>;
+export type CrashQuery = z.infer<typeof crashQuerySchema>;
 /** Crash histories that changed since the cursor of a query. */
-export type CrashNews = z.infer<typeof crashUpdateSchema>;
+export type CrashUpdate = z.infer<typeof crashUpdateSchema>;
 /** Crash histories that gateways and directories send to each other. */
 export type CrashReport = z.infer<typeof crashReportSchema>;
--- a/packages/basilpaddle/src/node/protocol/finding.ts
+++ b/packages/basilpaddle/src/node/protocol/finding.ts
@@ -22,6 +22,6 @@
 }
 
 /** Converts the issues of a failed schema validation to findings of the given file. */
-export function findingsOf(file: string, error: z.ZodError): readonly Finding[] {
+export function findingsFromZodError(file: string, error: z.ZodError): readonly Finding[] {
     return error.issues.map(issue => ({ file, place: issue.path.join("."), cause: issue.message }));
 }
--- a/packages/basilpaddle/src/node/protocol/gateway.ts
+++ b/packages/basilpaddle/src/node/protocol/gateway.ts
@@ -6,7 +6,7 @@
 const packedSchema = z.custom<Uint8Array>(value => value instanceof Uint8Array, "bytes are expected");
 
 /** Announcement of a backend server, as forwarded by a directory. */
-export const announcedSchema = z.object({
+export const serverAnnouncementSchema = z.object({
     /** Identifier of this incarnation; it changes at each restart of the server. */
     id: identifier,
     /** Name of the backend server on the wire, if several incarnations share it. @default id */
@@ -51,13 +51,13 @@
 export const documentRequestSchema = z.object({ kind: z.literal("document") });
 
 /** Changes since the cursor of a watch request. */
-export const watchedSchema = z.object({
+export const watchUpdateSchema = z.object({
     incarnation: z.string(),
     cursor: z.int().min(0),
     /** Version of the latest configuration that this directory knows; -1 if it knows none. */
     version: z.int(),
     document: z.object({ version: z.int(), packed: packedSchema }).optional(),
-    announced: z.array(announcedSchema),
+    announced: z.array(serverAnnouncementSchema),
     /** Names of the voting directories, and of their leader, as known to this directory. */
     members: z.array(z.string()),
     /** Failure domain of this directory. */
@@ -75,7 +75,7 @@
 });
 
 /** A configuration, compressed, with the version that its author assigned. */
-export const documentSchema = z.object({ version: z.int(), packed: packedSchema });
+export const packedDocumentSchema = z.object({ version: z.int(), packed: packedSchema });
 
 /** Fractions of events that recently stalled on the links from other failure domains, as measured by one gateway. */
 export const linkStallsSchema = z.array(z.object({ failureDomain: z.string(), rate: z.number().min(0).max(1) }));
@@ -128,7 +128,7 @@
 });
 
 /** Outcome of a placed run, as far as engines caused it. */
-export type PlaceEnd = z.infer<typeof placementOutcomeSchema>;
+export type PlacementOutcome = z.infer<typeof placementOutcomeSchema>;
 
 /** Results of one gateway's calls to one backend server of a plain service since its previous report. */
 export const serverCallsSchema = z.object({
@@ -161,7 +161,7 @@
 ]);
 
 /** Reply of the leading directory; other directories reply with the leader that they know. */
-export const placingAnswerSchema = z.discriminatedUnion("kind", [
+export const placementReplySchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("decided"), term: z.int(), decision: placementDecisionSchema }),
     /** The request is still queued; the gateway must ask again. */
     z.object({ kind: z.literal("waiting"), term: z.int() }),
@@ -199,13 +199,13 @@
 ]);
 
 /** Announcement of a backend server. */
-export type Announced = z.infer<typeof announcedSchema>;
+export type ServerAnnouncement = z.infer<typeof serverAnnouncementSchema>;
 /** Long poll of a gateway at a directory. */
-export type Watch = z.infer<typeof watchRequestSchema>;
+export type WatchRequest = z.infer<typeof watchRequestSchema>;
 /** Asks a directory for its latest configuration. */
 export type DocumentRequest = z.infer<typeof documentRequestSchema>;
 /** A compressed configuration for transfer between daemons. */
-export type PackedDocument = z.infer<typeof documentSchema>;
+export type PackedDocument = z.infer<typeof packedDocumentSchema>;
 /**
  * Identifier of one incarnation of a backend server. A server that restarts under the same name has lost its state. Since
  * the identifier includes the start time, state that is kept by incarnation (placements, pauses, connections, sequence
@@ -216,24 +216,24 @@
 }
 
 /** Name of a backend server on the wire. */
-export function serverName(server: Pick<Announced, "id" | "name">): string {
+export function serverName(server: Pick<ServerAnnouncement, "id" | "name">): string {
     return server.name ?? server.id;
 }
 
 /** Changes since the cursor of a watch request. */
-export type Watched = z.infer<typeof watchedSchema>;
+export type WatchUpdate = z.infer<typeof watchUpdateSchema>;
 /** Fractions of events that stall on the links from other failure domains. */
 export type LinkStalls = z.infer<typeof linkStallsSchema>;
 /** Request for placement of a run on engines of a pool. */
-export type PlaceDemand = z.infer<typeof placementRequestSchema>;
+export type PlacementRequest = z.infer<typeof placementRequestSchema>;
 /** Results of one gateway's calls to one backend server of a plain service. */
 export type ServerCalls = z.infer<typeof serverCallsSchema>;
 /** The engines granted to a run, or the reason for a refusal. */
-export type PlaceDecision = z.infer<typeof placementDecisionSchema>;
+export type PlacementDecision = z.infer<typeof placementDecisionSchema>;
 /** Message of a gateway to the leading directory about placement. */
-export type Placing = z.infer<typeof placementMessageSchema>;
+export type PlacementMessage = z.infer<typeof placementMessageSchema>;
 /** Reply of a directory to a message about placement. */
-export type PlacingAnswer = z.infer<typeof placingAnswerSchema>;
+export type PlacementReply = z.infer<typeof placementReplySchema>;
 /** Request of a directory to the leader about the configuration document. */
 export type DocumentCall = z.infer<typeof documentCallSchema>;
 /** Any message of a gateway or directory to a directory. */
--- a/packages/basilpaddle/src/node/protocol/gatewaySettings.ts
+++ b/packages/basilpaddle/src/node/protocol/gatewaySettings.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 import { logLevels } from "../utils/index.js";
-import { holdRulesSchema } from "./crash.js";
+import { quarantineRulesSchema } from "./crash.js";
 
 const endpoint = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/, "an endpoint is IP:PORT").transform(text => {
     const [host, port] = text.split(":") as [string, string];
@@ -31,7 +31,7 @@
     metricsPort: z.int().min(0).max(65_535),
     log: z.strictObject({ level: z.enum(logLevels).default("info") }).prefault({}),
     /** When a request is quarantined because backend servers crashed while running it. */
-    holds: holdRulesSchema.prefault({}),
+    holds: quarantineRulesSchema.prefault({}),
 };
 
 /** Retry budget over all gateways: `ratio` of the requests plus `slack` retries in each window (seconds). */
--- a/packages/basilpaddle/src/node/protocol/peer.ts
+++ b/packages/basilpaddle/src/node/protocol/peer.ts
@@ -2,11 +2,11 @@
 import { commandResultSchema, commandSchema, incarnationSchema } from "./command.js";
 import { crashQuerySchema, crashUpdateSchema } from "./crash.js";
 import {
-    demandSchema,
     engineHoldingSchema,
     loadRelaySchema,
     progressSchema,
     schedulingDecisionSchema,
+    schedulingRequestSchema,
 } from "./scheduling.js";
 import { viewSchema, viewStepSchema } from "./view.js";
 
@@ -35,7 +35,7 @@
         renewals: z.array(z.object({ id: z.string(), incarnation: index })),
     }),
     z.object({ kind: z.literal("propose"), command: commandSchema }),
-    z.object({ kind: z.literal("reserve"), demand: demandSchema }),
+    z.object({ kind: z.literal("reserve"), demand: schedulingRequestSchema }),
     z.object({ kind: z.literal("withdraw"), attempt: z.string() }),
     /** Reports engines that a daemon reserved in the pool by itself while the scheduler was unreachable. */
     z.object({ kind: z.literal("taken"), pool: z.string(), holding: engineHoldingSchema }),
--- a/packages/basilpaddle/src/node/protocol/scheduling.ts
+++ b/packages/basilpaddle/src/node/protocol/scheduling.ts
@@ -6,7 +6,7 @@
 const identifier = z.string().min(1).max(200);
 
 /** Request of an entry daemon to a pool's scheduler for engines. */
-export const demandSchema = z.object({
+export const schedulingRequestSchema = z.object({
     /** Identifier of this attempt; each attempt of the same request has its own. */
     attempt: identifier,
     /** Entry daemon that runs the attempt and releases what it holds. */
@@ -68,7 +68,7 @@
 
 /** Reservation of an entry daemon at engines; a new scheduler rebuilds its state from these. */
 export const engineHoldingSchema = z.object({
-    demand: demandSchema,
+    demand: schedulingRequestSchema,
     prefill: identifier,
     decode: identifier,
     stage: progressSchema.shape.stage,
@@ -79,10 +79,10 @@
 export const loadRelaySchema = z.array(loadReportSchema);
 
 /** Request of an entry daemon to a pool's scheduler for engines. */
-export type Demand = z.infer<typeof demandSchema>;
+export type SchedulingRequest = z.infer<typeof schedulingRequestSchema>;
 /** The engines reserved for an attempt, or its refusal. */
-export type Decision = z.infer<typeof schedulingDecisionSchema>;
+export type SchedulingDecision = z.infer<typeof schedulingDecisionSchema>;
 /** Progress report of an attempt. */
 export type Progress = z.infer<typeof progressSchema>;
 /** Reservation of an entry daemon at engines. */
-export type Holding = z.infer<typeof engineHoldingSchema>;
+export type EngineHolding = z.infer<typeof engineHoldingSchema>;
--- a/packages/basilpaddle/src/node/protocol/settings.ts
+++ b/packages/basilpaddle/src/node/protocol/settings.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 import { logLevels } from "../utils/index.js";
-import { holdRulesSchema } from "./crash.js";
+import { quarantineRulesSchema } from "./crash.js";
 
 const name = z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, "a name is 1 to 63 of a-z, 0-9 and -, and starts without -");
 const address = z.strictObject({
@@ -48,7 +48,7 @@
     controls: z.array(control).min(1).max(9),
     timing: timingSchema.prefault({}),
     /** When a request is quarantined because backend servers crashed while running it. */
-    holds: holdRulesSchema.prefault({}),
+    holds: quarantineRulesSchema.prefault({}),
     log,
 };
 
--- a/packages/basilpaddle/src/node/state/__tests__/disk.spec.ts
+++ b/packages/basilpaddle/src/node/state/__tests__/disk.spec.ts
@@ -159,13 +159,13 @@
     }
 
     it("keeps the temporary files of replacements in progress", async () => {
-        expect(await replacedDuring(folder => FolderDisk.createBeside(folder))).to.deep.equal([]);
+        expect(await replacedDuring(folder => FolderDisk.createWithoutCleanup(folder))).to.deep.equal([]);
     });
 
     it("loses the temporary files of an earlier process only when opened with cleanup", async () => {
         const folder = await fs.mkdtemp(path.join(os.tmpdir(), "disk-"));
         await fs.writeFile(path.join(folder, "identity.json.17"), "");
-        await FolderDisk.createBeside(folder);
+        await FolderDisk.createWithoutCleanup(folder);
         expect(await fs.readdir(folder)).to.deep.equal(["identity.json.17"]);
         await FolderDisk.create(folder);
         expect(await fs.readdir(folder)).to.deep.equal([]);
--- a/packages/basilpaddle/src/node/state/configuration/checks.ts
+++ b/packages/basilpaddle/src/node/state/configuration/checks.ts
@@ -1,5 +1,5 @@
 import type { Declaration, Finding, Pool, Service } from "../../protocol/index.js";
-import type { Origin } from "./origin.js";
+import type { DefinitionLocations } from "./definitionLocations.js";
 
 const roles = ["prefill", "decode"] as const;
 /** Paths that entry daemons serve themselves on every host. */
@@ -8,7 +8,7 @@
 /** Findings that concern the merged configuration as a whole, although each of its files is valid by itself. */
 export function declarationFindings(
     declaration: Declaration,
-    locations: Origin,
+    locations: DefinitionLocations,
     references: "check" | "skip",
 ): readonly Finding[] {
     return [
@@ -19,7 +19,7 @@
     ];
 }
 
-function poolFindings(name: string, pool: Pool, locations: Origin): Finding[] {
+function poolFindings(name: string, pool: Pool, locations: DefinitionLocations): Finding[] {
     return roles.filter(role => pool.floor[role] > pool.copies[role]).map(role => ({
         ...locations.locationOf(["pools", name]),
         cause: `the floor of ${pool.floor[role]} ${role} is above the ${pool.copies[role]} declared copies`,
@@ -28,7 +28,7 @@
 }
 
 // Callers name a model but no pool: a model in two pools would be ambiguous.
-function modelFindings(declaration: Declaration, locations: Origin): Finding[] {
+function modelFindings(declaration: Declaration, locations: DefinitionLocations): Finding[] {
     const findings: Finding[] = [];
     const pools = new Map<string, string>();
     for (const [name, pool] of Object.entries(declaration.pools)) {
@@ -57,7 +57,7 @@
     return findings;
 }
 
-function routeFindings(declaration: Declaration, locations: Origin): Finding[] {
+function routeFindings(declaration: Declaration, locations: DefinitionLocations): Finding[] {
     const models = new Set(Object.values(declaration.pools).flatMap(pool => pool.models.map(model => model.name)));
     return declaration.routes
         .filter(route => route.model !== undefined && !models.has(route.model))
@@ -68,7 +68,7 @@
         }));
 }
 
-function serviceFindings(declaration: Declaration, locations: Origin): Finding[] {
+function serviceFindings(declaration: Declaration, locations: DefinitionLocations): Finding[] {
     const findings: Finding[] = [];
     const servicesBySelector = new Map<string, string>();
     for (const [name, service] of Object.entries(declaration.services)) {
--- a/packages/basilpaddle/src/node/state/configuration/origin.ts
+++ b/packages/basilpaddle/src/node/state/configuration/definitionLocations.ts
@@ -5,11 +5,11 @@
 };
 
 /** Source location of each part of a merged configuration. */
-export class Origin {
+export class DefinitionLocations {
     private readonly locations = new Map<string, SourceLocation>();
 
-    static create(): Origin {
-        return new Origin();
+    static create(): DefinitionLocations {
+        return new DefinitionLocations();
     }
 
     /** Records where a part is defined. If it is defined already, keeps and returns the earlier location. */
--- a/packages/basilpaddle/src/node/state/configuration/merge.ts
+++ b/packages/basilpaddle/src/node/state/configuration/merge.ts
@@ -8,8 +8,8 @@
 } from "../../protocol/index.js";
 import { JsonText } from "../../utils/index.js";
 import { declarationFindings } from "./checks.js";
+import { DefinitionLocations } from "./definitionLocations.js";
 import type { ConfigurationFile } from "./folder.js";
-import { Origin } from "./origin.js";
 
 const namedSections = ["pools", "services", "routes", "organisations"] as const;
 type NamedSection = (typeof namedSections)[number];
@@ -26,7 +26,7 @@
 /** State of one merge: the sections merged and the findings collected so far. */
 class Merge {
     private readonly findings: Finding[] = [];
-    private readonly locations = Origin.create();
+    private readonly locations = DefinitionLocations.create();
     private readonly sections: { [section in NamedSection]: Map<string, unknown>; } = {
         pools: new Map(),
         services: new Map(),
--- a/packages/basilpaddle/src/node/state/folderDisk.ts
+++ b/packages/basilpaddle/src/node/state/folderDisk.ts
@@ -44,7 +44,7 @@
      * anything in the process writes to the folder: the temporary file of a replacement in progress looks the same.
      */
     static async create(folder: string): Promise<FolderDisk> {
-        const disk = await FolderDisk.createBeside(folder);
+        const disk = await FolderDisk.createWithoutCleanup(folder);
         for (const name of await fs.readdir(folder)) {
             if (temporaryFileName.test(name)) {
                 await fs.rm(disk.path(name), { force: true });
@@ -54,7 +54,7 @@
     }
 
     /** Like `create`, but removes nothing: for a folder that other parts of the process may be writing to. */
-    static async createBeside(folder: string): Promise<FolderDisk> {
+    static async createWithoutCleanup(folder: string): Promise<FolderDisk> {
         await fs.mkdir(folder, { recursive: true });
         return new FolderDisk(folder);
     }
--- a/packages/basilpaddle/src/node/state/invariant.ts
+++ b/packages/basilpaddle/src/node/state/invariant.ts
@@ -6,7 +6,7 @@
     }
 
     /** Throws unless the condition holds. The process must not continue with an inconsistent state. */
-    static hold(condition: boolean, message: string): asserts condition {
+    static assert(condition: boolean, message: string): asserts condition {
         if (!condition) {
             throw new Invariant(message);
         }
--- a/packages/basilpaddle/src/node/state/ledger.ts
+++ b/packages/basilpaddle/src/node/state/ledger.ts
@@ -34,7 +34,7 @@
     }
 
     override apply(index: number, command: Command): CommandResult {
-        Invariant.hold(index > this.index, `log index ${index} isn't above ${this.index}`);
+        Invariant.assert(index > this.index, `log index ${index} isn't above ${this.index}`);
         this.index = index;
         const { revision } = this.view().configuration;
         const result = isViewCommand(command) ? this.applyView(index, command) : this.applyRecord(index, command);
@@ -58,7 +58,7 @@
 
     override restore(snapshot: Uint8Array): void {
         const content = decodeSnapshot(snapshot);
-        Invariant.hold(
+        Invariant.assert(
             content.index >= this.index,
             `a snapshot at log index ${content.index} is older than the state at ${this.index}`,
         );
@@ -151,7 +151,7 @@
         const known = this.runs.has(command.key);
         const result = this.runs.start(index, command, owner => this.hasOpenSession(owner));
         const added = this.runs.usage().records - records;
-        Invariant.hold(
+        Invariant.assert(
             added === (result.kind === "started" && !known ? 1 : 0),
             `${added} run records added by a startRun with result ${result.kind}`,
         );
--- a/packages/basilpaddle/src/node/state/runColumns.ts
+++ b/packages/basilpaddle/src/node/state/runColumns.ts
@@ -1,5 +1,5 @@
 import { z } from "zod";
-import { incarnationSchema, keptAnswerSchema } from "../protocol/index.js";
+import { incarnationSchema, storedAnswerSchema } from "../protocol/index.js";
 import type { Run } from "./runs.js";
 
 /** Entries of `numbers` per record: lengths of key, digest and token, and positions of owner and state. */
@@ -21,7 +21,7 @@
     owners: z.array(incarnationSchema),
     states: z.array(z.string()),
     /** Fields that few records have (`answers` and `releases`), each with the position of its record. */
-    answers: z.array(z.tuple([z.int(), keptAnswerSchema])),
+    answers: z.array(z.tuple([z.int(), storedAnswerSchema])),
     releases: z.array(z.tuple([z.int(), z.array(z.string())])),
 });
 
--- a/packages/basilpaddle/src/node/state/runs.ts
+++ b/packages/basilpaddle/src/node/state/runs.ts
@@ -4,9 +4,9 @@
     type CommandResult,
     type Incarnation,
     incarnationSchema,
-    type KeptAnswer,
-    keptAnswerSchema,
     outcomes,
+    type StoredAnswer,
+    storedAnswerSchema,
 } from "../protocol/index.js";
 import { Invariant } from "./invariant.js";
 
@@ -21,7 +21,7 @@
     sinceIndex: z.int(),
     /** `released`: the run is proven not to have executed; its record is kept to reject a late start with its token. */
     state: z.enum(["running", "answered", "released", ...outcomes]),
-    answer: keptAnswerSchema.optional(),
+    answer: storedAnswerSchema.optional(),
     /** Tokens of released arrivals, latest last. A delayed copy of the start of one of them may still be committed. */
     releasedTokens: z.array(z.string()),
     /** Log index of its end; gives stored answers the same age order at every replica. */
@@ -193,7 +193,7 @@
                 this.runs.delete(run.key);
             }
         }
-        Invariant.hold(this.answerBytes >= 0, `the stored answers have ${this.answerBytes} bytes`);
+        Invariant.assert(this.answerBytes >= 0, `the stored answers have ${this.answerBytes} bytes`);
         return { kind: "done", index };
     }
 
@@ -202,7 +202,7 @@
      * A caller that lost its answer resends soon. If the oldest answers were kept instead, no resend would find its
      * answer once the limit is reached.
      */
-    private makeRoomFor(answer: KeptAnswer | undefined): KeptAnswer | undefined {
+    private makeRoomFor(answer: StoredAnswer | undefined): StoredAnswer | undefined {
         const bytes = answerBytesOf(answer);
         if (bytes > this.limits.oneAnswerBytes || bytes > this.limits.answerBytes) {
             return undefined;
@@ -251,7 +251,7 @@
     return { kind: "stale", reason: `the run of ${key} isn't this arrival's any more` };
 }
 
-function answerBytesOf(answer: KeptAnswer | undefined): number {
+function answerBytesOf(answer: StoredAnswer | undefined): number {
     if (answer === undefined) {
         return 0;
     }
--- a/packages/basilpaddle/src/node/state/view/__tests__/declarationDelta.spec.ts
+++ b/packages/basilpaddle/src/node/state/view/__tests__/declarationDelta.spec.ts
@@ -4,7 +4,7 @@
 import { encodeFrame } from "../../../transport/index.js";
 import { commands } from "../../__tests__/commands.js";
 import { Ledger } from "../../ledger.js";
-import { applyDeclarationDelta, commandOf, declarationDelta } from "../declarationDelta.js";
+import { applyDeclarationDelta, declarationDelta, expandedCommand } from "../declarationDelta.js";
 import { ViewState } from "../viewState.js";
 
 const organisations = (count: number) =>
@@ -57,7 +57,7 @@
             sequence.forEach((command, at) => {
                 ledger.apply(at + 1, command);
                 const step = ledger.missingSteps({ after: at, count: 1, bytes: 10_000_000 })![0]!;
-                follower.apply(step.index, commandOf(step, follower.view()));
+                follower.apply(step.index, expandedCommand(step, follower.view()));
                 sizes.push(encodeFrame(step).length);
                 // After a restart, a resend with the same change ID may have different content.
                 if (restarts) {
--- a/packages/basilpaddle/src/node/state/view/declarationDelta.ts
+++ b/packages/basilpaddle/src/node/state/view/declarationDelta.ts
@@ -30,7 +30,7 @@
 }
 
 /** The command of a step; a delta is expanded against the declaration of the view that the step follows. */
-export function commandOf(step: ViewStep, view: View): Command {
+export function expandedCommand(step: ViewStep, view: View): Command {
     const { command, delta } = step;
     if (delta === undefined || command.kind !== "changeConfiguration") {
         return command;
--- a/packages/basilpaddle/src/node/state/view/viewState.ts
+++ b/packages/basilpaddle/src/node/state/view/viewState.ts
@@ -46,7 +46,7 @@
 
     /** Applies a committed view command. Throws if the index doesn't increase or an invariant of the view is violated. */
     apply(index: number, command: Command): CommandResult {
-        Invariant.hold(index > this.current.index, `view index ${index} isn't above ${this.current.index}`);
+        Invariant.assert(index > this.current.index, `view index ${index} isn't above ${this.current.index}`);
         const before = this.current;
         const reduction = this.reduce(index, command);
         this.current = { ...reduction.view, index };
@@ -125,7 +125,7 @@
 
 function assertMonotonic(before: View, after: View): void {
     const { revision } = before.configuration;
-    Invariant.hold(
+    Invariant.assert(
         after.configuration.revision >= revision,
         `revision ${after.configuration.revision} after ${revision}`,
     );
@@ -134,8 +134,8 @@
     }
     for (const [name, lease] of Object.entries(after.leases)) {
         const earlier = before.leases[name];
-        Invariant.hold(earlier === undefined || lease.fence >= earlier.fence, `fence ${lease.fence} of ${name} fell`);
-        Invariant.hold(lease.fence <= after.index, `fence ${lease.fence} of ${name} is ahead of the log`);
-        Invariant.hold(isOpen(after, lease.holder), `${name} is held by a closed session`);
+        Invariant.assert(earlier === undefined || lease.fence >= earlier.fence, `fence ${lease.fence} of ${name} fell`);
+        Invariant.assert(lease.fence <= after.index, `fence ${lease.fence} of ${name} is ahead of the log`);
+        Invariant.assert(isOpen(after, lease.holder), `${name} is held by a closed session`);
     }
 }
--- a/packages/basilpaddle/src/node/utils/fraction.ts
+++ b/packages/basilpaddle/src/node/utils/fraction.ts
@@ -3,7 +3,7 @@
  * same request and differ between requests. Uses FNV-1a with an additional mixing step, since without it texts that differ
  * only at their end have similar hashes.
  */
-export function fractionOf(text: string): number {
+export function hashToFraction(text: string): number {
     let hash = 0x811c9dc5;
     for (let position = 0; position < text.length; position++) {
         hash = Math.imul(hash ^ text.charCodeAt(position), 0x01000193);
--- a/playground/standins/__tests__/rollout.spec.ts
+++ b/playground/standins/__tests__/rollout.spec.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { type Either, Right } from "purify-ts";
 import {
-    backendWordPath,
-    backendWordSchema,
+    backendMessagePath,
+    backendMessageSchema,
     type Command,
     type CommandResult,
     ControlClient,
@@ -65,7 +65,7 @@
         return Promise.resolve(Right(this.take(command)));
     }
 
-    override noteRenewal(): void {}
+    override recordRenewal(): void {}
 
     override async close(): Promise<void> {}
 }
@@ -100,8 +100,8 @@
 
     before(async () => {
         listener = await HttpServer.create("127.0.0.1", async ({ path, body, response }) => {
-            expect(path).to.equal(backendWordPath);
-            const word = backendWordSchema.parse(JSON.parse(body));
+            expect(path).to.equal(backendMessagePath);
+            const word = backendMessageSchema.parse(JSON.parse(body));
             if (word.kind === "announce") {
                 control.take({ kind: "announceBackend", announcement: word.announcement, at: 1 });
             }
--- a/playground/standins/announcer.ts
+++ b/playground/standins/announcer.ts
@@ -2,8 +2,8 @@
 import {
     type Announcement,
     backendAnswerSchema,
-    type BackendWord,
-    backendWordPath,
+    type BackendMessage,
+    backendMessagePath,
     type LoadReport,
     SeededRandomness,
 } from "../../packages/basilpaddle/src/node/index.js";
@@ -85,19 +85,19 @@
         }
     }
 
-    private announcement(): BackendWord {
+    private announcement(): BackendMessage {
         return { kind: "announce", announcement: this.told.announcement(), load: this.told.load() };
     }
 
-    private renewal(): BackendWord {
+    private renewal(): BackendMessage {
         const { id, incarnation } = this.told.announcement();
         return { kind: "renew", id, incarnation, load: this.told.load() };
     }
 
-    private async tell(word: BackendWord) {
+    private async tell(word: BackendMessage) {
         const listener = this.listeners[this.randomness.integer(0, this.listeners.length - 1)]!;
         try {
-            const answer = await request(`http://${listener}${backendWordPath}`, {
+            const answer = await request(`http://${listener}${backendMessagePath}`, {
                 method: "POST",
                 headers: { "content-type": "application/json" },
                 body: JSON.stringify(word),
--- a/playground/standins/measure/reconcile.ts
+++ b/playground/standins/measure/reconcile.ts
@@ -3,8 +3,8 @@
     declarationSchema,
     emptyReconcilerState,
     emptyView,
+    type EngineReading,
     type EngineState,
-    type Reading,
     Reconciler,
     type View,
 } from "../../../packages/basilpaddle/src/node/index.js";
@@ -18,7 +18,7 @@
 function worldOf(engines: number, rollout: boolean) {
     const pools: Record<string, unknown> = {};
     const backends: View["backends"] = {};
-    const readings = new Map<string, Reading>();
+    const readings = new Map<string, EngineReading>();
     const served: Record<string, Record<string, string>> = {};
     for (let n = 0; n < engines; n++) {
         const pool = `pool-${Math.floor(n / enginesPerPool)}`;
--- a/scripts/entryCost/daemon.ts
+++ b/scripts/entryCost/daemon.ts
@@ -1,23 +1,23 @@
 import { type Either, Right } from "purify-ts";
-import { HeldRequests } from "../../packages/basilpaddle/src/node/coordination/index.js";
+import { QuarantinedRequests } from "../../packages/basilpaddle/src/node/coordination/index.js";
 import { EntryDaemon } from "../../packages/basilpaddle/src/node/daemon/entry/index.js";
 import {
     announcementSchema,
     type CommandResult,
     ControlClient,
     createSilentLogger,
-    type Decision,
-    type Demand,
     entrySettingsSchema,
     HttpEngine,
     Placement,
+    type SchedulingDecision,
+    type SchedulingRequest,
     SilentMetrics,
     SystemClock,
     SystemRandomness,
     type View,
     viewSchema,
 } from "../../packages/basilpaddle/src/node/index.js";
-import { holdRulesSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
+import { quarantineRulesSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
 
 // One entry daemon with a view that never changes and two engines that are always free, so that what is measured is the
 // path of a request alone. The first argument is the base of the prefill engine, the second that of the decode engine.
@@ -59,7 +59,7 @@
         return Promise.resolve(Right({ kind: "done", index: 1 }));
     }
 
-    override noteRenewal(): void {}
+    override recordRenewal(): void {}
 
     override close(): Promise<void> {
         return Promise.resolve();
@@ -67,7 +67,7 @@
 }
 
 class FixedPlacement extends Placement {
-    override reserve({ attempt }: Demand): Promise<Decision> {
+    override reserve({ attempt }: SchedulingRequest): Promise<SchedulingDecision> {
         return Promise.resolve({ kind: "assigned", attempt, prefill: "p", decode: "d", fence: 1, expectedReuse: 0 });
     }
 
@@ -112,9 +112,9 @@
     }),
     control: new FixedControl(),
     placement: new FixedPlacement(),
-    held: HeldRequests.create({
-        rules: holdRulesSchema.parse({}),
-        tell: () => undefined,
+    quarantinedRequests: QuarantinedRequests.create({
+        rules: quarantineRulesSchema.parse({}),
+        publishRecords: () => undefined,
         clock: SystemClock.create(),
         logger: createSilentLogger(),
     }),
--- a/scripts/measureAgreement.ts
+++ b/scripts/measureAgreement.ts
@@ -216,9 +216,9 @@
 
 async function caughtUp(group: Group, name: string): Promise<void> {
     await until(`${name} in step`, async () => {
-        const leader = [...group.replicas.values()].find(replica => replica.standing().leading);
-        const own = group.replicas.get(name)!.standing();
-        const heard = own.leader !== undefined && own.committedIndex === leader?.standing().committedIndex;
+        const leader = [...group.replicas.values()].find(replica => replica.currentStatus().leading);
+        const own = group.replicas.get(name)!.currentStatus();
+        const heard = own.leader !== undefined && own.committedIndex === leader?.currentStatus().committedIndex;
         return heard ? true : undefined;
     });
 }
--- a/scripts/measureView.ts
+++ b/scripts/measureView.ts
@@ -22,7 +22,7 @@
     viewSchema,
     viewStepSchema,
 } from "../packages/basilpaddle/src/node/protocol/index.js";
-import { commandOf, Ledger, ViewState } from "../packages/basilpaddle/src/node/state/index.js";
+import { expandedCommand, Ledger, ViewState } from "../packages/basilpaddle/src/node/state/index.js";
 import {
     encodeFrame,
     FrameReader,
@@ -285,7 +285,7 @@
             const frame = encodeFrame(news![0]);
             const start = performance.now();
             const step = viewStepSchema.parse(FrameReader.create().push(frame)[0]);
-            follower.apply(step.index, commandOf(step, follower.view()));
+            follower.apply(step.index, expandedCommand(step, follower.view()));
             report({ measured: "steps", organisations, bytes: frame.length, milliseconds: performance.now() - start });
         }
     }
--- a/scripts/rig/cost.ts
+++ b/scripts/rig/cost.ts
@@ -1,11 +1,11 @@
 import * as hdr from "hdr-histogram-js";
 import {
     announcementSchema,
-    type Demand,
     type EngineEntry,
     PoolScheduler,
     poolSchema,
     type SchedulerEvent,
+    type SchedulingRequest,
     SeededRandomness,
 } from "../../packages/basilpaddle/src/node/index.js";
 
@@ -30,7 +30,7 @@
     }));
 }
 
-function demand(serial: number): Demand {
+function demand(serial: number): SchedulingRequest {
     return {
         attempt: `entry-1/incarnation-1/${serial}`,
         owner: { daemon: "entry-1", incarnation: "incarnation-1" },
@@ -69,7 +69,7 @@
         this.step({ kind: "rules", rules });
         this.step({ kind: "engines", engines: engines(workers) });
         const wanted = (1 - prefillPart) * workers * slots + queue;
-        while (this.serial < wanted || this.scheduler.standing().waiting < queue) {
+        while (this.serial < wanted || this.scheduler.status().waiting < queue) {
             this.ask();
             this.now += 1;
         }
--- a/scripts/rig/main.ts
+++ b/scripts/rig/main.ts
@@ -1,6 +1,6 @@
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
-import { usualTuning } from "../../packages/basilpaddle/src/node/index.js";
+import { defaultTuning } from "../../packages/basilpaddle/src/node/index.js";
 import { capacity, deployments } from "./deployments.js";
 import { type Figures, spread } from "./measures.js";
 import { type Fault, faults, policies, type PolicyName, run } from "./run.js";
@@ -49,7 +49,7 @@
     .option("tuning", {
         type: "string",
         default: "",
-        describe: `such as lead=20,confidence=1; ${Object.keys(usualTuning).join(", ")}`,
+        describe: `such as lead=20,confidence=1; ${Object.keys(defaultTuning).join(", ")}`,
     })
     .strict()
     .parse();
@@ -57,8 +57,8 @@
 const tuning = Object.fromEntries(
     options.tuning.split(",").filter(part => part !== "").map(part => {
         const [name, value] = part.split("=");
-        if (name === undefined || !(name in usualTuning) || Number.isNaN(Number(value))) {
-            throw new Error(`--tuning: "${part}" is not one of ${Object.keys(usualTuning).join(", ")} with a number`);
+        if (name === undefined || !(name in defaultTuning) || Number.isNaN(Number(value))) {
+            throw new Error(`--tuning: "${part}" is not one of ${Object.keys(defaultTuning).join(", ")} with a number`);
         }
         return [name, Number(value)];
     }),
--- a/scripts/rig/otherPolicies.ts
+++ b/scripts/rig/otherPolicies.ts
@@ -1,12 +1,17 @@
-import type { Decision, Demand, LoadReport, Progress } from "../../packages/basilpaddle/src/node/index.js";
+import type {
+    LoadReport,
+    Progress,
+    SchedulingDecision,
+    SchedulingRequest,
+} from "../../packages/basilpaddle/src/node/index.js";
 import { engineModel } from "./deployments.js";
 import { Policy, type PolicyContext } from "./policy.js";
 
-function assigned(demand: Demand, prefill: string, decode: string): Decision {
+function assigned(demand: SchedulingRequest, prefill: string, decode: string): SchedulingDecision {
     return { kind: "assigned", attempt: demand.attempt, prefill, decode, fence: 0, expectedReuse: 0 };
 }
 
-function refused(demand: Demand): Decision {
+function refused(demand: SchedulingRequest): SchedulingDecision {
     const refusal = { code: "poolFull", outcome: "notRun", message: "no engine took it", retryAfter: 500 } as const;
     return { kind: "refused", attempt: demand.attempt, refusal };
 }
@@ -17,7 +22,7 @@
         super();
     }
 
-    override reserve(_entry: number, demand: Demand, decided: (decision: Decision) => void): void {
+    override reserve(_entry: number, demand: SchedulingRequest, decided: (decision: SchedulingDecision) => void): void {
         decided(assigned(demand, this.draw("prefill", demand.avoid), this.draw("decode", demand.avoid)));
     }
 
@@ -50,7 +55,7 @@
     /** Prompt tokens that may wait at a prefill engine before it refuses. */
     private static readonly mostQueued = 12_000;
 
-    override reserve(_entry: number, demand: Demand, decided: (decision: Decision) => void): void {
+    override reserve(_entry: number, demand: SchedulingRequest, decided: (decision: SchedulingDecision) => void): void {
         this.ask(demand, EngineSidePolicy.asked, decided);
     }
 
@@ -64,7 +69,7 @@
         }
     }
 
-    private ask(demand: Demand, left: number, decided: (decision: Decision) => void): void {
+    private ask(demand: SchedulingRequest, left: number, decided: (decision: SchedulingDecision) => void): void {
         const { cluster } = this.context;
         const prefill = cluster.prefill(this.draw("prefill", demand.avoid));
         const decode = cluster.decode(this.draw("decode", demand.avoid));
--- a/scripts/rig/policies.ts
+++ b/scripts/rig/policies.ts
@@ -1,14 +1,14 @@
 import {
-    ChoosingAlone,
-    type Decision,
-    type Demand,
     type LoadReport,
+    LocalScheduler,
     PoolScheduler,
     type Progress,
     type Scheduler,
     type SchedulerEvent,
+    type SchedulerTuning,
+    type SchedulingDecision,
+    type SchedulingRequest,
     SeededRandomness,
-    type Tuning,
 } from "../../packages/basilpaddle/src/node/index.js";
 import { Policy, type PolicyContext } from "./policy.js";
 
@@ -27,7 +27,7 @@
     constructor(
         private readonly scheduler: Scheduler,
         private readonly context: PolicyContext,
-        private readonly decided: (decision: Decision) => void,
+        private readonly decided: (decision: SchedulingDecision) => void,
     ) {
         const { cluster } = context;
         this.step({ kind: "rules", rules: cluster.rules() });
@@ -43,7 +43,7 @@
         for (const decision of this.scheduler.step(event, simulation.now)) {
             this.decided(decision);
         }
-        const wakeAt = this.scheduler.wakeAt();
+        const wakeAt = this.scheduler.nextTickAt();
         if (wakeAt !== undefined && wakeAt < this.tickAt) {
             this.tickAt = wakeAt;
             simulation.after(wakeAt - simulation.now, () => {
@@ -59,7 +59,7 @@
 /** Entry daemons that choose alone, each with a scheduler of its own. */
 export class AlonePolicy extends Policy {
     private readonly daemons: Driven[];
-    private readonly waiting = new Map<string, (decision: Decision) => void>();
+    private readonly waiting = new Map<string, (decision: SchedulingDecision) => void>();
 
     constructor(protected readonly context: PolicyContext, create: (entry: number) => Scheduler) {
         super();
@@ -71,7 +71,7 @@
         );
     }
 
-    override reserve(entry: number, demand: Demand, decided: (decision: Decision) => void): void {
+    override reserve(entry: number, demand: SchedulingRequest, decided: (decision: SchedulingDecision) => void): void {
         this.waiting.set(demand.attempt, decided);
         this.daemons[entry]!.step({ kind: "demand", demand });
     }
@@ -109,12 +109,12 @@
     private readonly fallback: AlonePolicy;
     private readonly waiting = new Map<
         string,
-        { readonly entry: number; readonly decided: (decision: Decision) => void; readonly since: number; }
+        { readonly entry: number; readonly decided: (decision: SchedulingDecision) => void; readonly since: number; }
     >();
 
     constructor(
         private readonly context: PolicyContext,
-        private readonly tuning: Tuning,
+        private readonly tuning: SchedulerTuning,
         override readonly seesEverything: boolean,
     ) {
         super();
@@ -122,14 +122,17 @@
         this.fallback = new AlonePolicy(
             context,
             entry =>
-                ChoosingAlone.create({ randomness: SeededRandomness.create(context.seed * 31 + entry), divided: true }),
+                LocalScheduler.create({
+                    randomness: SeededRandomness.create(context.seed * 31 + entry),
+                    divided: true,
+                }),
         );
         if (!seesEverything) {
             this.watchHost();
         }
     }
 
-    override reserve(entry: number, demand: Demand, decided: (decision: Decision) => void): void {
+    override reserve(entry: number, demand: SchedulingRequest, decided: (decision: SchedulingDecision) => void): void {
         const { simulation } = this.context.cluster;
         this.waiting.set(demand.attempt, { entry, decided, since: simulation.now });
         if (this.reachable(entry)) {
@@ -199,7 +202,7 @@
         }
     }
 
-    private answer(decision: Decision): void {
+    private answer(decision: SchedulingDecision): void {
         const waiting = this.waiting.get(decision.attempt);
         if (waiting === undefined || !this.reachable(waiting.entry)) {
             return;
@@ -212,7 +215,7 @@
     }
 
     /** A demand that waits at a scheduler out of reach is decided by the daemon alone. */
-    private watch(entry: number, demand: Demand): void {
+    private watch(entry: number, demand: SchedulingRequest): void {
         if (!this.waiting.has(demand.attempt)) {
             return;
         }
@@ -223,7 +226,7 @@
         this.alone(entry, demand);
     }
 
-    private alone(entry: number, demand: Demand): void {
+    private alone(entry: number, demand: SchedulingRequest): void {
         const waiting = this.waiting.get(demand.attempt);
         this.waiting.delete(demand.attempt);
         if (waiting !== undefined) {
--- a/scripts/rig/policy.ts
+++ b/scripts/rig/policy.ts
@@ -1,4 +1,10 @@
-import type { Decision, Demand, Holding, LoadReport, Progress } from "../../packages/basilpaddle/src/node/index.js";
+import type {
+    EngineHolding,
+    LoadReport,
+    Progress,
+    SchedulingDecision,
+    SchedulingRequest,
+} from "../../packages/basilpaddle/src/node/index.js";
 import type { Cluster } from "./cluster.js";
 
 /** How entry daemons come to a decision. Calls come at the time they are made; the policy adds what messages take. */
@@ -6,7 +12,7 @@
     /** Whether what it hears is exact and at once, and it knows the lengths of answers. */
     readonly seesEverything: boolean = false;
 
-    abstract reserve(entry: number, demand: Demand, decided: (decision: Decision) => void): void;
+    abstract reserve(entry: number, demand: SchedulingRequest, decided: (decision: SchedulingDecision) => void): void;
     abstract withdraw(entry: number, attempt: string): void;
     abstract progress(entry: number, progress: Progress): void;
     abstract load(report: LoadReport): void;
@@ -18,6 +24,6 @@
 export type PolicyContext = {
     readonly cluster: Cluster;
     /** What a live entry daemon holds at engines. */
-    readonly holdings: (entry: number) => readonly Holding[];
+    readonly holdings: (entry: number) => readonly EngineHolding[];
     readonly seed: number;
 };
--- a/scripts/rig/requests.ts
+++ b/scripts/rig/requests.ts
@@ -1,4 +1,9 @@
-import type { Decision, Demand, Holding, Progress } from "../../packages/basilpaddle/src/node/index.js";
+import type {
+    EngineHolding,
+    Progress,
+    SchedulingDecision,
+    SchedulingRequest,
+} from "../../packages/basilpaddle/src/node/index.js";
 import type { Cluster } from "./cluster.js";
 import { engineModel, type Load } from "./deployments.js";
 import type { DecodeEngine, PrefillEngine } from "./engines.js";
@@ -17,7 +22,7 @@
 
 type Attempt = {
     readonly id: string;
-    readonly demand: Demand;
+    readonly demand: SchedulingRequest;
     stage: Progress["stage"] | "waiting" | "assigned";
     prefill: PrefillEngine | undefined;
     decode: DecodeEngine | undefined;
@@ -72,7 +77,7 @@
     }
 
     /** What an entry daemon holds at engines. */
-    holdings(entry: number): readonly Holding[] {
+    holdings(entry: number): readonly EngineHolding[] {
         return [...this.open].flatMap(({ load, attempt, sent }) => {
             if (load.entry !== entry || attempt?.prefill === undefined || attempt.decode === undefined) {
                 return [];
@@ -128,7 +133,7 @@
         const { simulation, deployment } = this.cluster;
         const exact = this.policy().seesEverything;
         const waited = simulation.now - load.at;
-        const demand: Demand = {
+        const demand: SchedulingRequest = {
             attempt: `entry-${load.entry}/1/${this.serial++}`,
             owner: { daemon: `entry-${load.entry}`, incarnation: "1" },
             pool: "drafts",
@@ -161,7 +166,7 @@
         this.policy().reserve(load.entry, demand, decision => this.decided(request, attempt, decision));
     }
 
-    private decided(request: Request, attempt: Attempt, decision: Decision): void {
+    private decided(request: Request, attempt: Attempt, decision: SchedulingDecision): void {
         if (request.ended || request.attempt !== attempt) {
             this.policy().withdraw(request.load.entry, attempt.id);
             return;
--- a/scripts/rig/run.ts
+++ b/scripts/rig/run.ts
@@ -1,8 +1,8 @@
 import {
-    ChoosingAlone,
+    defaultTuning,
+    LocalScheduler,
+    type SchedulerTuning,
     SeededRandomness,
-    type Tuning,
-    usualTuning,
 } from "../../packages/basilpaddle/src/node/index.js";
 import { Cluster } from "./cluster.js";
 import { type Deployment, engineModel, makeLoad } from "./deployments.js";
@@ -54,13 +54,13 @@
     readonly policy: PolicyName;
     readonly fault: Fault;
     readonly seed: number;
-    readonly tuning?: Partial<Tuning>;
+    readonly tuning?: Partial<SchedulerTuning>;
     /** Whether an import that finds the decode engine full is tried again while the result is kept. @default true */
     readonly importAgain?: boolean;
 };
 
 /** What the bound tries, with everything seen: no one order is best for every load, so the best of these counts. */
-const boundTunings: readonly Partial<Tuning>[] = [{}, { mostLag: 0 }, { admission: 1.05 }, {
+const boundTunings: readonly Partial<SchedulerTuning>[] = [{}, { mostLag: 0 }, { admission: 1.05 }, {
     admission: 0.85,
     mostLag: 0,
 }];
@@ -121,7 +121,7 @@
 }
 
 function createPolicy(options: RunOptions, context: PolicyContext): Policy {
-    const tuning = { ...usualTuning, ...options.tuning };
+    const tuning = { ...defaultTuning, ...options.tuning };
     switch (options.policy) {
         case "pool":
             return new PoolPolicy(context, tuning, false);
@@ -131,7 +131,7 @@
             return new AlonePolicy(
                 context,
                 entry =>
-                    ChoosingAlone.create({
+                    LocalScheduler.create({
                         randomness: SeededRandomness.create(options.seed * 17 + entry),
                         divided: false,
                     }),
--- a/simulation/agreement/world.ts
+++ b/simulation/agreement/world.ts
@@ -1,6 +1,6 @@
 import TinyQueue from "tinyqueue";
 import { nameOf } from "../../packages/basilpaddle/src/node/coordination/agreement/entry.js";
-import { deadline } from "../../packages/basilpaddle/src/node/coordination/agreement/step.js";
+import { nextTickAt } from "../../packages/basilpaddle/src/node/coordination/agreement/step.js";
 import { SeededRandomness } from "../../packages/basilpaddle/src/node/utils/index.js";
 import { assertInvariant, InvariantChecker } from "./checks.js";
 import type { Fault } from "./fault.js";
@@ -104,7 +104,7 @@
     }
 
     private scheduleTick(host: Host, process: Process): void {
-        const due = Math.max(host.simulatedTime(deadline(process.state)), this.now + 1);
+        const due = Math.max(host.simulatedTime(nextTickAt(process.state)), this.now + 1);
         if (due >= (this.tickTimes.get(process) ?? Number.POSITIVE_INFINITY)) {
             return;
         }
--- a/simulation/checkedFile.ts
+++ b/simulation/checkedFile.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from "node:fs";
 import { type Either, Left, Right } from "purify-ts";
 import type { z } from "zod";
-import { type Finding, findingsOf } from "../packages/basilpaddle/src/node/protocol/index.js";
+import { type Finding, findingsFromZodError } from "../packages/basilpaddle/src/node/protocol/index.js";
 
 /** Reads a JSON file that a person wrote and checks it against a schema; gives all that is wrong with it. */
 export function readCheckedFile<T>(file: string, schema: z.ZodType<T>): Either<readonly Finding[], T> {
@@ -13,5 +13,5 @@
         return Left([{ file, place: "", cause: `can't be read: ${(error as Error).message}` }]);
     }
     const parsed = schema.safeParse(content);
-    return parsed.success ? Right(parsed.data) : Left(findingsOf(file, parsed.error));
+    return parsed.success ? Right(parsed.data) : Left(findingsFromZodError(file, parsed.error));
 }
--- a/simulation/control/controlGroup.ts
+++ b/simulation/control/controlGroup.ts
@@ -102,7 +102,7 @@
             "a leader",
             () =>
                 [...this.daemons].find(([name, daemon]) =>
-                    daemon.status().standing().leading && !this.wiring.cutOff.has(this.portOf(name))
+                    daemon.status().replicaStatus().leading && !this.wiring.cutOff.has(this.portOf(name))
                 )?.[0],
         );
     }
--- a/simulation/control/faultRun.ts
+++ b/simulation/control/faultRun.ts
@@ -107,7 +107,7 @@
     private propose(command: Command): void {
         for (const name of names) {
             const daemon = this.group.daemon(name);
-            if (daemon?.status().standing().leading && command.kind === "changeConfiguration") {
+            if (daemon?.status().replicaStatus().leading && command.kind === "changeConfiguration") {
                 const proposal = daemon.propose(command).then(answer => {
                     if (answer.kind === "result" && answer.result.kind === "accepted") {
                         this.accepted(command.change, answer.result.revision);
--- a/simulation/orders/holder.ts
+++ b/simulation/orders/holder.ts
@@ -52,7 +52,7 @@
                 const sent = late
                     ? world.sendLate(action.open, this.fence, this.lateBy)
                     : world.send(action.open, this.fence);
-                this.state = this.reconciler.settle(this.state, action.open, sent, world.now);
+                this.state = this.reconciler.recordSendResult(this.state, action.open, sent, world.now);
                 if (sent.result !== "started" && sent.result !== "unknown") {
                     this.end(action.open.orderId);
                 }
--- a/simulation/orders/world.ts
+++ b/simulation/orders/world.ts
@@ -1,6 +1,6 @@
-import type { OpenOrder, Reading } from "../../packages/basilpaddle/src/node/coordination/orders/orderState.js";
+import type { EngineReading, OpenOrder } from "../../packages/basilpaddle/src/node/coordination/orders/orderState.js";
 import { isWarm, servingCopies } from "../../packages/basilpaddle/src/node/coordination/orders/poolPlan.js";
-import type { Sent, SentResult } from "../../packages/basilpaddle/src/node/coordination/orders/reconciler.js";
+import type { OrderSendResult, SentOrder } from "../../packages/basilpaddle/src/node/coordination/orders/reconciler.js";
 import { servedVersion } from "../../packages/basilpaddle/src/node/coordination/orders/servedVersion.js";
 import type {
     Announcement,
@@ -83,7 +83,7 @@
     }
 
     /** Readings of engines, of which some fail. They aren't taken at one instant: an attempt that moves may be in none. */
-    readings(chance = 1 - this.rules.faults): Map<string, Reading> {
+    readings(chance = 1 - this.rules.faults): Map<string, EngineReading> {
         const early = this.readingsNow();
         this.step();
         const late = this.readingsNow();
@@ -97,7 +97,7 @@
     }
 
     /** Sends an order, which takes a while; its answer, or itself, may get lost on the way. */
-    send(open: OpenOrder, fence: number): Sent {
+    send(open: OpenOrder, fence: number): SentOrder {
         for (let steps = this.random.integer(0, 8); steps > 0; steps--) {
             this.step();
         }
@@ -117,7 +117,7 @@
     }
 
     /** Sends an order that takes effect so much later, and whose answer is lost. */
-    sendLate(open: OpenOrder, fence: number, delay: number): Sent {
+    sendLate(open: OpenOrder, fence: number, delay: number): SentOrder {
         this.late.push({ at: this.now + delay, sentAt: this.now, open, fence });
         return { sentAt: this.now, result: "unknown" };
     }
@@ -159,12 +159,12 @@
         return models && !short && engines.every(({ state }) => state === "ready");
     }
 
-    private observed(readings: ReadonlyMap<string, Reading>) {
+    private observed(readings: ReadonlyMap<string, EngineReading>) {
         return Object.values(this.view().backends)
             .map(({ announcement, state }) => ({ announcement, state, reading: readings.get(announcement.id) }));
     }
 
-    private apply({ open, fence, sentAt }: Late): SentResult {
+    private apply({ open, fence, sentAt }: Late): OrderSendResult {
         const engine = this.engines.get(open.engine)!;
         if (engine.incarnation !== open.incarnation || this.random.fraction() < this.rules.faults / 4) {
             return "failed";
@@ -176,7 +176,7 @@
         return this.carryOut(engine, open.order, sentAt);
     }
 
-    private carryOut(engine: WorldEngine, order: Order, sentAt: number): SentResult {
+    private carryOut(engine: WorldEngine, order: Order, sentAt: number): OrderSendResult {
         if (order.action === "changeRole") {
             this.cut(engine, order, () => true);
             engine.role = order.role;
@@ -283,7 +283,7 @@
         return engine.models.some(({ version, phase }) => version === wanted && phase === "warm");
     }
 
-    private readingsNow(): Map<string, Reading> {
+    private readingsNow(): Map<string, EngineReading> {
         const { now } = this;
         return new Map([...this.engines.values()].map(engine => [
             engine.id,
--- a/simulation/places/cost.ts
+++ b/simulation/places/cost.ts
@@ -1,15 +1,15 @@
 // Measures the time spent in the placement code, by load and pool size.
-import { EnginePlaces } from "../../packages/basilpaddle/src/node/coordination/index.js";
+import { PlacementQueue } from "../../packages/basilpaddle/src/node/coordination/index.js";
 import { bundledDay } from "./day.js";
 import { simulateDay } from "./daySimulation.js";
 
 const simulatedSeconds = 10;
 const millisecondsInSecond = 1_000;
 const measuredMethods = ["ask", "review", "release", "prefilled"] as const;
-type Method = (this: EnginePlaces, ...parameters: unknown[]) => unknown;
+type Method = (this: PlacementQueue, ...parameters: unknown[]) => unknown;
 
 let spentMilliseconds = 0;
-const prototype = EnginePlaces.prototype as unknown as Record<typeof measuredMethods[number], Method>;
+const prototype = PlacementQueue.prototype as unknown as Record<typeof measuredMethods[number], Method>;
 for (const name of measuredMethods) {
     const original = prototype[name];
     prototype[name] = function(...parameters): unknown {
--- a/simulation/places/daySimulation.ts
+++ b/simulation/places/daySimulation.ts
@@ -1,11 +1,15 @@
 import {
-    EnginePlaces,
-    type PlaceTuning,
-    placingAlone,
-    placingForAll,
+    leaderPlacementTuning,
+    localPlacementTuning,
+    PlacementQueue,
+    type PlacementTuning,
 } from "../../packages/basilpaddle/src/node/coordination/index.js";
-import type { PlaceDecision, PlaceDemand, PlaceEnd } from "../../packages/basilpaddle/src/node/protocol/index.js";
-import { fractionOf } from "../../packages/basilpaddle/src/node/utils/index.js";
+import type {
+    PlacementDecision,
+    PlacementOutcome,
+    PlacementRequest,
+} from "../../packages/basilpaddle/src/node/protocol/index.js";
+import { hashToFraction } from "../../packages/basilpaddle/src/node/utils/index.js";
 import type { Day } from "./day.js";
 import { Fleet } from "./fleet.js";
 import { outcomeOf, type PoolOutcome } from "./outcome.js";
@@ -25,7 +29,7 @@
 const maxFailedPlacements = 4;
 const rejectedRetryAfterMilliseconds = 300;
 
-type GrantedPlacement = Extract<PlaceDecision, { kind: "placed"; }>;
+type GrantedPlacement = Extract<PlacementDecision, { kind: "placed"; }>;
 
 type Call = {
     readonly request: EmulatedRequest;
@@ -41,14 +45,14 @@
 };
 
 /** Simulates a day with the production placement code; `tuning` overrides parts of its default tuning. */
-export function simulateDay(day: Day, seed: number, tuning: Partial<PlaceTuning> = {}): PoolOutcome {
+export function simulateDay(day: Day, seed: number, tuning: Partial<PlacementTuning> = {}): PoolOutcome {
     return DaySimulation.create(day, seed, tuning).runToEnd();
 }
 
 /** Simulation of one day. Deterministic for a given day, seed and tuning. */
 export class DaySimulation {
     /** One queue for each gateway that decides locally, else a single one for the leader. */
-    private readonly placementQueues: readonly EnginePlaces[];
+    private readonly placementQueues: readonly PlacementQueue[];
     private readonly fleet: Fleet;
     private readonly calls = new Map<string, Call>();
     /** Scheduled callbacks, sorted by time. */
@@ -56,13 +60,15 @@
     private rejectedRunCount = 0;
     private wastedTokens = 0;
 
-    private constructor(private readonly day: Day, seed: number, tuning: Partial<PlaceTuning>) {
+    private constructor(private readonly day: Day, seed: number, tuning: Partial<PlacementTuning>) {
         const { pool, workload } = day;
         const { gateways } = pool;
-        const defaultTuning = gateways === undefined ? placingForAll : { ...placingAlone, share: 1 / gateways };
+        const defaultTuning = gateways === undefined
+            ? leaderPlacementTuning
+            : { ...localPlacementTuning, share: 1 / gateways };
         this.placementQueues = Array.from(
             { length: gateways ?? 1 },
-            () => EnginePlaces.create({ ...defaultTuning, ...tuning }),
+            () => PlacementQueue.create({ ...defaultTuning, ...tuning }),
         );
         const { cacheTokens, slots, handleLife } = pool.figures;
         this.fleet = Fleet.create(day, seed, {
@@ -80,7 +86,7 @@
     }
 
     /** Creates the simulation and schedules all requests and engine faults. */
-    static create(day: Day, seed: number, tuning: Partial<PlaceTuning> = {}): DaySimulation {
+    static create(day: Day, seed: number, tuning: Partial<PlacementTuning> = {}): DaySimulation {
         return new DaySimulation(day, seed, tuning);
     }
 
@@ -106,7 +112,7 @@
 
     /** Waiting and granted requests of all placement queues, and the most tokens granted at one engine by one queue. */
     status(): { readonly waiting: number; readonly held: number; readonly mostHeldTokens: number; } {
-        const statuses = this.placementQueues.map(queue => queue.standing());
+        const statuses = this.placementQueues.map(queue => queue.counts());
         return {
             waiting: statuses.reduce((sum, { waiting }) => sum + waiting, 0),
             held: statuses.reduce((sum, { held }) => sum + held, 0),
@@ -124,8 +130,8 @@
     }
 
     /** The queue that decides on an attempt. Attempts are spread over the gateways by a hash of their names. */
-    private placementQueueOf(attempt: string): EnginePlaces {
-        return this.placementQueues[Math.floor(fractionOf(attempt) * this.placementQueues.length)]!;
+    private placementQueueOf(attempt: string): PlacementQueue {
+        return this.placementQueues[Math.floor(hashToFraction(attempt) * this.placementQueues.length)]!;
     }
 
     private submit(request: EmulatedRequest, now: number): void {
@@ -148,7 +154,7 @@
         this.handleDecisions(this.placementQueueOf(request.attempt).ask(request, now), now);
     }
 
-    private placementRequest({ request, retries, avoid }: Call, now: number): PlaceDemand {
+    private placementRequest({ request, retries, avoid }: Call, now: number): PlacementRequest {
         const { target } = this.day.workload;
         return {
             attempt: `${request.name}#${retries}`,
@@ -166,7 +172,7 @@
         };
     }
 
-    private handleDecisions(decisions: readonly PlaceDecision[], now: number): void {
+    private handleDecisions(decisions: readonly PlacementDecision[], now: number): void {
         for (const decision of decisions) {
             const call = this.calls.get(decision.attempt.split("#", 1)[0]!)!;
             if (decision.kind === "refused") {
@@ -219,7 +225,7 @@
                 return;
             }
             call.prefilledAt = then;
-            this.placementQueueOf(decision.attempt).prefilled(decision.attempt, then);
+            this.placementQueueOf(decision.attempt).prefillCompleted(decision.attempt, then);
             this.startDecode(call, decision, 0, then);
         });
     }
@@ -241,7 +247,13 @@
     }
 
     /** Releases the grant after an engine rejected or failed the request, then requests another one or refuses the attempt. */
-    private retryElsewhere(call: Call, decision: GrantedPlacement, engine: string, end: PlaceEnd, now: number): void {
+    private retryElsewhere(
+        call: Call,
+        decision: GrantedPlacement,
+        engine: string,
+        end: PlacementOutcome,
+        now: number,
+    ): void {
         call.avoid.push(engine);
         this.handleDecisions(this.placementQueueOf(decision.attempt).release(decision.attempt, end, now), now);
         if (call.avoid.length >= maxFailedPlacements) {
@@ -275,7 +287,7 @@
         const attempt = `${name}#${call.retries}`;
         if (kind === "first") {
             call.firstAt = now + roundTripMilliseconds / 2;
-            this.placementQueueOf(attempt).prefilled(attempt, now);
+            this.placementQueueOf(attempt).prefillCompleted(attempt, now);
             return;
         }
         call.ended = true;
--- a/simulation/places/fleet.ts
+++ b/simulation/places/fleet.ts
@@ -1,4 +1,4 @@
-import type { Announced } from "../../packages/basilpaddle/src/node/protocol/index.js";
+import type { ServerAnnouncement } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { SeededRandomness } from "../../packages/basilpaddle/src/node/utils/index.js";
 import type { Day, EmulatedPool, EngineFault } from "./day.js";
 import { EmulatedDecode, EmulatedPrefill } from "./engines.js";
@@ -14,7 +14,7 @@
     /** Schedules `act` at the given time. */
     readonly at: (time: number, act: (now: number) => void) => void;
     /** Called with all engines whenever the announcement of one changes. */
-    readonly onAnnounced: (announced: readonly Announced[]) => void;
+    readonly onAnnounced: (announced: readonly ServerAnnouncement[]) => void;
     /** Called with the names of the runs that a crashed engine lost. */
     readonly onRunsLost: (runs: readonly string[], now: number) => void;
 };
@@ -25,7 +25,7 @@
 export class Fleet {
     private readonly prefills = new Map<string, EmulatedPrefill>();
     private readonly decodes = new Map<string, EmulatedDecode>();
-    private announced: Announced[] = [];
+    private announced: ServerAnnouncement[] = [];
     private recomputedTokensOfCrashedEngines = 0;
 
     private constructor(private readonly pool: EmulatedPool, private readonly hooks: FleetHooks) {}
--- a/simulation/quarantine/crashSimulation.ts
+++ b/simulation/quarantine/crashSimulation.ts
@@ -1,5 +1,8 @@
-import { type Hold, Quarantine } from "../../packages/basilpaddle/src/node/coordination/quarantine/quarantine.js";
-import { holdRulesSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
+import {
+    Quarantine,
+    type QuarantineStatus,
+} from "../../packages/basilpaddle/src/node/coordination/quarantine/quarantine.js";
+import { quarantineRulesSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { SeededRandomness } from "../../packages/basilpaddle/src/node/utils/index.js";
 
 /** Engines of the pool, and the delay after which a crashed one is replaced by one with another name. */
@@ -55,7 +58,7 @@
  */
 export class CrashSimulation {
     private readonly random: SeededRandomness;
-    private readonly quarantine = Quarantine.create(holdRulesSchema.parse({}));
+    private readonly quarantine = Quarantine.create(quarantineRulesSchema.parse({}));
     private readonly events: { readonly at: number; readonly act: () => void; }[] = [];
     private readonly running = new Map<string, Set<Run>>();
     private readonly answered = new Set<string>();
@@ -121,8 +124,8 @@
     }
 
     private send(caller: Caller): void {
-        const quarantineStatus: Hold | undefined = this.quarantine.hold(caller.content, this.now);
-        if (quarantineStatus !== undefined) {
+        const status: QuarantineStatus | undefined = this.quarantine.hold(caller.content, this.now);
+        if (status !== undefined) {
             if (!caller.content.startsWith("poison")) {
                 this.quarantined.add(caller.content);
             }
--- a/simulation/requests/fakePlacement.ts
+++ b/simulation/requests/fakePlacement.ts
@@ -1,17 +1,17 @@
 import { Placement } from "../../packages/basilpaddle/src/node/coordination/index.js";
 import type {
-    Decision,
-    Demand,
-    Holding,
+    EngineHolding,
     LoadReport,
     Progress,
+    SchedulingDecision,
+    SchedulingRequest,
 } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import type { FakeEngine } from "./fakes.js";
 
 /** A fake placement that assigns the first engines not listed in `avoid`, and records reservations and reports. */
 export class FakePlacement extends Placement {
-    readonly reserved = new Map<string, Demand>();
-    readonly demands: Demand[] = [];
+    readonly reserved = new Map<string, SchedulingRequest>();
+    readonly demands: SchedulingRequest[] = [];
     readonly told: Progress[] = [];
     readonly loads: LoadReport[] = [];
     /** Decode engines that callers reported as full. */
@@ -19,7 +19,7 @@
     /** Decode engine that replaces a full one; undefined if there is no other. */
     spare: string | undefined;
     /** Returned in place of an assignment. */
-    refusal: Decision | undefined;
+    refusal: SchedulingDecision | undefined;
     /** Awaited before each decision. */
     queue: (signal: AbortSignal) => Promise<void> = () => Promise.resolve();
 
@@ -27,11 +27,11 @@
         super();
     }
 
-    override async reserve(demand: Demand, signal: AbortSignal): Promise<Decision> {
+    override async reserve(demand: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision> {
         const { attempt } = demand;
         this.demands.push(demand);
         await this.queue(signal);
-        const refused = (code: "noBackend" | "callerGone"): Decision => ({
+        const refused = (code: "noBackend" | "callerGone"): SchedulingDecision => ({
             kind: "refused",
             attempt,
             refusal: { code, outcome: "notRun", message: code },
@@ -50,7 +50,7 @@
         return { kind: "assigned", attempt, prefill, decode, fence: 1, expectedReuse: 0 };
     }
 
-    override move(holding: Holding): Promise<string | undefined> {
+    override move(holding: EngineHolding): Promise<string | undefined> {
         this.full.push(holding.decode);
         return Promise.resolve(this.spare);
     }
--- a/simulation/requests/fakes.ts
+++ b/simulation/requests/fakes.ts
@@ -13,10 +13,10 @@
     type DecodeLine,
     type EngineState,
     type Generation,
-    type KeptAnswer,
     type LoadReport,
     type OrderAnswer,
     type PrefillAnswer,
+    type StoredAnswer,
     type View,
     viewSchema,
 } from "../../packages/basilpaddle/src/node/protocol/index.js";
@@ -246,7 +246,7 @@
     readonly token: string;
     readonly digest: string;
     state: "running" | "answered" | "notRun" | "failedAfterStarting" | "unknown";
-    answer?: KeptAnswer;
+    answer?: StoredAnswer;
 };
 
 /** A fake control client that applies commands itself; tests can withdraw its confirmation and lose its proposals. */
@@ -296,7 +296,7 @@
         return lost === "after" ? Left({ kind: "undecided", reason: "lost" }) : Right(result);
     }
 
-    override noteRenewal(id: string): void {
+    override recordRenewal(id: string): void {
         this.renewals.push(id);
     }
 
--- a/simulation/requests/rig.ts
+++ b/simulation/requests/rig.ts
@@ -1,15 +1,15 @@
 import {
-    CrashWatch,
+    CrashDetector,
     hasEnded,
-    HeldRequests,
+    QuarantinedRequests,
 } from "../../packages/basilpaddle/src/node/coordination/quarantine/index.js";
 import {
     Answer,
     type AnswerEnd,
     AttemptIds,
     Cancellations,
-    EngineDirectory,
-    LocalMarks,
+    EngineClients,
+    LeavingBackends,
     RequestDriver,
     type RequestEnd,
     type RequestParts,
@@ -18,7 +18,7 @@
     RunRecords,
     type Work,
 } from "../../packages/basilpaddle/src/node/coordination/request/index.js";
-import { holdRulesSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
+import { quarantineRulesSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import {
     createSilentLogger,
     SeededRandomness,
@@ -86,7 +86,7 @@
             logger: createSilentLogger(),
             metrics: SilentMetrics.create(),
         };
-        const directory = EngineDirectory.create(url =>
+        const directory = EngineClients.create(url =>
             engines.find(engine => engine.announcement.url === url) as FakeEngine
         );
         return new Rig(engines, control, placement, {
@@ -95,12 +95,16 @@
             placement,
             engines: directory,
             cancellations: Cancellations.create({ ...shared, engines: directory, view: () => control.view() }),
-            runs: RunRecords.create(shared),
-            marks: LocalMarks.create(),
-            budget: RetryBudget.create(),
-            crashes: CrashWatch.create({
+            runRecords: RunRecords.create(shared),
+            marks: LeavingBackends.create(),
+            retryBudget: RetryBudget.create(),
+            crashDetector: CrashDetector.create({
                 ...shared,
-                held: HeldRequests.create({ rules: holdRulesSchema.parse({}), ...shared, tell: () => undefined }),
+                quarantine: QuarantinedRequests.create({
+                    rules: quarantineRulesSchema.parse({}),
+                    ...shared,
+                    publishRecords: () => undefined,
+                }),
                 isGone: life => hasEnded(control.view(), life),
                 listens: async () => "yes",
             }),
@@ -161,6 +165,6 @@
     /** Waits until every cancel is confirmed and every run record is decided. */
     async settled(): Promise<void> {
         await until("cancels confirmed", () => this.parts.cancellations.outstanding === 0);
-        await until("records decided", () => this.parts.runs.undecided === 0);
+        await until("records decided", () => this.parts.runRecords.undecided === 0);
     }
 }
--- a/simulation/scheduling/bench.ts
+++ b/simulation/scheduling/bench.ts
@@ -3,7 +3,11 @@
     EngineEntry,
     SchedulerEvent,
 } from "../../packages/basilpaddle/src/node/coordination/scheduling/scheduler.js";
-import { type Decision, type Demand, poolSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
+import {
+    poolSchema,
+    type SchedulingDecision,
+    type SchedulingRequest,
+} from "../../packages/basilpaddle/src/node/protocol/index.js";
 
 const pool = poolSchema.parse({ models: [{ name: "draft", version: "v1" }], copies: { prefill: 1, decode: 1 } });
 const organisation = { share: 1, openRequests: 100 };
@@ -11,7 +15,7 @@
 /** A scheduler of one pool with a simulated clock, which records the decisions. */
 export class Bench {
     readonly scheduler: PoolScheduler;
-    readonly decisions = new Map<string, Decision>();
+    readonly decisions = new Map<string, SchedulingDecision>();
     now = 0;
 
     constructor(engines: readonly EngineEntry[], weighting: "goodput" | "prefill" = "goodput", warm = true) {
@@ -27,7 +31,7 @@
         }
     }
 
-    ask(request: Demand): void {
+    ask(request: SchedulingRequest): void {
         this.step({ kind: "demand", demand: request });
     }
 
--- a/simulation/scheduling/samples.ts
+++ b/simulation/scheduling/samples.ts
@@ -1,5 +1,9 @@
 import type { EngineEntry } from "../../packages/basilpaddle/src/node/coordination/scheduling/scheduler.js";
-import { announcementSchema, type Demand, demandSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
+import {
+    announcementSchema,
+    type SchedulingRequest,
+    schedulingRequestSchema,
+} from "../../packages/basilpaddle/src/node/protocol/index.js";
 
 /** An engine that is ready and serves the model `draft`. */
 export function engine(
@@ -22,8 +26,8 @@
 }
 
 /** A scheduling request of 1000 prompt tokens and 100 expected output tokens with generous targets. */
-export function demand(attempt: string, overrides: Partial<Demand> = {}): Demand {
-    return demandSchema.parse({
+export function demand(attempt: string, overrides: Partial<SchedulingRequest> = {}): SchedulingRequest {
+    return schedulingRequestSchema.parse({
         attempt,
         owner: { daemon: "entry-1", incarnation: "i1" },
         pool: "drafts",
--- a/simulation/view/voters.ts
+++ b/simulation/view/voters.ts
@@ -2,7 +2,7 @@
  * A simplified model of the control daemons with what the view lease depends on: logs that survive crashes, elections, commits
  * by a quorum, silence after a start, and the rule by which a leader answers a change as accepted.
  */
-import { Hearing, InForce } from "../../packages/basilpaddle/src/node/coordination/supervisor/index.js";
+import { InForceTracker, LivenessTable } from "../../packages/basilpaddle/src/node/coordination/supervisor/index.js";
 import type { Command, Incarnation, PeerRequest, Timing } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { ViewState } from "../../packages/basilpaddle/src/node/state/index.js";
 import type { Process, Server, World } from "./world.js";
@@ -52,14 +52,14 @@
     private leaderHeardAt = 0;
     private votes = new Set<string>();
     private acknowledged = new Map<string, { sentAt: number; length: number; }>();
-    private liveness = Hearing.create();
-    private inForce: InForce;
+    private liveness = LivenessTable.create();
+    private inForce: InForceTracker;
     private pendingChanges = new Map<number, { committedAt: number; inForceAt: number | undefined; }>();
     private state = ViewState.create();
     private applied = 1;
 
     constructor(private readonly group: Group, readonly process: Process, private log: readonly Entry[]) {
-        this.inForce = InForce.create(group.timing, process.monotonic());
+        this.inForce = InForceTracker.create(group.timing, process.monotonic());
     }
 
     /** Starts the process: synced state (term, vote, log) remains, volatile state is reset. */
@@ -68,8 +68,8 @@
         this.applied = 1;
         this.state = ViewState.create();
         this.leading = false;
-        this.liveness = Hearing.create();
-        this.inForce = InForce.create(this.group.timing, this.process.monotonic());
+        this.liveness = LivenessTable.create();
+        this.inForce = InForceTracker.create(this.group.timing, this.process.monotonic());
         this.pendingChanges = new Map();
         this.leaderHeardAt = this.process.monotonic();
         this.tick();
@@ -118,7 +118,7 @@
     answer(body: unknown, reply: (answer: unknown) => void): void {
         const request = body as PeerRequest;
         if (request.kind === "confirmView") {
-            this.liveness.heardSession(request.session, request, this.process.monotonic());
+            this.liveness.recordSession(request.session, request, this.process.monotonic());
             reply(this.viewReply(request.applied, request.wantsSteps));
         }
         if (request.kind === "propose") {
@@ -230,9 +230,10 @@
         }
     }
 
-    private isInForce(index: number, heldAt: number, now: number): boolean {
+    private isInForce(index: number, committedAt: number, now: number): boolean {
         const { inForce, liveness, leadingSince } = this;
-        return inForce.status({ index, heldAt }, leadingSince, this.state.view(), liveness, now).kind === "inForce";
+        return inForce.status({ index, committedAt }, leadingSince, this.state.view(), liveness, now).kind
+            === "inForce";
     }
 
     private viewLeaseWithDrift(): number {
@@ -348,10 +349,10 @@
                 this.state.apply(this.applied + 1, command);
                 const after = this.openIncarnations();
                 if (command.kind === "openSession") {
-                    this.liveness.heardSession(command.session, { applied: 0, revision: 0 }, now);
+                    this.liveness.recordSession(command.session, { applied: 0, revision: 0 }, now);
                 }
                 if (before.some(session => !after.includes(session))) {
-                    this.inForce.noteClosing(now);
+                    this.inForce.recordSessionClosed(now);
                 }
                 // Followers also record when they learned of a commit, as the next leader may have to accept the change.
                 this.pendingChanges.set(this.applied + 1, { committedAt: now, inForceAt: undefined });
--- a/soak/backend.ts
+++ b/soak/backend.ts
@@ -3,13 +3,13 @@
 import {
     announcementCall,
     answerHeaders,
-    freedHandle,
     leaveCall,
     notRunHeaders,
-    readAnswer,
+    prefillAnswer,
     receivedOrder,
     type ReceivedRequest,
     receivedRequest,
+    releasedHandle,
 } from "../platform/src/standins/wire.js";
 import { Relay } from "../playground/harness/relay.js";
 import type { Invariants } from "./invariants.js";
@@ -191,7 +191,7 @@
         const { method = "GET", url = "/" } = request;
         const body = Buffer.concat(chunks).toString();
         const order = receivedOrder(method, url, body);
-        const freedCache = freedHandle(method, url);
+        const freedCache = releasedHandle(method, url);
         if (order !== undefined) {
             this.applyOrder(order, response);
         }
@@ -251,7 +251,7 @@
             this.options.caches.set(handle, attempt);
             void this.delay(handleLifetimeMilliseconds).then(() => this.options.caches.delete(handle));
         }
-        response.end(readAnswer(handle));
+        response.end(prefillAnswer(handle));
     }
 
     private async answerPlain({ attempt }: ReceivedRequest, response: http.ServerResponse): Promise<void> {
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,6 +1,6 @@
 import * as http from "node:http";
 import type { Randomness } from "../packages/basilpaddle/src/node/utils/index.js";
-import { callerHeaders, type RouteKind, sealOf } from "../platform/src/standins/wire.js";
+import { answerSeal, callerHeaders, type RouteKind } from "../platform/src/standins/wire.js";
 import type { SoakDeployment } from "./deployment.js";
 import type { CallerEnd, Invariants, SoakRequest } from "./invariants.js";
 import type { Member } from "./member.js";
@@ -170,7 +170,7 @@
         response.on("close", () => {
             const { statusCode: status = 0, complete } = response;
             const expected = kind === "safe" || kind === "unsafe" ? plainText(attempt) : streamText(attempt);
-            const sealed = sealOf(response.headers) !== undefined;
+            const sealed = answerSeal(response.headers) !== undefined;
             resolve(
                 complete
                     ? { kind: "answered", status, sealed, right: body === expected }
--- a/soak/texts.ts
+++ b/soak/texts.ts
@@ -1,6 +1,6 @@
 // Response bodies that depend only on the attempt, so that every byte of a response can be checked against its request.
 
-import { fractionOf } from "../packages/basilpaddle/src/node/utils/index.js";
+import { hashToFraction } from "../packages/basilpaddle/src/node/utils/index.js";
 
 /** Bounds for the number of events in a streamed response. */
 const maximumEvents = 24;
@@ -14,7 +14,7 @@
 
 /** Number of events in a streamed response; derived from the attempt. */
 export function eventCount(attempt: string): number {
-    return minimumEvents + Math.floor(fractionOf(attempt) * (maximumEvents - minimumEvents));
+    return minimumEvents + Math.floor(hashToFraction(attempt) * (maximumEvents - minimumEvents));
 }
 
 /** One event of a streamed response, numbered from 1. */
