--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/quarantine.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/quarantine.spec.ts
@@ -22,7 +22,7 @@
     });
 
     function isHeld(digest: string, now = 0): boolean {
-        return quarantine.hold(digest, now) !== undefined;
+        return quarantine.currentStatus(digest, now) !== undefined;
     }
 
     it("quarantines a request after two crashes before the first part of a response, three of an unstreamed one, five late ones", () => {
@@ -44,7 +44,7 @@
 
     it("returns the crashes that count against a request, and the time that is left", () => {
         quarantine.merge([of("a", early("s1", 500), early("s2", 200))], 1_000);
-        expect(quarantine.hold("a", 1_300)).to.deep.equal({
+        expect(quarantine.currentStatus("a", 1_300)).to.deep.equal({
             left: 10 * minute - 500,
             crashes: [early("s1", 800), early("s2", 500)],
         });
@@ -100,7 +100,7 @@
     it("limits the crashes per request and the number of requests", () => {
         const many = Array.from({ length: 40 }, (_, index) => early(`s${index}`));
         many.forEach(crash => quarantine.merge([of("a", crash)], 0));
-        expect(quarantine.hold("a", 0)?.crashes).to.have.length(maximumRecordedCrashes);
+        expect(quarantine.currentStatus("a", 0)?.crashes).to.have.length(maximumRecordedCrashes);
         for (let index = 0; index < 10_000; index++) {
             quarantine.merge([of(`new${index}`, early("s"))], 0);
         }
--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantine.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantine.ts
@@ -67,7 +67,7 @@
     }
 
     /** Why the request may not be sent to any backend server now; undefined if it may. */
-    hold(digest: string, now: number): QuarantineStatus | undefined {
+    currentStatus(digest: string, now: number): QuarantineStatus | undefined {
         const crashes = this.countedCrashes(digest);
         if (!this.reachesLimit(crashes)) {
             return undefined;
@@ -80,7 +80,7 @@
     /** All requests that are quarantined now. */
     quarantined(now: number): readonly QuarantinedRequest[] {
         return [...this.histories.keys()].flatMap(digest => {
-            const hold = this.hold(digest, now);
+            const hold = this.currentStatus(digest, now);
             return hold === undefined ? [] : [{ digest, ...hold }];
         });
     }
--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantinedRequests.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantinedRequests.ts
@@ -40,7 +40,7 @@
 
     /** Why a request may not be sent now; undefined if it may. */
     quarantineStatus(digest: string): QuarantineStatus | undefined {
-        return this.quarantine.hold(digest, this.now());
+        return this.quarantine.currentStatus(digest, this.now());
     }
 
     /** Whether any crash counts against a request. */
--- a/simulation/quarantine/crashSimulation.ts
+++ b/simulation/quarantine/crashSimulation.ts
@@ -124,7 +124,7 @@
     }
 
     private send(caller: Caller): void {
-        const status: QuarantineStatus | undefined = this.quarantine.hold(caller.content, this.now);
+        const status: QuarantineStatus | undefined = this.quarantine.currentStatus(caller.content, this.now);
         if (status !== undefined) {
             if (!caller.content.startsWith("poison")) {
                 this.quarantined.add(caller.content);
