--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/randomRuns.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/randomRuns.spec.ts
@@ -1,8 +1,8 @@
 import * as fc from "fast-check";
-import { agreementRuns } from "../../../../../../../simulation/agreement/runs.js";
+import { agreementProperty } from "../../../../../../../simulation/agreement/runs.js";
 
 describe("the agreement protocol under random faults", () => {
     it("keeps its invariants, and the group recovers", () => {
-        fc.assert(agreementRuns(), { seed: 20_261_202, numRuns: 60, endOnFailure: false });
+        fc.assert(agreementProperty(), { seed: 20_261_202, numRuns: 60, endOnFailure: false });
     });
 });
--- a/packages/basilpaddle/src/node/coordination/request/__tests__/driver.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/driver.spec.ts
@@ -1,7 +1,12 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
 import { Rig } from "../../../../../../../simulation/requests/rig.js";
-import { assertConditions, outcomeOf, requestRuns, stages } from "../../../../../../../simulation/requests/runs.js";
+import {
+    assertInvariants,
+    refusalOutcome,
+    requestProperty,
+    stages,
+} from "../../../../../../../simulation/requests/runs.js";
 
 describe("the request driver", () => {
     for (const stage of stages) {
@@ -13,9 +18,9 @@
                 rig.engine(stage === "prefill" ? "p1" : "d1").faults[stage].push(fault);
                 const end = await rig.drive({});
                 expect(end.kind).to.equal("finished");
-                assertConditions(rig, end);
-                await rig.settled();
-                expect(rig.held()).to.deep.equal([]);
+                assertInvariants(rig, end);
+                await rig.waitUntilSettled();
+                expect(rig.unreleasedAttempts()).to.deep.equal([]);
             });
 
             it(`runs a non-idempotent request at most once when its ${stage} meets ${fault}`, async () => {
@@ -24,12 +29,12 @@
                 const rig = Rig.create();
                 rig.engine(stage === "prefill" ? "p1" : "d1").faults[stage].push(fault);
                 const end = await rig.drive({ run: { key: "o/letter/k", digest: "d" } });
-                assertConditions(rig, end);
-                expect(rig.ran().filter(ran => ran.startsWith("prefill")).length).to.be.at.most(1);
+                assertInvariants(rig, end);
+                expect(rig.ranStages().filter(ran => ran.startsWith("prefill")).length).to.be.at.most(1);
                 const state = rig.control.runs.get("o/letter/k")?.state;
-                expect(state).to.equal(end.kind === "finished" ? "answered" : outcomeOf(end));
-                await rig.settled();
-                expect(rig.held()).to.deep.equal([]);
+                expect(state).to.equal(end.kind === "finished" ? "answered" : refusalOutcome(end));
+                await rig.waitUntilSettled();
+                expect(rig.unreleasedAttempts()).to.deep.equal([]);
             });
         }
     }
@@ -41,8 +46,8 @@
         rig.engine("d1").faults.decode.push("cut", "cut");
         const end = await rig.drive({ run: { key: "k", digest: "d" } });
         expect(end.kind).to.equal("finished");
-        assertConditions(rig, end);
-        expect(rig.ran().filter(ran => ran.startsWith("prefill"))).to.have.length(1);
+        assertInvariants(rig, end);
+        expect(rig.ranStages().filter(ran => ran.startsWith("prefill"))).to.have.length(1);
     });
 
     it("retries on another engine, skipping tokens that the caller has, if an engine can't resume", async () => {
@@ -53,9 +58,9 @@
         rig.engine("d1").faults.decode.push("cut");
         const end = await rig.drive({});
         expect(end.kind).to.equal("finished");
-        assertConditions(rig, end);
-        expect(rig.placement.demands.at(-1)).to.include({ alreadySent: 2 });
-        expect(rig.placement.demands.at(-1)?.avoid).to.deep.equal(["d1"]);
+        assertInvariants(rig, end);
+        expect(rig.placement.schedulingRequests.at(-1)).to.include({ alreadySent: 2 });
+        expect(rig.placement.schedulingRequests.at(-1)?.avoid).to.deep.equal(["d1"]);
     });
 
     for (const [fault, attempts] of [["gap", 1], ["repeat", 1], ["short", 1], ["early", 2]] as const) {
@@ -66,9 +71,9 @@
             rig.engine("d1").faults.decode.push(fault);
             const end = await rig.drive({});
             expect(end.kind).to.equal("finished");
-            assertConditions(rig, end);
+            assertInvariants(rig, end);
             expect(rig.answer.texts).to.have.length(4);
-            expect(rig.placement.demands).to.have.length(attempts);
+            expect(rig.placement.schedulingRequests).to.have.length(attempts);
         });
     }
 
@@ -82,10 +87,10 @@
         };
         expect((await rig.drive({})).kind).to.equal("finished");
         expect(rig.engine("d1").ran).to.deep.equal([]);
-        expect(rig.ran().filter(ran => ran.startsWith("prefill"))).to.have.length(1);
+        expect(rig.ranStages().filter(ran => ran.startsWith("prefill"))).to.have.length(1);
         rig.parts.marks.markLeaving("p1", 1);
         await rig.drive({});
-        expect(rig.placement.demands.at(-1)?.avoid).to.deep.equal(["d1", "p1"]);
+        expect(rig.placement.schedulingRequests.at(-1)?.avoid).to.deep.equal(["d1", "p1"]);
     });
 
     it("waits for an engine that the scheduler's view contains before its own", async () => {
@@ -102,7 +107,7 @@
             return follow(listener);
         };
         expect((await rig.drive({})).kind).to.equal("finished");
-        expect(rig.placement.demands).to.have.length(1);
+        expect(rig.placement.schedulingRequests).to.have.length(1);
         expect(rig.engine("d1").ran).to.not.deep.equal([]);
     });
 
@@ -114,8 +119,8 @@
         const others = Object.entries(whole.backends).filter(([id]) => id !== "d1");
         rig.control.setView({ ...whole, backends: Object.fromEntries(others) });
         expect((await rig.drive({})).kind).to.equal("finished");
-        expect(rig.placement.demands.at(-1)?.avoid).to.deep.equal(["d1"]);
-        const failed = rig.placement.told.filter(({ stage }) => stage === "failed");
+        expect(rig.placement.schedulingRequests.at(-1)?.avoid).to.deep.equal(["d1"]);
+        const failed = rig.placement.progressReports.filter(({ stage }) => stage === "failed");
         expect(failed.map(({ failedEngine }) => failedEngine)).to.deep.equal([undefined]);
         expect(rig.placement.reserved.size).to.equal(0);
     });
@@ -127,8 +132,8 @@
         rig.engine("p1").prefill = () => new Promise(() => undefined);
         const end = await rig.drive({ deadlineAt: rig.parts.clock.monotonic() + 1_000 });
         expect(end).to.have.nested.property("refusal.code", "deadlineExceeded");
-        expect(outcomeOf(end)).to.equal("unknown");
-        await rig.settled();
+        expect(refusalOutcome(end)).to.equal("unknown");
+        await rig.waitUntilSettled();
     });
 
     it("makes no more retries than its budget allows", async () => {
@@ -152,10 +157,10 @@
         };
         const end = await rig.drive({ run: { key: "k", digest: "d" } });
         expect(end).to.have.nested.property("refusal.code", "viewExpired");
-        expect(outcomeOf(end)).to.equal("notRun");
-        expect(rig.ran()).to.deep.equal([]);
+        expect(refusalOutcome(end)).to.equal("notRun");
+        expect(rig.ranStages()).to.deep.equal([]);
         expect(rig.control.runs.size).to.equal(0);
-        expect(rig.held()).to.deep.equal([]);
+        expect(rig.unreleasedAttempts()).to.deep.equal([]);
     });
 
     it("sends nothing while the record of a run is undecided, and releases it", async () => {
@@ -165,9 +170,9 @@
         rig.control.lost.push("after", "before");
         const end = await rig.drive({ run: { key: "k", digest: "d" } });
         expect(end).to.have.nested.property("refusal.code", "noQuorum");
-        expect(outcomeOf(end)).to.equal("notRun");
-        expect(rig.ran()).to.deep.equal([]);
-        await rig.settled();
+        expect(refusalOutcome(end)).to.equal("notRun");
+        expect(rig.ranStages()).to.deep.equal([]);
+        await rig.waitUntilSettled();
         expect(rig.control.runs.size).to.equal(0);
     });
 
@@ -182,7 +187,7 @@
         await rig.drive({ run: { key: "l", digest: "d" } });
         const again = await rig.drive({ run: { key: "l", digest: "d" } });
         expect(again).to.have.nested.property("refusal.code", "outcomeUnknown");
-        expect(outcomeOf(again)).to.equal("unknown");
+        expect(refusalOutcome(again)).to.equal("unknown");
     });
 
     it("retries a cancel until the engine confirms it", async () => {
@@ -191,21 +196,21 @@
         const rig = Rig.create();
         rig.engine("d1").faults.decode.push("hang");
         rig.engine("d1").lostCancels = 2;
-        rig.engine("d1").begun = stage => stage === "decode" && rig.scope.stop("callerGone");
+        rig.engine("d1").onStageBegun = stage => stage === "decode" && rig.scope.stop("callerGone");
         expect(await rig.drive({})).to.have.nested.property("refusal.code", "callerGone");
-        await rig.settled();
+        await rig.waitUntilSettled();
         expect(rig.engine("d1").cancels).to.equal(3);
-        expect(rig.held()).to.deep.equal([]);
+        expect(rig.unreleasedAttempts()).to.deep.equal([]);
     });
 
     it("stops retrying a cancel once the engine is gone from the view", async () => {
         const rig = Rig.create();
         rig.engine("d1").faults.decode.push("hang");
         rig.engine("d1").lostCancels = Infinity;
-        rig.engine("d1").begun = stage => stage === "decode" && rig.scope.stop("callerGone");
+        rig.engine("d1").onStageBegun = stage => stage === "decode" && rig.scope.stop("callerGone");
         await rig.drive({});
         rig.mark("d1", "gone");
-        await rig.settled();
+        await rig.waitUntilSettled();
         expect(rig.parts.cancellations.outstanding).to.equal(0);
     });
 
@@ -214,14 +219,14 @@
         // connections, and only a broken connection was detected.
         const rig = Rig.create();
         rig.engine("p1").faults.prefill.push("hang");
-        rig.engine("p1").begun = () => setImmediate(() => rig.mark("p1", "gone"));
+        rig.engine("p1").onStageBegun = () => setImmediate(() => rig.mark("p1", "gone"));
         const end = await rig.drive({});
         expect(end.kind).to.equal("finished");
-        assertConditions(rig, end);
+        assertInvariants(rig, end);
     });
 
     it("keeps its invariants under random faults, stops and lost proposals", async function() {
         this.timeout(60_000);
-        await fc.assert(requestRuns(), { seed: 20_261_202, numRuns: 300 });
+        await fc.assert(requestProperty(), { seed: 20_261_202, numRuns: 300 });
     });
 });
--- a/packages/basilpaddle/src/node/coordination/request/__tests__/fullEngine.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/fullEngine.spec.ts
@@ -8,7 +8,7 @@
 const persistentlyFull = Array.from({ length: 20 }, () => "full" as const);
 
 function prefills(rig: Rig): string[] {
-    return rig.ran().filter(ran => ran.startsWith("prefill"));
+    return rig.ranStages().filter(ran => ran.startsWith("prefill"));
 }
 
 describe("a decode engine that rejects an import because it is full", () => {
@@ -20,9 +20,9 @@
             rig.engine("d1").faults.import.push("full", "full");
             expect((await rig.drive({ run })).kind).to.equal("finished");
             expect(prefills(rig)).to.have.length(1);
-            expect(rig.placement.demands).to.have.length(1);
-            await rig.settled();
-            expect(rig.held()).to.deep.equal([]);
+            expect(rig.placement.schedulingRequests).to.have.length(1);
+            await rig.waitUntilSettled();
+            expect(rig.unreleasedAttempts()).to.deep.equal([]);
         });
     }
 
@@ -31,12 +31,12 @@
         const rig = Rig.create();
         rig.engine("d1").faults.import.push(...persistentlyFull);
         expect((await rig.drive({})).kind).to.equal("finished");
-        expect(rig.placement.demands.at(-1)?.avoid).to.deep.equal(["d1"]);
-        const failed = rig.placement.told.filter(({ stage }) => stage === "failed");
+        expect(rig.placement.schedulingRequests.at(-1)?.avoid).to.deep.equal(["d1"]);
+        const failed = rig.placement.progressReports.filter(({ stage }) => stage === "failed");
         expect(failed.map(({ failedEngine }) => failedEngine)).to.deep.equal([undefined]);
         expect(rig.engine("d1").faults.import.length, "unbounded retries").to.be.at.least(persistentlyFull.length - 5);
-        await rig.settled();
-        expect(rig.held()).to.deep.equal([]);
+        await rig.waitUntilSettled();
+        expect(rig.unreleasedAttempts()).to.deep.equal([]);
     });
 
     it("is still reported as failed when it refuses for another reason", async () => {
@@ -44,7 +44,7 @@
         const rig = Rig.create();
         rig.engine("d1").faults.import.push("full", "refuse");
         await rig.drive({});
-        const failed = rig.placement.told.filter(({ stage }) => stage === "failed");
+        const failed = rig.placement.progressReports.filter(({ stage }) => stage === "failed");
         expect(failed.map(({ failedEngine }) => failedEngine)).to.deep.equal(["d1"]);
     });
 
@@ -53,14 +53,15 @@
             // Guards against a finished prefill that stays in its engine's memory after the caller disconnected.
             const rig = Rig.create();
             rig.engine("d1").faults.import.push(...persistentlyFull);
-            rig.engine("d1").begun = () => setImmediate(() => rig.scope.stop("callerGone"));
+            rig.engine("d1").onStageBegun = () => setImmediate(() => rig.scope.stop("callerGone"));
             // Without timers, delays end only by the signal, when the caller disconnects.
             rig.parts.clock.after = () => () => undefined;
             expect(await rig.drive({ run })).to.have.nested.property("refusal.code", "callerGone");
             expect(rig.engine("d1").faults.import).to.have.length(persistentlyFull.length - 1);
-            expect(rig.engine("p1").holds.size === 0 || rig.parts.cancellations.outstanding > 0).to.equal(true);
-            await rig.settled();
-            expect(rig.held()).to.deep.equal([]);
+            expect(rig.engine("p1").attemptsHoldingResources.size === 0 || rig.parts.cancellations.outstanding > 0).to
+                .equal(true);
+            await rig.waitUntilSettled();
+            expect(rig.unreleasedAttempts()).to.deep.equal([]);
             expect(rig.control.runs.get(nonIdempotentRun.key)?.state).to.equal(run && "failedAfterStarting");
         });
     }
@@ -70,7 +71,7 @@
             // Guards against new work for a leaving engine.
             const rig = Rig.create();
             rig.engine("d1").faults.import.push("full");
-            rig.engine("d1").begun = () => rig.mark("d1", state);
+            rig.engine("d1").onStageBegun = () => rig.mark("d1", state);
             expect((await rig.drive({})).kind).to.equal("finished");
             expect(rig.engine("d1").ran).to.deep.equal([]);
         });
@@ -80,13 +81,13 @@
         // Guards against a daemon that resumes from a freeze and takes a slot that its successor doesn't know about.
         const rig = Rig.create();
         rig.engine("d1").faults.import.push("full");
-        rig.engine("d1").begun = () => {
+        rig.engine("d1").onStageBegun = () => {
             rig.control.confirmed = false;
         };
         expect(await rig.drive({})).to.have.nested.property("refusal.code", "viewExpired");
         expect(rig.engine("d1").ran).to.deep.equal([]);
-        await rig.settled();
-        expect(rig.held()).to.deep.equal([]);
+        await rig.waitUntilSettled();
+        expect(rig.unreleasedAttempts()).to.deep.equal([]);
     });
 
     it("is retried at most four times, within half a second and never past the latest time", () => {
@@ -120,13 +121,13 @@
         it(`is replaced by one with a free slot, ${run === undefined ? "idempotent" : "non-idempotent"} request`, async () => {
             const rig = Rig.create();
             rig.engine("d1").faults.import.push(...persistentlyFull);
-            rig.placement.spare = "d2";
+            rig.placement.replacementDecode = "d2";
             expect((await rig.drive({ run })).kind).to.equal("finished");
-            expect(rig.ran().map(ran => ran.split(" ")[0])).to.deep.equal(["prefill", "import", "decode"]);
+            expect(rig.ranStages().map(ran => ran.split(" ")[0])).to.deep.equal(["prefill", "import", "decode"]);
             expect(rig.engine("d2").ran.map(({ stage }) => stage)).to.deep.equal(["import", "decode"]);
-            expect(rig.placement.full).to.deep.equal(["d1"]);
-            await rig.settled();
-            expect(rig.held()).to.deep.equal([]);
+            expect(rig.placement.reportedFull).to.deep.equal(["d1"]);
+            await rig.waitUntilSettled();
+            expect(rig.unreleasedAttempts()).to.deep.equal([]);
         });
     }
 
@@ -136,26 +137,26 @@
         const rig = Rig.create();
         rig.engine("d1").faults.import.push(...persistentlyFull);
         expect((await rig.drive({ run: nonIdempotentRun })).kind).to.equal("finished");
-        expect(rig.ran().map(ran => ran.split(" ")[0])).to.deep.equal(["prefill", "import", "decode"]);
+        expect(rig.ranStages().map(ran => ran.split(" ")[0])).to.deep.equal(["prefill", "import", "decode"]);
         const evicted = Rig.create();
         evicted.engine("d1").faults.import.push(...persistentlyFull.slice(0, 9), "evicted");
         const end = await evicted.drive({ run: nonIdempotentRun });
         expect(end).to.have.nested.property("refusal.outcome", "failedAfterStarting");
-        expect(evicted.placement.full).to.have.length(9);
-        const failed = evicted.placement.told.filter(({ stage }) => stage === "failed");
+        expect(evicted.placement.reportedFull).to.have.length(9);
+        const failed = evicted.placement.progressReports.filter(({ stage }) => stage === "failed");
         expect(failed.map(({ failedEngine }) => failedEngine), "the engine isn't reported as failed").to.deep.equal([
             undefined,
         ]);
-        await evicted.settled();
-        expect(evicted.held()).to.deep.equal([]);
+        await evicted.waitUntilSettled();
+        expect(evicted.unreleasedAttempts()).to.deep.equal([]);
     });
 
     // Guards against taking a slot at an engine that has started to leave.
     it("isn't replaced by an engine that accepts no more work", async () => {
         const rig = Rig.create();
         rig.engine("d1").faults.import.push("full");
-        rig.engine("d1").begun = () => rig.mark("d2", "leaving");
-        rig.placement.spare = "d2";
+        rig.engine("d1").onStageBegun = () => rig.mark("d2", "leaving");
+        rig.placement.replacementDecode = "d2";
         expect((await rig.drive({ run: nonIdempotentRun })).kind).to.equal("finished");
         expect(rig.engine("d2").ran).to.deep.equal([]);
     });
@@ -165,7 +166,7 @@
     for (const [name, milliseconds] of [["returns", 30], ["doesn't return", undefined]] as const) {
         it(`gets no import of a non-idempotent request while the view is unconfirmed; confirmation ${name}`, async () => {
             const rig = Rig.create();
-            rig.engine("p1").begun = () => {
+            rig.engine("p1").onStageBegun = () => {
                 rig.control.confirmed = false;
                 if (milliseconds !== undefined) {
                     setTimeout(() => (rig.control.confirmed = true), milliseconds);
@@ -176,9 +177,9 @@
                 milliseconds === undefined ? ["viewExpired", "failedAfterStarting"] : "finished",
             );
             expect(prefills(rig)).to.have.length(1);
-            expect(rig.ran()).to.have.length(milliseconds === undefined ? 1 : 3);
-            await rig.settled();
-            expect(rig.held()).to.deep.equal([]);
+            expect(rig.ranStages()).to.have.length(milliseconds === undefined ? 1 : 3);
+            await rig.waitUntilSettled();
+            expect(rig.unreleasedAttempts()).to.deep.equal([]);
         });
     }
 });
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/localScheduler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/localScheduler.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { demand, engine } from "../../../../../../../simulation/scheduling/samples.js";
+import { engine, schedulingRequest } from "../../../../../../../simulation/scheduling/samples.js";
 import type { SchedulingRequest } from "../../../protocol/index.js";
 import { SeededRandomness } from "../../../utils/index.js";
 import { LocalScheduler } from "../localScheduler.js";
@@ -31,9 +31,9 @@
             engine("d4", "decode", { slots: 10 }),
         ]);
         for (let count = 0; count < 10; count++) {
-            expect(ask(alone, demand(`a${count}`, { avoid: ["d3"] }))).to.equal("d4");
+            expect(ask(alone, schedulingRequest(`a${count}`, { avoid: ["d3"] }))).to.equal("d4");
         }
-        expect(ask(alone, demand("b", { model: "other" }))).to.equal("noBackend");
+        expect(ask(alone, schedulingRequest("b", { model: "other" }))).to.equal("noBackend");
     });
 
     // Without the share, decode engines refused a seventh of the imports while daemons placed requests locally.
@@ -44,7 +44,7 @@
             engine("d1", "decode", { slots: 8 }),
         ]);
         alone.step({ kind: "sessions", open: [1, 2, 3, 4].map(n => ({ daemon: `e${n}`, incarnation: "i" })) }, 0);
-        expect(["a", "b", "c", "d", "e"].map(name => ask(alone, demand(name)))).to.deep.equal([
+        expect(["a", "b", "c", "d", "e"].map(name => ask(alone, schedulingRequest(name)))).to.deep.equal([
             "d1",
             "d1",
             "waits",
@@ -66,7 +66,11 @@
         ]);
         alone.step({ kind: "sessions", open: [1, 2, 3, 4].map(n => ({ daemon: `e${n}`, incarnation: "i" })) }, 0);
         const long = { promptTokens: 8_000, firstTokenWithin: 4_000 };
-        expect(["a", "b", "c"].map(name => ask(alone, demand(name, long)))).to.deep.equal(["d1", "waits", "waits"]);
+        expect(["a", "b", "c"].map(name => ask(alone, schedulingRequest(name, long)))).to.deep.equal([
+            "d1",
+            "waits",
+            "waits",
+        ]);
         const prefilled = (attempt: string): string[] => {
             const progress = { attempt, stage: "prefilled" as const, tokens: 0 };
             return alone.step({ kind: "progress", progress }, 2).map(decision => decision.attempt);
@@ -74,14 +78,14 @@
         expect(["a", "b", "c"].map(prefilled)).to.deep.equal([["b"], ["c"], []]);
         // Two engines, 0.35 of 4 s, four daemons: a share of 700 ms. Prompts of 500 and 150 ms fit; another 150 ms doesn't.
         const short = [5_000, 1_500, 1_500].map((promptTokens, index) =>
-            demand(`s${index}`, { ...long, promptTokens })
+            schedulingRequest(`s${index}`, { ...long, promptTokens })
         );
         expect(short.map(wanted => ask(alone, wanted))).to.deep.equal(["d1", "d1", "waits"]);
     });
 
     it("refuses requests that waited for half of their target, and drops withdrawn ones", () => {
         const alone = createScheduler([engine("p1", "prefill"), engine("d1", "decode", { slots: 3 })]);
-        expect(["a", "b", "c", "d", "e"].map(name => ask(alone, demand(name)))).to.deep.equal([
+        expect(["a", "b", "c", "d", "e"].map(name => ask(alone, schedulingRequest(name)))).to.deep.equal([
             "d1",
             "d1",
             "d1",
@@ -105,7 +109,10 @@
             const report = { id: "d1", incarnation: 1, sequence: 1, active: [...active ?? []], queuedTokens: 0 };
             // A report that is a second old doesn't show which slots are free now.
             alone.step({ kind: "load", report }, active === undefined ? -1_000 : 0);
-            return [ask(alone, demand(`a${index}`, { once: true })), ask(alone, demand(`b${index}`))];
+            return [
+                ask(alone, schedulingRequest(`a${index}`, { once: true })),
+                ask(alone, schedulingRequest(`b${index}`)),
+            ];
         });
         expect(outcomes).to.deep.equal([["d1", "waits"], ["waits", "d1"], ["waits", "d1"]]);
     });
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
@@ -1,20 +1,20 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
-import { Bench } from "../../../../../../../simulation/scheduling/bench.js";
-import { schedulingRuns } from "../../../../../../../simulation/scheduling/runs.js";
-import { demand, engine } from "../../../../../../../simulation/scheduling/samples.js";
+import { SchedulerBench } from "../../../../../../../simulation/scheduling/bench.js";
+import { schedulingProperty } from "../../../../../../../simulation/scheduling/runs.js";
+import { engine, schedulingRequest } from "../../../../../../../simulation/scheduling/samples.js";
 import type { EngineHolding } from "../../../protocol/index.js";
 
 describe("PoolScheduler", () => {
     // Guards against prefill results being evicted before a decode slot is free.
     it("starts a prefill only once a decode slot is free for its result", () => {
-        const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
-        bench.ask(demand("a", { expectedTokens: 100, firstTokenWithin: 30_000 }));
+        const bench = new SchedulerBench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
+        bench.submit(schedulingRequest("a", { expectedTokens: 100, firstTokenWithin: 30_000 }));
         bench.stages("a", "prefilled", "transferred", "firstToken");
-        bench.ask(demand("b", { firstTokenWithin: 30_000 }));
-        bench.pass(1_000);
+        bench.submit(schedulingRequest("b", { firstTokenWithin: 30_000 }));
+        bench.advance(1_000);
         expect(bench.outcome("b")).to.equal("waits");
-        bench.pass(9_000);
+        bench.advance(9_000);
         expect(bench.outcome("b")).to.equal("waits");
         bench.stages("a", "finished");
         expect(bench.outcome("b")).to.equal("p1>d1");
@@ -24,11 +24,11 @@
     it("assigns queued requests to an engine in the step that adds it to the view", () => {
         const prefills = ["p1", "p2", "p3"].map(id => engine(id, "prefill"));
         const before = [...prefills, engine("d1", "decode", { slots: 1 })];
-        const bench = new Bench(before);
-        bench.ask(demand("first", { firstTokenWithin: 30_000 }));
+        const bench = new SchedulerBench(before);
+        bench.submit(schedulingRequest("first", { firstTokenWithin: 30_000 }));
         bench.stages("first", "prefilled", "transferred", "firstToken");
         const waiting = ["a", "b", "c"];
-        waiting.forEach(name => bench.ask(demand(name, { firstTokenWithin: 30_000 })));
+        waiting.forEach(name => bench.submit(schedulingRequest(name, { firstTokenWithin: 30_000 })));
         expect(waiting.map(name => bench.outcome(name))).to.deep.equal(["waits", "waits", "waits"]);
         bench.step({ kind: "engines", engines: [...before, engine("d2", "decode", { slots: 3 })] });
         const decodes = waiting.map(name => bench.outcome(name).split(">")[1]);
@@ -36,9 +36,9 @@
     });
 
     it("refuses requests that can't meet their target immediately, with a retry delay", () => {
-        const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 20 })]);
+        const bench = new SchedulerBench([engine("p1", "prefill"), engine("d1", "decode", { slots: 20 })]);
         for (let count = 0; count < 20; count++) {
-            bench.ask(demand(`a${count}`, { promptTokens: 5_000, firstTokenWithin: 1_500 }));
+            bench.submit(schedulingRequest(`a${count}`, { promptTokens: 5_000, firstTokenWithin: 1_500 }));
         }
         const decision = bench.decisions.get("a19");
         expect(decision).to.have.nested.property("refusal.code", "targetsOutOfReach");
@@ -47,66 +47,74 @@
     });
 
     it("serves late instead of refusing if the weighting favours prefill, or if the prompt is too long for its target on an idle pool", () => {
-        const late = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 20 })], "prefill");
+        const late = new SchedulerBench([engine("p1", "prefill"), engine("d1", "decode", { slots: 20 })], "prefill");
         for (let count = 0; count < 20; count++) {
-            late.ask(demand(`a${count}`, { promptTokens: 5_000, firstTokenWithin: 1_500 }));
+            late.submit(schedulingRequest(`a${count}`, { promptTokens: 5_000, firstTokenWithin: 1_500 }));
         }
         expect(late.outcome("a19")).to.equal("waits");
-        const long = new Bench([engine("p1", "prefill"), engine("d1", "decode")]);
-        long.ask(demand("long", { promptTokens: 30_000, firstTokenWithin: 1_500 }));
+        const long = new SchedulerBench([engine("p1", "prefill"), engine("d1", "decode")]);
+        long.submit(schedulingRequest("long", { promptTokens: 30_000, firstTokenWithin: 1_500 }));
         expect(long.outcome("long")).to.equal("p1>d1");
     });
 
     // Guards against an organisation waiting behind the whole burst of another.
     it("serves an organisation within its share before another's burst", () => {
-        const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 2 })], "prefill");
+        const bench = new SchedulerBench([engine("p1", "prefill"), engine("d1", "decode", { slots: 2 })], "prefill");
         for (let count = 0; count < 40; count++) {
-            bench.ask(demand(`burst${count}`, { organisation: "loud", firstTokenWithin: 20_000 }));
+            bench.submit(schedulingRequest(`burst${count}`, { organisation: "loud", firstTokenWithin: 20_000 }));
         }
-        bench.ask(demand("quiet", { organisation: "quiet", firstTokenWithin: 20_000 }));
+        bench.submit(schedulingRequest("quiet", { organisation: "quiet", firstTokenWithin: 20_000 }));
         bench.stages("burst0", "prefilled", "transferred", "firstToken", "finished");
-        bench.pass(400);
+        bench.advance(400);
         bench.stages("burst1", "prefilled", "transferred", "firstToken", "finished");
-        bench.pass(400);
+        bench.advance(400);
         expect(bench.outcome("quiet")).to.equal("p1>d1");
         expect(bench.outcome("burst20")).to.equal("waits");
     });
 
     // Guards against an organisation that used an idle pool waiting behind all others for minutes.
     it("doesn't count requests already served against an organisation", () => {
-        const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
+        const bench = new SchedulerBench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
         const short = { expectedTokens: 10, firstTokenWithin: 30_000 };
-        bench.ask(demand("tail", { ...short, organisation: "tail", firstTokenWithin: 300_000, priority: 200 }));
-        bench.ask(demand("tail2", { ...short, organisation: "tail", firstTokenWithin: 300_000, priority: 200 }));
+        bench.submit(
+            schedulingRequest("tail", { ...short, organisation: "tail", firstTokenWithin: 300_000, priority: 200 }),
+        );
+        bench.submit(
+            schedulingRequest("tail2", { ...short, organisation: "tail", firstTokenWithin: 300_000, priority: 200 }),
+        );
         bench.stages("tail", "prefilled");
         for (const name of ["l1", "l2", "l3", "l4", "l5"]) {
-            bench.ask(demand(name, { ...short, organisation: "loud" }));
+            bench.submit(schedulingRequest(name, { ...short, organisation: "loud" }));
         }
         for (const name of ["tail", "l1", "l2", "l3", "l4"]) {
             bench.stages(name, "prefilled", "finished");
         }
         expect(bench.outcome("l5")).to.equal("p1>d1");
-        bench.ask(demand("l6", { ...short, organisation: "loud" }));
-        bench.ask(demand("quiet", { ...short, organisation: "quiet", firstTokenWithin: 30_800 }));
+        bench.submit(schedulingRequest("l6", { ...short, organisation: "loud" }));
+        bench.submit(schedulingRequest("quiet", { ...short, organisation: "quiet", firstTokenWithin: 30_800 }));
         bench.stages("l5", "prefilled", "finished");
         expect([bench.outcome("l6"), bench.outcome("quiet")]).to.deep.equal(["p1>d1", "waits"]);
     });
 
     // Guards against refusing a caller only after it has waited for its whole target.
     it("refuses a queued request that can't meet its target any more, long before the target time", () => {
-        const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
-        bench.ask(demand("a"));
+        const bench = new SchedulerBench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
+        bench.submit(schedulingRequest("a"));
         bench.stages("a", "prefilled", "transferred", "firstToken");
-        bench.ask(demand("b", { firstTokenWithin: 5_000 }));
-        bench.pass(1_000);
+        bench.submit(schedulingRequest("b", { firstTokenWithin: 5_000 }));
+        bench.advance(1_000);
         expect(bench.outcome("b")).to.equal("waits");
-        bench.pass(1_600);
+        bench.advance(1_600);
         expect(bench.outcome("b")).to.equal("targetsOutOfReach");
     });
 
     it("uses only decode engines that have reported their load until it is warm", () => {
-        const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })], "goodput", false);
-        bench.ask(demand("a"));
+        const bench = new SchedulerBench(
+            [engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })],
+            "goodput",
+            false,
+        );
+        bench.submit(schedulingRequest("a"));
         expect(bench.outcome("a")).to.equal("waits");
         const report = { id: "d1", incarnation: 1, sequence: 1, active: ["x"], queuedTokens: 0 };
         bench.step({ kind: "load", report });
@@ -116,7 +124,7 @@
     });
 
     it("sends a prompt to the engine that has cached its prefix, and expects less reuse after a gap in cache events", () => {
-        const bench = new Bench([
+        const bench = new SchedulerBench([
             engine("p1", "prefill"),
             engine("p2", "prefill"),
             engine("d1", "decode", { slots: 20 }),
@@ -125,34 +133,34 @@
         const events = prefixes.map(prefix => ({ kind: "stored" as const, prefix }));
         const report = { id: "p2", incarnation: 1, active: [], queuedTokens: 0 };
         bench.step({ kind: "load", report: { ...report, sequence: 1, cache: { firstSequence: 0, events } } });
-        bench.ask(demand("a", { prefixes }));
+        bench.submit(schedulingRequest("a", { prefixes }));
         expect(bench.decisions.get("a")).to.include({ prefill: "p2", expectedReuse: 768 });
         bench.stages("a", "prefilled");
         bench.step({ kind: "load", report: { ...report, sequence: 2, cache: { firstSequence: 50, events: [] } } });
-        bench.ask(demand("b", { prefixes }));
+        bench.submit(schedulingRequest("b", { prefixes }));
         expect(bench.decisions.get("b")).to.include({ prefill: "p2", expectedReuse: 384 });
     });
 
     it("assigns nothing to engines that are leaving, avoided, of another version, or in cooldown after a failure", () => {
         const leaving = { ...engine("d1", "decode", { slots: 9 }), state: "leaving" as const };
-        const bench = new Bench([
+        const bench = new SchedulerBench([
             engine("p1", "prefill"),
             leaving,
             engine("d2", "decode", { slots: 9 }),
             engine("d3", "decode", { slots: 9 }),
         ]);
-        bench.ask(demand("a", { avoid: ["d3"] }));
+        bench.submit(schedulingRequest("a", { avoid: ["d3"] }));
         expect(bench.outcome("a")).to.equal("p1>d2");
         bench.step({ kind: "progress", progress: { attempt: "a", stage: "failed", tokens: 0, failedEngine: "d2" } });
-        bench.ask(demand("b"));
+        bench.submit(schedulingRequest("b"));
         expect(bench.outcome("b")).to.equal("p1>d3");
-        bench.ask(demand("c", { version: "v2" }));
+        bench.submit(schedulingRequest("c", { version: "v2" }));
         expect(bench.outcome("c")).to.equal("noBackend");
     });
 
     it("frees a slot once the engine stops listing the attempt, if the message of its end was lost", () => {
-        const bench = new Bench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
-        bench.ask(demand("a"));
+        const bench = new SchedulerBench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
+        bench.submit(schedulingRequest("a"));
         bench.stages("a", "prefilled", "transferred");
         for (const [sequence, active] of [["a"], [], [], []].entries()) {
             bench.step({ kind: "load", report: { id: "d1", incarnation: 1, sequence, active, queuedTokens: 0 } });
@@ -162,27 +170,27 @@
 
     // Guards against leaked slots, which make a pool slower from day to day.
     it("never holds more than the slots, and holds nothing once all attempts have ended", () => {
-        fc.assert(schedulingRuns(), { seed: 20_261_202, numRuns: 200 });
+        fc.assert(schedulingProperty(), { seed: 20_261_202, numRuns: 200 });
     });
 
     function holdingOf(attempt: string, decode: string): EngineHolding {
-        return { demand: demand(attempt), prefill: "p1", decode, stage: "prefilled", tokens: 0 };
+        return { demand: schedulingRequest(attempt), prefill: "p1", decode, stage: "prefilled", tokens: 0 };
     }
 
-    function report(bench: Bench, sequence: number, active: string[]): void {
+    function report(bench: SchedulerBench, sequence: number, active: string[]): void {
         bench.step({ kind: "load", report: { id: "d1", incarnation: 1, sequence, active, queuedTokens: 0 } });
     }
 
     // Guards against discarding a finished prefill while another engine has a free slot, or while slots become free.
     it("assigns the next free slot to an attempt whose engine was full, before queued requests", () => {
-        const bench = new Bench([
+        const bench = new SchedulerBench([
             engine("p1", "prefill", { slots: 9 }),
             engine("d1", "decode", { slots: 1 }),
             engine("d2", "decode", { slots: 1 }),
         ]);
-        const asked = ["a", "b", "queued"].map(name => demand(name, { firstTokenWithin: 30_000 }));
-        asked.forEach(one => bench.ask(one));
-        bench.pass(400);
+        const asked = ["a", "b", "queued"].map(name => schedulingRequest(name, { firstTokenWithin: 30_000 }));
+        asked.forEach(one => bench.submit(one));
+        bench.advance(400);
         const [moving, other] = bench.outcome("a") === "p1>d1" ? ["a", "b"] as const : ["b", "a"] as const;
         bench.stages(other, "prefilled", "transferred");
         bench.stages(moving, "prefilled");
@@ -193,23 +201,23 @@
         expect([...bench.scheduler.status().held]).to.deep.include.members([["d1", 0], ["d2", 1]]);
         expect(bench.scheduler.move(holdingOf(moving, "d1"), bench.now), "asked again").to.equal("d2");
         // The engine that rejected the attempt counts as full until three later reports have shown otherwise.
-        bench.pass(100);
+        bench.advance(100);
         expect(bench.outcome("queued")).to.equal("waits");
         [1, 2, 3].forEach(sequence => report(bench, sequence, []));
-        bench.pass(100);
+        bench.advance(100);
         expect(bench.outcome("queued")).to.equal("p1>d1");
     });
 
     // Guards against a queue blocked by an attempt that has ended.
     it("reserves no slot for an attempt that doesn't ask again", () => {
-        const bench = new Bench([engine("p1", "prefill", { slots: 9 }), engine("d1", "decode", { slots: 1 })]);
-        bench.ask(demand("a", { firstTokenWithin: 30_000 }));
+        const bench = new SchedulerBench([engine("p1", "prefill", { slots: 9 }), engine("d1", "decode", { slots: 1 })]);
+        bench.submit(schedulingRequest("a", { firstTokenWithin: 30_000 }));
         bench.stages("a", "prefilled");
-        bench.ask(demand("queued", { firstTokenWithin: 30_000 }));
+        bench.submit(schedulingRequest("queued", { firstTokenWithin: 30_000 }));
         expect(bench.scheduler.move(holdingOf("a", "d1"), bench.now)).to.equal(undefined);
         [1, 2, 3].forEach(sequence => report(bench, sequence, []));
         bench.step({ kind: "withdraw", attempt: "a" });
-        bench.pass(1_000);
+        bench.advance(1_000);
         expect(bench.outcome("queued")).to.equal("p1>d1");
     });
 });
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
@@ -1,13 +1,13 @@
 import { expect } from "chai";
 import { rest } from "../../../../../../../simulation/manualClock.js";
-import { demand, engine } from "../../../../../../../simulation/scheduling/samples.js";
+import { engine, schedulingRequest } from "../../../../../../../simulation/scheduling/samples.js";
 import type { EngineHolding, SchedulingDecision } from "../../../protocol/index.js";
 import { incarnation, sampleView, TestDaemons } from "./fakes.js";
 
 const neverAborted = new AbortController().signal;
 
-function demandOf(daemon: string, name: string, more: Parameters<typeof demand>[1] = {}) {
-    return demand(`${daemon}/i1/${name}`, { owner: incarnation(daemon), firstTokenWithin: 20_000, ...more });
+function demandOf(daemon: string, name: string, more: Parameters<typeof schedulingRequest>[1] = {}) {
+    return schedulingRequest(`${daemon}/i1/${name}`, { owner: incarnation(daemon), firstTokenWithin: 20_000, ...more });
 }
 
 function holdingOf(daemon: string, name: string, stage: EngineHolding["stage"]): EngineHolding {
@@ -32,7 +32,7 @@
         daemon: string,
         name: string,
         signal: AbortSignal = neverAborted,
-        more: Parameters<typeof demand>[1] = {},
+        more: Parameters<typeof schedulingRequest>[1] = {},
     ): void {
         void daemons.placement(daemon).reserve(demandOf(daemon, name, more), signal).then(decision =>
             decisions.set(name, decision)
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewClient.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewClient.spec.ts
@@ -38,7 +38,7 @@
         const deployment = await running();
         const [daemon] = deployment.daemons;
         daemon!.process.freeze(5_000);
-        deployment.change();
+        deployment.proposeChange();
         await deployment.run(4_999);
         expect(deployment.group.accepted.size).to.be.greaterThan(0);
         expect(daemon!.client.mayStart()).to.equal(false);
@@ -54,9 +54,9 @@
         const deployment = await running();
         const [daemon] = deployment.daemons;
         const before = daemon!.client.view().index;
-        everyVoter.forEach(at => deployment.separate(daemon!.process, deployment.voter(at).process, 3_600_000));
+        everyVoter.forEach(at => deployment.cutBothWays(daemon!.process, deployment.voter(at).process, 3_600_000));
         for (let change = 0; change < 40; change++) {
-            deployment.change();
+            deployment.proposeChange();
             await deployment.run(89_000);
         }
         expect(daemon!.client.mayStart()).to.equal(false);
@@ -93,8 +93,8 @@
     it("reopens its session after it timed out", async () => {
         const deployment = await running();
         const [daemon] = deployment.daemons;
-        const leader = deployment.group.voters.find(voter => voter.leads())!;
-        deployment.separate(daemon!.process, leader.process, 6_000);
+        const leader = deployment.group.voters.find(voter => voter.isLeading())!;
+        deployment.cutBothWays(daemon!.process, leader.process, 6_000);
         await until(deployment, () => daemon!.client.startBlocker()?.kind === "noSession", 6_000);
         await until(deployment, () => daemon!.client.mayStart(), 10_000);
     });
@@ -125,7 +125,7 @@
         const { client } = deployment.daemons[0]!;
         const lease = (name: string) =>
             client.propose({ kind: "grantLease", lease: name, holder: client.session(), at: 0 }, 8_000);
-        deployment.group.voters.find(voter => voter.leads())!.crash(60_000);
+        deployment.group.voters.find(voter => voter.isLeading())!.crash(60_000);
         const [afterLeaderChange] = await Promise.all([lease("orders"), deployment.run(8_000)]);
         expect(afterLeaderChange.isRight()).to.equal(true);
         everyVoter.forEach(at => deployment.voter(at).crash(60_000));
@@ -154,19 +154,19 @@
     const deployment = await running(seed, 2);
     const [daemon] = deployment.daemons;
     const { voters } = deployment.group;
-    const leader = voters.find(voter => voter.leads())!;
+    const leader = voters.find(voter => voter.isLeading())!;
     const survivor = voters[(voters.indexOf(leader) + 1) % voters.length]!;
     const others = voters.filter(voter => voter !== survivor);
-    deployment.separate(daemon!.process, leader.process, 6_000);
+    deployment.cutBothWays(daemon!.process, leader.process, 6_000);
     await until(deployment, () => survivor.openSessions().every(({ daemon }) => daemon !== "entry-0"), 6_000);
-    deployment.separate(daemon!.process, survivor.process, 60_000);
-    deployment.separate(daemon!.process, leader.process, 0);
+    deployment.cutBothWays(daemon!.process, survivor.process, 60_000);
+    deployment.cutBothWays(daemon!.process, leader.process, 0);
     others.forEach(voter => voter.crash(5_000));
     await deployment.run(4_990);
     const wasExtended = daemon!.client.mayStart();
-    voters.forEach(voter => deployment.separate(daemon!.process, voter.process, 60_000));
+    voters.forEach(voter => deployment.cutBothWays(daemon!.process, voter.process, 60_000));
     for (let change = 0; change < 100; change++) {
-        deployment.change();
+        deployment.proposeChange();
         await deployment.run(50);
     }
     return wasExtended;
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewRandom.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewRandom.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
 import { Tally } from "../../../../../../../simulation/subject.js";
-import { anyFaultRuns, lostQuorumRuns } from "../../../../../../../simulation/view/runs.js";
+import { lostQuorumProperty, randomFaultsProperty } from "../../../../../../../simulation/view/runs.js";
 
 async function assertRuns(runsOf: (tally: Tally) => fc.IAsyncProperty<unknown>, numRuns: number): Promise<void> {
     const tally = new Tally();
@@ -16,7 +16,7 @@
      * any mix of crashes, freezes, partitions, message losses, elections and membership changes.
      */
     it("lets no daemon start work on a view that lacks an accepted change", async () => {
-        await assertRuns(anyFaultRuns, 60);
+        await assertRuns(randomFaultsProperty, 60);
     });
 
     /*
@@ -24,6 +24,6 @@
      * is partitioned. This scenario is the quickest to expose a missing rule.
      */
     it("lets no daemon do so when a lost quorum recovers while the daemon is partitioned", async () => {
-        await assertRuns(lostQuorumRuns, 300);
+        await assertRuns(lostQuorumProperty, 300);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/callers.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/callers.spec.ts
@@ -35,7 +35,8 @@
 
     /** Reservations and decode attempts that are still held; engines evict prefill results by themselves. */
     function heldDecodes(): number {
-        return harness.engine("d1").holds.size + harness.engine("d2").holds.size + harness.placement.reserved.size;
+        return harness.engine("d1").attemptsHoldingResources.size + harness.engine("d2").attemptsHoldingResources.size
+            + harness.placement.reserved.size;
     }
 
     async function disconnectAt(onReached: (proceed: () => void) => void, headers: object = {}): Promise<void> {
@@ -70,9 +71,9 @@
             engine.faults[stage].push("hang");
             engine.lostCancels = 1;
             await disconnectAt(proceed => {
-                engine.begun = begun => begun === stage && proceed();
+                engine.onStageBegun = begun => begun === stage && proceed();
             });
-            await until("engine freed", () => engine.holds.size === 0);
+            await until("engine freed", () => engine.attemptsHoldingResources.size === 0);
             expect(engine.cancels).to.be.at.least(2);
         });
     }
@@ -83,7 +84,7 @@
         const engine = harness.engine("d1");
         engine.tokens = Array.from({ length: 4_000 }, () => "x".repeat(4_000));
         let sent = 0;
-        engine.beat = async () => {
+        engine.beforeToken = async () => {
             sent++;
             await new Promise(resolve => setImmediate(resolve));
         };
@@ -118,7 +119,7 @@
         request.on("error", () => undefined);
         request.on("response", response => response.on("error", () => undefined).pause());
         request.end(JSON.stringify(chatBody()));
-        await until("decoded", () => harness.placement.told.some(progress => progress.stage === "finished"));
+        await until("decoded", () => harness.placement.progressReports.some(progress => progress.stage === "finished"));
         expect(harness.daemon.openRequests()).to.equal(1);
         await harness.daemon.close();
         expect(harness.daemon.openRequests()).to.equal(0);
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/drain.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/drain.spec.ts
@@ -13,7 +13,7 @@
             release = resolve;
         });
         let beats = 0;
-        harness.engine("d1").beat = () => (++beats % 4 === 3 ? gate : Promise.resolve());
+        harness.engine("d1").beforeToken = () => (++beats % 4 === 3 ? gate : Promise.resolve());
     });
 
     afterEach(async () => {
@@ -75,6 +75,6 @@
         }
         expect((await drained).cut).to.have.length(3);
         release();
-        await until("engine freed", () => harness.engine("d1").holds.size === 0);
+        await until("engine freed", () => harness.engine("d1").attemptsHoldingResources.size === 0);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/entryHarness.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/entryHarness.ts
@@ -67,7 +67,8 @@
 
     /** Number of reservations and of attempts that engines still hold. */
     heldAttempts(): number {
-        return this.placement.reserved.size + this.engines.reduce((sum, engine) => sum + engine.holds.size, 0);
+        return this.placement.reserved.size
+            + this.engines.reduce((sum, engine) => sum + engine.attemptsHoldingResources.size, 0);
     }
 
     /** Opens a request; the test sends its body and reads the answer. */
--- a/playground/__tests__/failures.spec.ts
+++ b/playground/__tests__/failures.spec.ts
@@ -18,7 +18,7 @@
             process.stderr.write(await rig.diagnostics());
         }
         [...rig.deployment.relays.values()].flatMap(links => [...links.values()]).forEach(relay => relay.heal());
-        await rig.mend();
+        await rig.restartStopped();
     });
 
     async function expectServed(entryIndex: number, prompt: string): Promise<void> {
@@ -51,7 +51,7 @@
         const partitioned = rig.entry(2);
         await expectServed(2, "before the cut");
         const links = [...rig.deployment.relays.get(partitioned.name)!.values()];
-        links.forEach(relay => relay.silence());
+        links.forEach(relay => relay.stallAll());
         const revision = await rig.apply(0, [model], "withdraws the second model");
         const before = await rig.decodes();
         for (const modelCall of [call("cut off", { model: secondModel }), call("cut off as well")]) {
@@ -76,7 +76,7 @@
         // Guards against a whole host that stops serving although only its network path to the leader is broken.
         const leader = await rig.deployment.leader();
         const partitioned = rig.entry(1);
-        rig.deployment.relays.get(partitioned.name)!.get(leader.name)!.silence();
+        rig.deployment.relays.get(partitioned.name)!.get(leader.name)!.stallAll();
         // Longer than the view lease granted before the partition, shorter than the silence that ends its session.
         await pause(timing.viewLease + timing.viewInterval);
         const modelCall = call("past the leader");
@@ -91,16 +91,16 @@
         const load = new StreamLoad(rig);
         await until("a stream of decode-3", async () => {
             load.keepOpen(11);
-            const gives = Object.values(await backend.ran()).some(({ tokens }) => tokens > 0);
-            return gives && (await backend.held()).length > 0;
+            const gives = Object.values(await backend.attemptRecords()).some(({ tokens }) => tokens > 0);
+            return gives && (await backend.activeAttempts()).length > 0;
         });
-        relay.silence();
+        relay.stallAll();
         const answers = await load.answers();
         answers.forEach(({ modelCall, answer }) => expectCompleteAnswer(answer, modelCall));
         // The interrupted streams were decoded again on another engine.
         expect(await rig.decodes() - before).to.be.greaterThan(answers.length);
         relay.heal();
-        await until("decode-3 to hold nothing", async () => (await backend.held()).length === 0);
+        await until("decode-3 to hold nothing", async () => (await backend.activeAttempts()).length === 0);
         backend.signal("SIGTERM");
         expect(await backend.end()).to.deep.equal({ code: 0, signal: undefined });
     });
@@ -176,7 +176,7 @@
             answers.forEach((answer, at) => expectCompleteAnswer(answer, nonIdempotentCalls[at]!));
             (await Promise.all(running)).forEach((answer, at) => expectCompleteAnswer(answer, calls[at]!));
             await leader.end();
-            await rig.mend();
+            await rig.restartStopped();
         }
     });
 
@@ -210,7 +210,7 @@
                 expectCompleteAnswer(answer, modelCall)
             );
             await leader.end();
-            await rig.mend();
+            await rig.restartStopped();
         }
     });
 });
--- a/playground/__tests__/processes.spec.ts
+++ b/playground/__tests__/processes.spec.ts
@@ -18,7 +18,7 @@
             }
             process.stderr.write(await rig.diagnostics());
         }
-        await rig.mend();
+        await rig.restartStopped();
     });
 
     async function expectServed(entryIndex: number, prompt: string): Promise<void> {
@@ -47,7 +47,7 @@
         const load = new StreamLoad(rig);
         await until("work on decode-3", async () => {
             load.keepOpen(11);
-            return Object.values(await extra.ran()).some(ran => ran.tokens > 0);
+            return Object.values(await extra.attemptRecords()).some(ran => ran.tokens > 0);
         });
         const at = rig.entry(1).operators;
         const drained = await rig.deployment.command("drain", "decode-3", "--operator", "tester", "--at", at);
@@ -55,13 +55,13 @@
         // Once the view lease has expired, no daemon may start work on a view without the drain mark. The engine itself
         // still accepts work, so that a wrong placement on it shows up.
         await pause(timing.viewLease);
-        const had = Object.keys(await extra.ran()).length;
+        const had = Object.keys(await extra.attemptRecords()).length;
         const more = Array.from({ length: 9 }, (_, index) => call(`after leaving ${index}`));
         const answers = await Promise.all(
             more.map((modelCall, index) => rig.caller(index % 3).requestCompletionWithRetries(modelCall)),
         );
         answers.forEach((answer, index) => expectCompleteAnswer(answer, more[index]!));
-        expect(Object.keys(await extra.ran()).length).to.equal(had);
+        expect(Object.keys(await extra.attemptRecords()).length).to.equal(had);
         extra.signal("SIGTERM");
         for (const { modelCall, answer } of await load.answers()) {
             expectCompleteAnswer(answer, modelCall);
@@ -89,7 +89,7 @@
         expect(await rig.decodes() - before).to.equal(1);
         await until("the engines to release the request", async () => {
             const engines = ["decode-1", "decode-2"].map(id => rig.deployment.backends.get(id)!);
-            return (await Promise.all(engines.map(engine => engine.held()))).every(held => held.length === 0);
+            return (await Promise.all(engines.map(engine => engine.activeAttempts()))).every(held => held.length === 0);
         });
     });
 
--- a/playground/__tests__/repeatedCrashes.spec.ts
+++ b/playground/__tests__/repeatedCrashes.spec.ts
@@ -21,7 +21,7 @@
 
     async function crashedCount(): Promise<number> {
         const engines = ["decode-1", "decode-2", ...extraEngines].map(id => rig.deployment.backends.get(id)!);
-        const up = await Promise.all(engines.map(engine => engine.held().then(() => true, () => false)));
+        const up = await Promise.all(engines.map(engine => engine.activeAttempts().then(() => true, () => false)));
         return up.filter(isUp => !isUp).length;
     }
 
--- a/playground/__tests__/rig.ts
+++ b/playground/__tests__/rig.ts
@@ -116,7 +116,7 @@
     /** Number of attempts that started decoding, over all running decode engines. */
     async decodes(): Promise<number> {
         const engines = [...this.deployment.backends.values()].filter(backend => backend.id.startsWith("decode"));
-        const ran = await Promise.all(engines.map(engine => engine.ran().catch(() => ({}))));
+        const ran = await Promise.all(engines.map(engine => engine.attemptRecords().catch(() => ({}))));
         return ran.flatMap(attempts => Object.values(attempts)).filter(attempt => attempt.decodes > 0).length;
     }
 
@@ -128,7 +128,9 @@
             return `${entry.name}:\n${counted.join("\n")}\n`;
         });
         const holding = [...this.deployment.backends.values()].filter(({ id }) => /^(prefill|decode)/.test(id));
-        const engines = holding.map(async backend => `${backend.id} holds ${(await backend.held()).join(" ")}\n`);
+        const engines = holding.map(async backend =>
+            `${backend.id} holds ${(await backend.activeAttempts()).join(" ")}\n`
+        );
         const { view } = await this.deployment.status(this.entry(0)).catch(() => ({ view: undefined }));
         const known = Object.values(view?.backends ?? {}).map(({ announcement, state }) =>
             `${announcement.id} is ${state}, ${announcement.role}, carries ${JSON.stringify(announcement.models)}\n`
@@ -138,7 +140,7 @@
     }
 
     /** Restarts every daemon that isn't running and waits until all are ready. */
-    async mend(): Promise<void> {
+    async restartStopped(): Promise<void> {
         const daemons = this.deployment.daemons();
         daemons.filter(daemon => !daemon.isRunning()).forEach(daemon => daemon.start());
         await Promise.all(daemons.map(daemon => daemon.ready()));
--- a/playground/celeste/scenarios.ts
+++ b/playground/celeste/scenarios.ts
@@ -109,7 +109,7 @@
 
 async function decodeCount(deployment: Deployment): Promise<number> {
     const engines = [...deployment.backends.values()].filter(backend => backend.id.startsWith("decode"));
-    const ran = await Promise.all(engines.map(engine => engine.ran()));
+    const ran = await Promise.all(engines.map(engine => engine.attemptRecords()));
     return ran.flatMap(attempts => Object.values(attempts)).filter(attempt => attempt.decodes > 0).length;
 }
 
--- a/playground/harness/backend.ts
+++ b/playground/harness/backend.ts
@@ -26,12 +26,12 @@
     }
 
     /** The work that the engine did, by attempt. */
-    async ran(): Promise<Record<string, AttemptRan>> {
+    async attemptRecords(): Promise<Record<string, AttemptRan>> {
         return await this.read("/engine/v1/test/ran") as Record<string, AttemptRan>;
     }
 
     /** Attempts that hold a slot or memory at the engine. */
-    async held(): Promise<readonly string[]> {
+    async activeAttempts(): Promise<readonly string[]> {
         return (await this.read("/engine/v1/test/held") as { active: string[]; }).active;
     }
 
--- a/playground/harness/program.ts
+++ b/playground/harness/program.ts
@@ -49,7 +49,7 @@
     }
 
     /** Exit code, signal and last output lines, for test messages. */
-    lastWords(): string {
+    exitSummary(): string {
         const lines = this.text.trimEnd().split("\n").slice(-exitSummaryLines);
         const { code, signal } = this.exitStatus ?? {};
         return `code ${code ?? "none"}, signal ${signal ?? "none"}:\n${
--- a/playground/harness/relay.ts
+++ b/playground/harness/relay.ts
@@ -141,12 +141,12 @@
     }
 
     /** Stops forwarding on existing and new connections, in the given directions or, without any, in both. */
-    silence(...directions: readonly Direction[]): void {
-        this.silenceFrom("", ...directions);
+    stallAll(...directions: readonly Direction[]): void {
+        this.stallFrom("", ...directions);
     }
 
     /** Stops forwarding on connections from one source host only. */
-    silenceFrom(source: string, ...directions: readonly Direction[]): void {
+    stallFrom(source: string, ...directions: readonly Direction[]): void {
         const stalled = this.stalledBySource.get(source) ?? new Set<Direction>();
         this.stalledBySource.set(source, stalled);
         for (const direction of directions.length === 0 ? bothDirections : directions) {
@@ -174,7 +174,7 @@
     }
 
     /** Removes the stalls of one source host; stalls and delays for all sources stay. */
-    healFrom(source: string): void {
+    removeStallsFrom(source: string): void {
         this.stalledBySource.delete(source);
         this.connections.forEach(connection => {
             if (connection.source === source) {
--- a/scripts/processes/slots.ts
+++ b/scripts/processes/slots.ts
@@ -14,14 +14,14 @@
 type Stage = typeof stages[number];
 
 async function heldBy(engines: readonly Backend[]): Promise<number> {
-    return (await Promise.all(engines.map(engine => engine.held()))).flat().length;
+    return (await Promise.all(engines.map(engine => engine.activeAttempts()))).flat().length;
 }
 
 /** What the engines of a role hold now, with what each of these attempts ran there. */
 async function holding(deployment: Deployment, role: "prefill" | "decode") {
     const engines = [...deployment.backends.values()].filter(({ id }) => id.startsWith(role));
     const all = await Promise.all(engines.map(async engine => {
-        const [held, ran] = await Promise.all([engine.held(), engine.ran()]);
+        const [held, ran] = await Promise.all([engine.activeAttempts(), engine.attemptRecords()]);
         return held.map(attempt => ({ attempt, ran: ran[attempt] }));
     }));
     return all.flat();
@@ -38,7 +38,7 @@
 /** Whether the engines were told to give the attempt up, rather than having come to its end. */
 async function wasCancelled(deployment: Deployment, attempt: string): Promise<boolean> {
     const engines = [...deployment.backends.values()].filter(({ id }) => id.startsWith("decode"));
-    const ran = await Promise.all(engines.map(engine => engine.ran()));
+    const ran = await Promise.all(engines.map(engine => engine.attemptRecords()));
     return ran.some(all => (all[attempt]?.cancels ?? 0) > 0);
 }
 
@@ -108,7 +108,7 @@
         if (held !== undefined && await wasCancelled(rig.deployment, held.attempt)) {
             figures.push(time);
         }
-        await rig.mend();
+        await rig.restartStopped();
     }
     process.stdout.write(`${kills - figures.length} of ${kills} answers ended by themselves first\n`);
     print("entry daemon killed while decoding", figures);
--- a/simulation/agreement/runs.ts
+++ b/simulation/agreement/runs.ts
@@ -4,7 +4,7 @@
 import { World } from "./world.js";
 
 /** Property: the agreement protocol keeps its invariants under random faults, and the group recovers afterwards. */
-export function agreementRuns(tally = new Tally()): ReturnType<typeof fc.property<[Run]>> {
+export function agreementProperty(tally = new Tally()): ReturnType<typeof fc.property<[Run]>> {
     return fc.property(runs, ({ seed, size, faults }) => {
         tally.add(World.create(seed, size).run(faults));
     });
--- a/simulation/requests/fakePlacement.ts
+++ b/simulation/requests/fakePlacement.ts
@@ -11,13 +11,13 @@
 /** A fake placement that assigns the first engines not listed in `avoid`, and records reservations and reports. */
 export class FakePlacement extends Placement {
     readonly reserved = new Map<string, SchedulingRequest>();
-    readonly demands: SchedulingRequest[] = [];
-    readonly told: Progress[] = [];
+    readonly schedulingRequests: SchedulingRequest[] = [];
+    readonly progressReports: Progress[] = [];
     readonly loads: LoadReport[] = [];
     /** Decode engines that callers reported as full. */
-    readonly full: string[] = [];
+    readonly reportedFull: string[] = [];
     /** Decode engine that replaces a full one; undefined if there is no other. */
-    spare: string | undefined;
+    replacementDecode: string | undefined;
     /** Returned in place of an assignment. */
     refusal: SchedulingDecision | undefined;
     /** Awaited before each decision. */
@@ -29,7 +29,7 @@
 
     override async reserve(demand: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision> {
         const { attempt } = demand;
-        this.demands.push(demand);
+        this.schedulingRequests.push(demand);
         await this.queue(signal);
         const refused = (code: "noBackend" | "callerGone"): SchedulingDecision => ({
             kind: "refused",
@@ -51,12 +51,12 @@
     }
 
     override move(holding: EngineHolding): Promise<string | undefined> {
-        this.full.push(holding.decode);
-        return Promise.resolve(this.spare);
+        this.reportedFull.push(holding.decode);
+        return Promise.resolve(this.replacementDecode);
     }
 
     override progress(_pool: string, progress: Progress): void {
-        this.told.push(progress);
+        this.progressReports.push(progress);
         if (["finished", "cancelled", "failed"].includes(progress.stage)) {
             this.reserved.delete(progress.attempt);
         }
--- a/simulation/requests/fakes.ts
+++ b/simulation/requests/fakes.ts
@@ -54,7 +54,7 @@
 /** A fake engine that records the stages it ran and the attempts it holds resources for. */
 export class FakeEngine extends Engine {
     readonly ran: { readonly stage: Stage; readonly attempt: string; readonly prompt: string; }[] = [];
-    readonly holds = new Set<string>();
+    readonly attemptsHoldingResources = new Set<string>();
     /** Faults to inject into the next calls of each stage, in order; undefined injects none. */
     readonly faults: Record<Stage, (Fault | undefined)[]> = { prefill: [], import: [], decode: [] };
     /** Number of the next cancels whose response is lost. */
@@ -62,9 +62,9 @@
     cancels = 0;
     tokens = ["one", " two", " three", " four"];
     /** Awaited before each token. */
-    beat: () => Promise<void> = () => Promise.resolve();
+    beforeToken: () => Promise<void> = () => Promise.resolve();
     /** Called when a stage begins. */
-    begun: (stage: Stage) => void = () => undefined;
+    onStageBegun: (stage: Stage) => void = () => undefined;
     private readonly onCancel = new Map<string, () => void>();
 
     constructor(readonly announcement: Announcement) {
@@ -81,7 +81,7 @@
     }
 
     override async *decode(attempt: string, offset: number, signal: AbortSignal) {
-        this.begun("decode");
+        this.onStageBegun("decode");
         // As in the protocol: offset 0 starts a run, and only a started run can be resumed.
         if (offset > 0 && !this.ran.some(ran => ran.stage === "decode" && ran.attempt === attempt)) {
             yield failure("failed", `can't decode from ${offset}`);
@@ -114,7 +114,7 @@
             if (fault === "short" && place === this.tokens.length - 1) {
                 break;
             }
-            await this.beat();
+            await this.beforeToken();
             if (fault === "gap" && place === offset + 1) {
                 continue;
             }
@@ -132,7 +132,7 @@
             yield failure("unknown", fault);
             return;
         }
-        this.holds.delete(attempt);
+        this.attemptsHoldingResources.delete(attempt);
         const end: Either<EngineFailure, DecodeLine> = Right({
             kind: "end",
             offset: this.tokens.length - (fault === "early" ? 2 : 0),
@@ -147,7 +147,7 @@
             this.lostCancels--;
             return Promise.resolve(failure("unknown", "lost"));
         }
-        this.holds.delete(attempt);
+        this.attemptsHoldingResources.delete(attempt);
         this.onCancel.get(attempt)?.();
         return Promise.resolve(Right({ released: true }));
     }
@@ -177,18 +177,18 @@
     ): Promise<Either<EngineFailure, Answer>> {
         const fault = this.faults[stage].shift();
         if (fault === "full" || fault === "evicted") {
-            this.begun(stage);
+            this.onStageBegun(stage);
             return failure("notRun", fault, fault);
         }
         if (fault === "refuse" || fault === "loseBefore") {
-            this.begun(stage);
+            this.onStageBegun(stage);
             return failure(fault === "refuse" ? "notRun" : "unknown", fault);
         }
         this.ran.push({ stage, attempt, prompt });
-        this.holds.add(attempt);
-        this.begun(stage);
+        this.attemptsHoldingResources.add(attempt);
+        this.onStageBegun(stage);
         if (fault === "fail") {
-            this.holds.delete(attempt);
+            this.attemptsHoldingResources.delete(attempt);
             return failure("failed", fault);
         }
         if (fault === "hang") {
--- a/simulation/requests/rig.ts
+++ b/simulation/requests/rig.ts
@@ -139,18 +139,18 @@
     }
 
     /** All stages that the engines ran, as `stage attempt`. */
-    ran(): string[] {
+    ranStages(): string[] {
         return this.engines.flatMap(engine => engine.ran.map(({ stage, attempt }) => `${stage} ${attempt}`));
     }
 
     /** Attempts with reservations or resources that weren't released. A transferred prefill result doesn't count: its engine evicts it. */
-    held(): string[] {
+    unreleasedAttempts(): string[] {
         const handedOver = new Set(
             this.engines.flatMap(engine => engine.ran.filter(ran => ran.stage === "import").map(ran => ran.attempt)),
         );
         return [
             ...this.placement.reserved.keys(),
-            ...this.engines.flatMap(({ announcement: { role }, holds }) =>
+            ...this.engines.flatMap(({ announcement: { role }, attemptsHoldingResources: holds }) =>
                 [...holds].filter(attempt => role === "decode" || !handedOver.has(attempt))
             ),
         ];
@@ -163,7 +163,7 @@
     }
 
     /** Waits until every cancel is confirmed and every run record is decided. */
-    async settled(): Promise<void> {
+    async waitUntilSettled(): Promise<void> {
         await until("cancels confirmed", () => this.parts.cancellations.outstanding === 0);
         await until("records decided", () => this.parts.runRecords.undecided === 0);
     }
--- a/simulation/requests/runs.ts
+++ b/simulation/requests/runs.ts
@@ -24,20 +24,20 @@
 const fullText = "one two three four";
 
 /** The outcome that a refusal reports to the caller; undefined if the request wasn't refused. */
-export function outcomeOf(end: RequestEnd): Outcome | undefined {
+export function refusalOutcome(end: RequestEnd): Outcome | undefined {
     return end.kind === "refused" ? end.refusal.outcome : undefined;
 }
 
 /** Asserts the invariants of every request, independent of the injected faults. */
-export function assertConditions(rig: Rig, end: RequestEnd): void {
+export function assertInvariants(rig: Rig, end: RequestEnd): void {
     const received = rig.answer.texts.join("");
     expect(fullText.startsWith(received), `the text has missing or repeated tokens: ${received}`).to.equal(true);
     expect(rig.answer.finishes).to.equal(end.kind === "finished" ? 1 : 0);
     if (end.kind === "finished") {
         expect(received).to.equal(fullText);
     }
-    if (outcomeOf(end) === "notRun") {
-        expect(rig.ran(), "stages that ran despite the outcome notRun").to.deep.equal([]);
+    if (refusalOutcome(end) === "notRun") {
+        expect(rig.ranStages(), "stages that ran despite the outcome notRun").to.deep.equal([]);
     }
 }
 
@@ -64,7 +64,7 @@
 });
 
 /** Property: the invariants hold under random faults, stops and lost proposals, and nothing remains held afterwards. */
-export function requestRuns(tally = new Tally()) {
+export function requestProperty(tally = new Tally()) {
     return fc.asyncProperty(scenario, async ({ faults: chosen, stop, resume, nonIdempotent, ...rest }) => {
         const rig = Rig.create({ abilities: { resume } });
         rig.control.lost.push(...rest.lost);
@@ -73,22 +73,24 @@
         }
         for (const engine of rig.engines) {
             engine.lostCancels = rest.lostCancels;
-            engine.begun = stage => stage === stop?.stage && rig.scope.stop(stop.reason);
+            engine.onStageBegun = stage => stage === stop?.stage && rig.scope.stop(stop.reason);
         }
         const includesHang = chosen.some(({ fault }) => fault === "hang");
         const deadline = setTimeout(() => rig.scope.stop("deadlineExceeded"), includesHang ? 20 : 5_000);
         const end = await rig.drive(nonIdempotent ? { run: { key: "k", digest: "d" } } : {});
         clearTimeout(deadline);
-        assertConditions(rig, end);
+        assertInvariants(rig, end);
         if (nonIdempotent) {
-            expect(rig.ran().filter(ran => ran.startsWith("prefill")).length).to.be.at.most(1);
-            expect(new Set(rig.ran().map(ran => ran.split(" ")[1])).size).to.be.at.most(1);
+            expect(rig.ranStages().filter(ran => ran.startsWith("prefill")).length).to.be.at.most(1);
+            expect(new Set(rig.ranStages().map(ran => ran.split(" ")[1])).size).to.be.at.most(1);
         }
-        await rig.settled();
-        expect(rig.held()).to.deep.equal([]);
+        await rig.waitUntilSettled();
+        expect(rig.unreleasedAttempts()).to.deep.equal([]);
         const state = rig.control.runs.get("k")?.state;
         expect(state).to.not.equal("running");
         const cancels = rig.engines.reduce((sum, engine) => sum + engine.cancels, 0);
-        tally.add(rig.placement.demands.length + rig.ran().length + cancels + rig.control.commands.length);
+        tally.add(
+            rig.placement.schedulingRequests.length + rig.ranStages().length + cancels + rig.control.commands.length,
+        );
     });
 }
--- a/simulation/scheduling/bench.ts
+++ b/simulation/scheduling/bench.ts
@@ -13,7 +13,7 @@
 const organisation = { share: 1, openRequests: 100 };
 
 /** A scheduler of one pool with a simulated clock, which records the decisions. */
-export class Bench {
+export class SchedulerBench {
     readonly scheduler: PoolScheduler;
     readonly decisions = new Map<string, SchedulingDecision>();
     now = 0;
@@ -31,11 +31,11 @@
         }
     }
 
-    ask(request: SchedulingRequest): void {
+    submit(request: SchedulingRequest): void {
         this.step({ kind: "demand", demand: request });
     }
 
-    pass(milliseconds: number): void {
+    advance(milliseconds: number): void {
         for (const end = this.now + milliseconds; this.now < end;) {
             this.now = Math.min(end, this.now + 20);
             this.step({ kind: "tick" });
--- a/simulation/scheduling/runs.ts
+++ b/simulation/scheduling/runs.ts
@@ -2,8 +2,8 @@
 import * as fc from "fast-check";
 import type { EngineEntry } from "../../packages/basilpaddle/src/node/coordination/scheduling/scheduler.js";
 import { Tally } from "../subject.js";
-import { Bench } from "./bench.js";
-import { demand, engine } from "./samples.js";
+import { SchedulerBench } from "./bench.js";
+import { engine, schedulingRequest } from "./samples.js";
 
 const slots = 2;
 const actionArbitrary = fc.oneof(
@@ -54,7 +54,7 @@
 );
 
 /** Property: the reservations of an engine stay within their bound, and none remains after all requests are withdrawn. */
-export function schedulingRuns(tally = new Tally()) {
+export function schedulingProperty(tally = new Tally()) {
     return fc.property(
         fc.array(actionArbitrary, { minLength: 20, maxLength: 200 }),
         fc.constantFrom("goodput" as const, "prefill" as const),
@@ -64,7 +64,7 @@
                 engine("d1", "decode", { slots }),
                 { ...engine("d2", "decode", { slots, incarnation }), state },
             ];
-            const bench = new Bench(engines("ready", 1), weighting);
+            const bench = new SchedulerBench(engines("ready", 1), weighting);
             const owner = { daemon: "entry-1", incarnation: "i1" };
             const requestedAttempts = new Set<string>();
             let sequence = 0;
@@ -73,8 +73,8 @@
                     case "ask":
                         if (!requestedAttempts.has(`a${action.id}`)) {
                             requestedAttempts.add(`a${action.id}`);
-                            bench.ask(
-                                demand(`a${action.id}`, {
+                            bench.submit(
+                                schedulingRequest(`a${action.id}`, {
                                     organisation: `book-${action.book}`,
                                     firstTokenWithin: 5_000,
                                 }),
@@ -91,7 +91,7 @@
                         bench.step({ kind: "withdraw", attempt: `a${action.id}` });
                         break;
                     case "pass":
-                        bench.pass(action.milliseconds);
+                        bench.advance(action.milliseconds);
                         break;
                     case "report":
                         bench.step({
@@ -119,7 +119,7 @@
                                 stage: "prefilled",
                                 tokens: 0,
                             } as const;
-                            bench.scheduler.move({ demand: demand(`a${action.id}`), ...holding }, bench.now);
+                            bench.scheduler.move({ demand: schedulingRequest(`a${action.id}`), ...holding }, bench.now);
                         }
                         break;
                     case "sessions":
--- a/simulation/scheduling/samples.ts
+++ b/simulation/scheduling/samples.ts
@@ -26,7 +26,7 @@
 }
 
 /** A scheduling request of 1000 prompt tokens and 100 expected output tokens with generous targets. */
-export function demand(attempt: string, overrides: Partial<SchedulingRequest> = {}): SchedulingRequest {
+export function schedulingRequest(attempt: string, overrides: Partial<SchedulingRequest> = {}): SchedulingRequest {
     return schedulingRequestSchema.parse({
         attempt,
         owner: { daemon: "entry-1", incarnation: "i1" },
--- a/simulation/subjects.ts
+++ b/simulation/subjects.ts
@@ -1,10 +1,10 @@
-import { agreementRuns } from "./agreement/runs.js";
+import { agreementProperty } from "./agreement/runs.js";
 import { type FaultCounts, FaultRun } from "./control/faultRun.js";
 import { declarationRuns, handOverRuns } from "./orders/runs.js";
-import { requestRuns } from "./requests/runs.js";
-import { schedulingRuns } from "./scheduling/runs.js";
+import { requestProperty } from "./requests/runs.js";
+import { schedulingProperty } from "./scheduling/runs.js";
 import { drawn, DrawnSubject, Subject, type Tally } from "./subject.js";
-import { anyFaultRuns, lostQuorumRuns } from "./view/runs.js";
+import { lostQuorumProperty, randomFaultsProperty } from "./view/runs.js";
 
 const faultRunMilliseconds = 10_000;
 
@@ -23,10 +23,13 @@
 
 /** Everything that random runs drive. */
 export const subjects: readonly Subject[] = [
-    DrawnSubject.create("agreement", tally => [drawn(agreementRuns(tally), 20)]),
-    DrawnSubject.create("view", tally => [drawn(anyFaultRuns(tally), 10), drawn(lostQuorumRuns(tally), 50)]),
+    DrawnSubject.create("agreement", tally => [drawn(agreementProperty(tally), 20)]),
+    DrawnSubject.create(
+        "view",
+        tally => [drawn(randomFaultsProperty(tally), 10), drawn(lostQuorumProperty(tally), 50)],
+    ),
     DrawnSubject.create("orders", tally => [drawn(declarationRuns(tally), 20), drawn(handOverRuns(tally), 20)]),
-    DrawnSubject.create("requests", tally => [drawn(requestRuns(tally), 50)]),
-    DrawnSubject.create("scheduling", tally => [drawn(schedulingRuns(tally), 50)]),
+    DrawnSubject.create("requests", tally => [drawn(requestProperty(tally), 50)]),
+    DrawnSubject.create("scheduling", tally => [drawn(schedulingProperty(tally), 50)]),
     new ControlSubject(),
 ];
--- a/simulation/view/deployment.ts
+++ b/simulation/view/deployment.ts
@@ -87,7 +87,7 @@
     }
 
     /** Proposes an operator's change to every voter that believes it is the leader. */
-    change(): void {
+    proposeChange(): void {
         const command: Command = { kind: "markBackend", id: "x", incarnation: 0, mark: "gone", by: "operator", at: 0 };
         for (const voter of this.group.voters) {
             voter.process.runUnlessRestarted(voter.process.start, () => void voter.propose(command));
@@ -95,7 +95,7 @@
     }
 
     /** Drops all messages between two processes, in both directions, for `duration` milliseconds. */
-    separate(one: Process, other: Process, duration: number): void {
+    cutBothWays(one: Process, other: Process, duration: number): void {
         this.world.cut(one.name, other.name, duration);
         this.world.cut(other.name, one.name, duration);
     }
--- a/simulation/view/runs.ts
+++ b/simulation/view/runs.ts
@@ -56,7 +56,7 @@
 
 /** Proposes changes at random intervals, so that one can be accepted between any two faults. */
 function proposeChangesPeriodically(deployment: Deployment): void {
-    deployment.change();
+    deployment.proposeChange();
     deployment.world.at(deployment.world.now + 100 + 900 * deployment.world.randomness.fraction(), () => {
         proposeChangesPeriodically(deployment);
     });
@@ -64,7 +64,7 @@
 
 function cutFromVoters(deployment: Deployment, daemon: number, mask: number, duration: number): void {
     deployment.group.voters.filter((_, at) => (mask >> at) & 1).forEach(voter => {
-        deployment.separate(deployment.daemons[daemon]!.process, voter.process, duration);
+        deployment.cutBothWays(deployment.daemons[daemon]!.process, voter.process, duration);
     });
 }
 
@@ -125,7 +125,7 @@
         case "split":
             return selectedVoters(fault.mask).forEach(one => {
                 selectedVoters(~fault.mask).forEach(other =>
-                    deployment.separate(one.process, other.process, fault.duration)
+                    deployment.cutBothWays(one.process, other.process, fault.duration)
                 );
             });
         case "voters":
@@ -160,14 +160,14 @@
 }
 
 /** Property: no daemon starts work on a view that lacks an accepted change, under random sequences of faults. */
-export function anyFaultRuns(tally: Tally): fc.IAsyncProperty<unknown> {
+export function randomFaultsProperty(tally: Tally): fc.IAsyncProperty<unknown> {
     return fc.asyncProperty(fc.nat(), schedule, (seed, faults) => runFaults(seed, faults, tally)) as fc.IAsyncProperty<
         unknown
     >;
 }
 
 /** Property: the same holds if the quorum is lost and recovers while the daemon is cut off. */
-export function lostQuorumRuns(tally: Tally): fc.IAsyncProperty<unknown> {
+export function lostQuorumProperty(tally: Tally): fc.IAsyncProperty<unknown> {
     const after = fc.integer({ min: 0, max: 2_000 });
     const property = fc.asyncProperty(
         fc.nat(),
--- a/simulation/view/voters.ts
+++ b/simulation/view/voters.ts
@@ -91,7 +91,7 @@
         return Object.values(this.state.view().sessions).map(({ session }) => session);
     }
 
-    leads(): boolean {
+    isLeading(): boolean {
         return this.leading && this.process.alive;
     }
 
--- a/soak/faults.ts
+++ b/soak/faults.ts
@@ -102,7 +102,7 @@
             changeSeeds: () => this.changeSeeds(fault),
             crashBackend: () => this.crashBackend(fault),
             deadlyRequests: () => this.sendPoisonRequests(fault),
-            darkenBackend: () => this.impairBackend(fault, backend => backend.relay.silence(), healRelay),
+            darkenBackend: () => this.impairBackend(fault, backend => backend.relay.stallAll(), healRelay),
             slowBackend: () =>
                 this.impairBackend(fault, backend => (backend.slowdownFactor = backendSlowdownFactor), restoreSpeed),
             drainBackend: () => this.drainBackend(fault),
@@ -200,19 +200,19 @@
         this.recordFault(fault, group.map(({ name }) => name).join(" "));
         const pairs = group.flatMap(one => others.map(other => ({ one, other })));
         pairs.forEach(({ one, other }) => {
-            one.relays.get("peers")?.silenceFrom(other.bindHost);
-            other.relays.get("peers")?.silenceFrom(one.bindHost);
+            one.relays.get("peers")?.stallFrom(other.bindHost);
+            other.relays.get("peers")?.stallFrom(one.bindHost);
         });
         await pause(fault.lasts);
         pairs.forEach(({ one, other }) => {
-            one.relays.get("peers")?.healFrom(other.bindHost);
-            other.relays.get("peers")?.healFrom(one.bindHost);
+            one.relays.get("peers")?.removeStallsFrom(other.bindHost);
+            other.relays.get("peers")?.removeStallsFrom(one.bindHost);
         });
     }
 
     private async cutOneWayFor(fault: Fault, directory: Member): Promise<void> {
         this.recordFault(fault, directory.name);
-        directory.relays.get("peers")?.silence("there");
+        directory.relays.get("peers")?.stallAll("there");
         await pause(fault.lasts);
         directory.relays.get("peers")?.heal();
     }
--- a/soak/member.ts
+++ b/soak/member.ts
@@ -145,7 +145,7 @@
 
     /** How its process exited, with the last lines of its output. */
     exitDescription(): string {
-        return this.program?.lastWords() ?? "never started";
+        return this.program?.exitSummary() ?? "never started";
     }
 
     /** The output of all its incarnations. */
