--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
@@ -238,7 +238,7 @@
             await this.serve(incoming, response, arrivedAt);
         }
         catch (error) {
-            logger.error("a request failed with an internal error", { error, target: incoming.url });
+            logger.error("a request failed by a fault of this daemon", { error, target: incoming.url });
             if (response.headersSent) {
                 response.destroy();
             }
