--- a/simulation/experiment/experiment.ts
+++ b/simulation/experiment/experiment.ts
@@ -1,10 +1,13 @@
 import type { Day } from "../places/day.js";
 import type { PoolOutcome } from "../places/outcome.js";
 import { type Difference, differenceOf, meanOf } from "./difference.js";
-import type { Player, Task } from "./player.js";
+import type { Task, TaskRunner } from "./taskRunner.js";
 import type { Variant } from "./variant.js";
 
-/** Figures of an outcome that variants are compared by; of the longest tenth of the prompts and third of the answers, those in time. */
+/**
+ * Metrics of an outcome by which variants are compared. `longPrompts` and `longAnswers` are the fractions of requests in time
+ * among the longest tenth of the prompts and the longest third of the answers.
+ */
 export const measures = [
     "worth",
     "worstWindows",
@@ -17,44 +20,49 @@
     "longPrompts",
     "longAnswers",
 ] as const;
-/** A figure of an outcome. */
+/** A metric of an outcome. */
 export type Measure = typeof measures[number];
 
-/** What is played: each day under each variant with each seed. */
+/** An experiment: simulates every day under every variant with every seed. */
 export type Experiment = {
     readonly days: readonly { readonly name: string; readonly day: Day; }[];
-    /** The first one is what the others are measured against. */
+    /** The first one is the baseline of the comparisons. */
     readonly variants: readonly Variant[];
     readonly seeds: readonly number[];
 };
 
-/** One measure of one day under one variant. */
+/** One metric of one day under one variant. */
 export type Comparison = {
     readonly day: string;
     readonly variant: string;
     readonly measure: Measure;
     readonly mean: number;
-    /** To the first variant, pair by pair; undefined for that one itself. */
+    /** Difference from the baseline, paired by seed; undefined for the baseline itself. */
     readonly difference: Difference | undefined;
 };
 
-/** Plays an experiment and compares its variants. */
-export async function playExperiment(
+/** Runs an experiment and compares its variants with the baseline. `onTaskDone` is called after each simulated day. */
+export async function runExperiment(
     { days, variants, seeds }: Experiment,
-    player: Player,
-    onPlayed: () => void = () => undefined,
+    runner: TaskRunner,
+    onTaskDone: () => void = () => undefined,
 ): Promise<readonly Comparison[]> {
     const tasks = days.flatMap(({ day }) => {
         return variants.flatMap(variant => seeds.map((seed): Task => ({ day, variant, seed })));
     });
-    const outcomes = await player.play(tasks, onPlayed);
-    return days.flatMap(({ name }, dayNumber) => {
-        const first = dayNumber * variants.length * seeds.length;
-        const byVariant = variants.map((_, number) => {
-            return outcomes.slice(first + number * seeds.length, first + (number + 1) * seeds.length);
+    const outcomes = await runner.run(tasks, onTaskDone);
+    return days.flatMap(({ name }, dayIndex) => {
+        const dayOffset = dayIndex * variants.length * seeds.length;
+        const outcomesByVariant = variants.map((_, variantIndex) => {
+            return outcomes.slice(
+                dayOffset + variantIndex * seeds.length,
+                dayOffset + (variantIndex + 1) * seeds.length,
+            );
         });
-        return variants.flatMap((variant, number) => {
-            return measures.map(measure => compare(name, variant, measure, byVariant[0]!, byVariant[number]!));
+        return variants.flatMap((variant, variantIndex) => {
+            return measures.map(measure =>
+                compare(name, variant, measure, outcomesByVariant[0]!, outcomesByVariant[variantIndex]!)
+            );
         });
     });
 }
@@ -63,16 +71,18 @@
     day: string,
     variant: Variant,
     measure: Measure,
-    before: readonly PoolOutcome[],
-    after: readonly PoolOutcome[],
+    baselineOutcomes: readonly PoolOutcome[],
+    variantOutcomes: readonly PoolOutcome[],
 ): Comparison {
-    const of = (outcomes: readonly PoolOutcome[]): number[] => outcomes.map(outcome => valueOf(outcome, measure));
+    const valuesOf = (outcomes: readonly PoolOutcome[]): number[] => outcomes.map(outcome => valueOf(outcome, measure));
     return {
         day,
         variant: variant.name,
         measure,
-        mean: meanOf(of(after)),
-        difference: before === after ? undefined : differenceOf(of(before), of(after)),
+        mean: meanOf(valuesOf(variantOutcomes)),
+        difference: baselineOutcomes === variantOutcomes
+            ? undefined
+            : differenceOf(valuesOf(baselineOutcomes), valuesOf(variantOutcomes)),
     };
 }
 
--- a/simulation/experiment/main.ts
+++ b/simulation/experiment/main.ts
@@ -1,19 +1,19 @@
-// Plays variants of the placing on emulated days with many seeds, and tells what differs.
+// Simulates days with many seeds under variants of the placement tuning, and reports how their outcomes differ.
 import { writeFileSync } from "node:fs";
 import { availableParallelism } from "node:os";
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
 import { type Finding, formatFinding } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { dayFile, dayNames, readDay } from "../places/day.js";
-import { type Experiment, type Measure, measures, playExperiment } from "./experiment.js";
-import { ThreadPlayer } from "./player.js";
+import { type Experiment, type Measure, measures, runExperiment } from "./experiment.js";
 import { reportPage } from "./report.js";
 import { tableOf } from "./table.js";
-import { readVariants, unchanged, type Variant } from "./variant.js";
+import { ThreadRunner } from "./taskRunner.js";
+import { readVariants, unchangedVariant, type Variant } from "./variant.js";
 
-const findingsCode = 2;
-/** Half of the processors: others may be measuring on the same machine. */
-const usualThreads = Math.max(1, Math.floor(availableParallelism() / 2));
+const invalidFileExitCode = 2;
+/** Half of the processors, since other measurements may run on the same machine. */
+const defaultThreads = Math.max(1, Math.floor(availableParallelism() / 2));
 
 const options = await yargs(hideBin(process.argv))
     .usage("npm run experiment -- --variants FILE --days celeste-large large-crashes --seeds 20")
@@ -21,49 +21,49 @@
         type: "string",
         array: true,
         default: [...dayNames()],
-        describe: "days of the project by name, or files",
+        describe: "names of bundled days, or files",
     })
-    .option("variants", { type: "string", describe: "JSON file of variants; without it the product as it stands" })
-    .option("seeds", { type: "number", default: 10, describe: "seeds for each day and variant" })
-    .option("first", { type: "number", default: 1, describe: "the first seed" })
-    .option("measure", { choices: measures, default: "worth" as Measure, describe: "the figure of the table" })
-    .option("threads", { type: "number", default: usualThreads, describe: "threads that play" })
-    .option("output", { type: "string", describe: "JSON file for all figures" })
-    .option("report", { type: "string", describe: "HTML file for a page with plots and tables" })
+    .option("variants", { type: "string", describe: "JSON file of variants; default: only the product's tuning" })
+    .option("seeds", { type: "number", default: 10, describe: "number of seeds for each day and variant" })
+    .option("first", { type: "number", default: 1, describe: "first seed" })
+    .option("measure", { choices: measures, default: "worth" as Measure, describe: "metric shown in the table" })
+    .option("threads", { type: "number", default: defaultThreads, describe: "number of threads" })
+    .option("output", { type: "string", describe: "JSON file to write all results to" })
+    .option("report", { type: "string", describe: "HTML file to write plots and tables to" })
     .check(({ seeds, threads }) => {
         if (!Number.isInteger(seeds) || seeds < 1 || !Number.isInteger(threads) || threads < 1) {
-            throw new Error("--seeds and --threads take whole numbers from 1");
+            throw new Error("--seeds and --threads must be positive integers");
         }
         return true;
     })
-    .epilogue(`Exit codes: 0 played, 1 a fault, ${findingsCode} a file isn't in form.`)
+    .epilogue(`Exit codes: 0 success, 1 error, ${invalidFileExitCode} invalid file.`)
     .strict()
     .parse();
 
-/** Tells what is wrong with a file, and ends. */
-function give(findings: readonly Finding[]): never {
+/** Prints the findings about an invalid file and exits. */
+function exitWithFindings(findings: readonly Finding[]): never {
     findings.forEach(finding => console.error(formatFinding(finding)));
-    process.exit(findingsCode);
+    process.exit(invalidFileExitCode);
 }
 
 const days = options.days.map(name => {
-    return readDay(dayFile(name)).caseOf({ Left: give, Right: day => ({ name, day }) });
+    return readDay(dayFile(name)).caseOf({ Left: exitWithFindings, Right: day => ({ name, day }) });
 });
 const variants: readonly Variant[] = options.variants === undefined
-    ? [unchanged]
-    : readVariants(options.variants).caseOf({ Left: give, Right: read => read });
+    ? [unchangedVariant]
+    : readVariants(options.variants).caseOf({ Left: exitWithFindings, Right: read => read });
 const experiment: Experiment = {
     days,
     variants,
     seeds: Array.from({ length: options.seeds }, (_, number) => options.first + number),
 };
 
-const all = days.length * variants.length * options.seeds;
-let played = 0;
-const comparisons = await playExperiment(experiment, ThreadPlayer.create(options.threads), () => {
-    played += 1;
+const totalTasks = days.length * variants.length * options.seeds;
+let completedTasks = 0;
+const comparisons = await runExperiment(experiment, ThreadRunner.create(options.threads), () => {
+    completedTasks += 1;
     if (process.stderr.isTTY) {
-        process.stderr.write(`\r${played} of ${all} played`);
+        process.stderr.write(`\r${completedTasks} of ${totalTasks} simulations done`);
     }
 });
 if (process.stderr.isTTY) {
--- a/simulation/experiment/report.ts
+++ b/simulation/experiment/report.ts
@@ -1,17 +1,17 @@
 import * as vega from "vega";
 import { compile, type TopLevelSpec } from "vega-lite";
 import { type Comparison, type Measure, measures } from "./experiment.js";
-import { differenceText, meanText } from "./table.js";
+import { formatDifference, formatMean } from "./table.js";
 
-/** Pixels of a plot, and of one of its rows. */
+/** Width of a plot and height of one of its rows, in pixels. */
 const plotWidth = 420;
 const rowHeight = 18;
 
-/** Writes an experiment as one page that opens without a network: a plot and a table for each measure. */
+/** Renders an experiment as a self-contained HTML page, which needs no network: a plot and a table for each metric. */
 export async function reportPage(comparisons: readonly Comparison[], seeds: readonly number[]): Promise<string> {
     const sections = await Promise.all(measures.map(async measure => {
         const rows = comparisons.filter(comparison => comparison.measure === measure);
-        return `<section><h2>${escaped(measure)}</h2>${await plotOf(rows, measure)}${tableOf(rows)}</section>`;
+        return `<section><h2>${escapeHtml(measure)}</h2>${await plotSvg(rows, measure)}${tableHtml(rows)}</section>`;
     }));
     const [first, last] = [seeds[0], seeds.at(-1)];
     return `<!doctype html>
@@ -25,21 +25,21 @@
 tr.seen td { font-weight: bold; }
 </style>
 <h1>Variants on emulated days</h1>
-<p>Seeds ${first} to ${last}, the same for each variant. A point is the mean of the differences to the first variant, a line
-the interval that holds it with 95 in 100. Bold rows: a difference is seen.</p>
+<p>Seeds ${first} to ${last}, the same for each variant. Each point is the mean difference from the first variant, and each line its
+95% confidence interval. In bold rows, the interval excludes zero.</p>
 ${sections.join("\n")}
 </html>
 `;
 }
 
-/** The differences of one measure as SVG; nothing where there is only one variant. */
-async function plotOf(rows: readonly Comparison[], measure: Measure): Promise<string> {
+/** Plot of the differences of one metric as SVG; empty if there is only one variant. */
+async function plotSvg(rows: readonly Comparison[], measure: Measure): Promise<string> {
     const values = rows.flatMap(({ day, variant, difference }) => {
         if (difference === undefined) {
             return [];
         }
-        const [least, most] = difference.interval ?? [difference.mean, difference.mean];
-        return [{ row: `${day}, ${variant}`, variant, mean: difference.mean, least, most }];
+        const [lower, upper] = difference.interval ?? [difference.mean, difference.mean];
+        return [{ row: `${day}, ${variant}`, variant, mean: difference.mean, lower, upper }];
     });
     if (values.length === 0) {
         return "";
@@ -57,8 +57,8 @@
                 encoding: {
                     y,
                     color,
-                    x: { field: "least", type: "quantitative", title: `difference in ${measure}` },
-                    x2: { field: "most" },
+                    x: { field: "lower", type: "quantitative", title: `difference in ${measure}` },
+                    x2: { field: "upper" },
                 },
             },
             {
@@ -76,17 +76,17 @@
     }
 }
 
-function tableOf(rows: readonly Comparison[]): string {
-    const lines = rows.map(row => {
-        const cells = [row.day, row.variant, meanText(row), differenceText(row)].map(cell =>
-            `<td>${escaped(cell)}</td>`
+function tableHtml(rows: readonly Comparison[]): string {
+    const bodyRows = rows.map(row => {
+        const cells = [row.day, row.variant, formatMean(row), formatDifference(row)].map(cell =>
+            `<td>${escapeHtml(cell)}</td>`
         );
         return `<tr${row.difference?.isSeen === true ? " class=\"seen\"" : ""}>${cells.join("")}</tr>`;
     });
-    const head = ["day", "variant", "mean", "difference"].map(name => `<th>${name}</th>`).join("");
-    return `<table><tr>${head}</tr>${lines.join("")}</table>`;
+    const headerCells = ["day", "variant", "mean", "difference"].map(name => `<th>${name}</th>`).join("");
+    return `<table><tr>${headerCells}</tr>${bodyRows.join("")}</table>`;
 }
 
-function escaped(text: string): string {
+function escapeHtml(text: string): string {
     return text.replace(/&/g, "&amp;").replace(/</g, "&lt;").replace(/>/g, "&gt;").replace(/"/g, "&quot;");
 }
--- a/simulation/experiment/table.ts
+++ b/simulation/experiment/table.ts
@@ -1,39 +1,42 @@
 import type { Comparison, Measure } from "./experiment.js";
 
-const digits = 3;
+const fractionDigits = 3;
 const columnWidth = 14;
 
-/** Writes the comparisons of one measure as a table for a person, a line for each day and variant. */
+/** Formats the comparisons of one metric as a text table with one line for each day and variant. */
 export function tableOf(comparisons: readonly Comparison[], measure: Measure): readonly string[] {
     const rows = comparisons.filter(comparison => comparison.measure === measure);
-    const width = (of: (row: Comparison) => string): number => Math.max(0, ...rows.map(row => of(row).length)) + 2;
-    const dayWidth = width(row => row.day);
-    const variantWidth = width(row => row.variant);
+    const widthOf = (textOf: (row: Comparison) => string): number =>
+        Math.max(0, ...rows.map(row => textOf(row).length)) + 2;
+    const dayWidth = widthOf(row => row.day);
+    const variantWidth = widthOf(row => row.variant);
     return rows.map(row => {
-        const mean = meanText(row).padEnd(columnWidth);
-        return `${row.day.padEnd(dayWidth)}${row.variant.padEnd(variantWidth)}${measure} ${mean}${differenceText(row)}`
+        const mean = formatMean(row).padEnd(columnWidth);
+        return `${row.day.padEnd(dayWidth)}${row.variant.padEnd(variantWidth)}${measure} ${mean}${
+            formatDifference(row)
+        }`
             .trimEnd();
     });
 }
 
-/** The mean of a comparison, for a person. */
-export function meanText({ mean }: Comparison): string {
-    return mean.toFixed(digits);
+/** Formats the mean of a comparison. */
+export function formatMean({ mean }: Comparison): string {
+    return mean.toFixed(fractionDigits);
 }
 
-/** The difference of a comparison with its interval, for a person; empty for the first variant. */
-export function differenceText({ difference }: Comparison): string {
+/** Formats the difference of a comparison with its interval; empty for the first variant. */
+export function formatDifference({ difference }: Comparison): string {
     if (difference === undefined) {
         return "";
     }
     const { mean, interval, isSeen } = difference;
     if (interval === undefined) {
-        return `${signed(mean)}, too few seeds to tell`;
+        return `${formatSigned(mean)}, too few seeds to tell`;
     }
-    const bounds = `${signed(mean)} (${signed(interval[0])} to ${signed(interval[1])})`;
+    const bounds = `${formatSigned(mean)} (${formatSigned(interval[0])} to ${formatSigned(interval[1])})`;
     return isSeen ? bounds : `${bounds}, no difference seen`;
 }
 
-function signed(value: number): string {
-    return `${value < 0 ? "" : "+"}${value.toFixed(digits)}`;
+function formatSigned(value: number): string {
+    return `${value < 0 ? "" : "+"}${value.toFixed(fractionDigits)}`;
 }
--- a/simulation/experiment/thread.js
+++ b/simulation/experiment/thread.js
@@ -1,4 +1,4 @@
-// A thread gets no loader for TypeScript from the process that starts it: it takes its own before the module proper.
+// A worker thread doesn't inherit the TypeScript loader of its process, so it registers one before importing the tasks.
 import { register } from "tsx/esm/api";
 
 register();
--- a/simulation/experiment/threadTasks.ts
+++ b/simulation/experiment/threadTasks.ts
@@ -1,5 +1,5 @@
-// Plays the tasks that it is sent, and sends their outcomes back.
+// Runs the tasks that a worker thread receives and sends their outcomes back.
 import { parentPort } from "node:worker_threads";
-import { playTask, type Task } from "./player.js";
+import { runTask, type Task } from "./taskRunner.js";
 
-parentPort?.on("message", (task: Task) => parentPort?.postMessage(playTask(task)));
+parentPort?.on("message", (task: Task) => parentPort?.postMessage(runTask(task)));
