--- a/simulation/control/controlGroup.ts
+++ b/simulation/control/controlGroup.ts
@@ -4,9 +4,9 @@
 import { ControlDaemon, initialiseControl } from "../../packages/basilpaddle/src/node/daemon/control/index.js";
 import { type ControlSettings, controlSettingsSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { createSilentLogger, SeededRandomness, SystemClock } from "../../packages/basilpaddle/src/node/utils/index.js";
-import { CuttableNetwork, Wiring } from "./cuttableNetwork.js";
+import { CuttableNetwork, NetworkTopology } from "./cuttableNetwork.js";
 
-/** Times short enough for tests, and long enough for a busy machine. */
+/** Timing in milliseconds: short enough for tests, yet long enough for a machine under load. */
 export const groupTiming = {
     viewLease: 900,
     viewInterval: 50,
@@ -16,8 +16,9 @@
     electionTimeout: 200,
 };
 
-/** A clock of one daemon that the test can put forward. */
+/** The clock of one daemon, which a test can set forward. */
 export class ShiftedClock extends SystemClock {
+    /** Milliseconds by which the clock is ahead of the system clock. */
     shift = 0;
 
     override monotonic(): number {
@@ -25,9 +26,9 @@
     }
 }
 
-/** Control daemons in one process, on real disks and loopback TCP. */
+/** A group of control daemons in one process, with real data folders and TCP connections over the loopback interface. */
 export class ControlGroup {
-    readonly wiring = new Wiring();
+    readonly wiring = new NetworkTopology();
     readonly clocks = new Map<string, ShiftedClock>();
     private readonly daemons = new Map<string, ControlDaemon>();
 
@@ -37,14 +38,14 @@
         private readonly timing: ControlSettings["timing"],
     ) {}
 
-    /** Initialises and starts all. */
+    /** Initialises and starts all daemons. `timing` overrides parts of `groupTiming`. */
     static async create(
         names: readonly string[],
         timing: Partial<ControlSettings["timing"]> = {},
     ): Promise<ControlGroup> {
         const folder = await fs.mkdtemp(path.join(os.tmpdir(), "basilpaddle-control-"));
-        const merged = { clockDrift: 0.02, ...groupTiming, ...timing };
-        const group = new ControlGroup(names, folder, merged);
+        const mergedTiming = { clockDrift: 0.02, ...groupTiming, ...timing };
+        const group = new ControlGroup(names, folder, mergedTiming);
         for (const name of names) {
             await initialiseControl(group.settings(name), "test");
         }
@@ -52,57 +53,57 @@
         return group;
     }
 
-    /** Starts a control daemon on its data folder. */
+    /** Starts a control daemon with its existing data folder, and reconnects it. */
     async start(name: string): Promise<ControlDaemon> {
         const clock = new ShiftedClock();
         const daemon = await ControlDaemon.create({
             settings: this.settings(name),
             clock,
-            randomness: SeededRandomness.create(this.portOf(name)),
+            randomness: SeededRandomness.create(this.configuredPortOf(name)),
             logger: createSilentLogger(),
-            network: new CuttableNetwork(this.wiring, this.portOf(name)),
+            network: new CuttableNetwork(this.wiring, this.configuredPortOf(name)),
         });
         this.clocks.set(name, clock);
         this.daemons.set(name, daemon);
-        this.wiring.ports.set(this.portOf(name), daemon.port());
-        this.wiring.cutOff.delete(this.portOf(name));
+        this.wiring.actualPorts.set(this.configuredPortOf(name), daemon.port());
+        this.wiring.cutOff.delete(this.configuredPortOf(name));
         return daemon;
     }
 
-    /** Ends a control daemon without a word to the others. */
+    /** Isolates a control daemon and then closes it, so that it can't notify the others. */
     async kill(name: string): Promise<void> {
         this.cut(name);
         await this.stop(name);
     }
 
-    /** Ends a control daemon in good order. */
+    /** Closes a control daemon gracefully. */
     async stop(name: string): Promise<void> {
         const daemon = this.daemons.get(name)!;
         this.daemons.delete(name);
         await daemon.close();
     }
 
-    /** Cuts a control daemon off from everybody. */
+    /** Drops all messages to and from a control daemon. */
     cut(name: string): void {
-        this.wiring.cutOff.add(this.portOf(name));
+        this.wiring.cutOff.add(this.configuredPortOf(name));
     }
 
-    /** Ends the cut. */
+    /** Delivers messages to and from a control daemon again. */
     mend(name: string): void {
-        this.wiring.cutOff.delete(this.portOf(name));
+        this.wiring.cutOff.delete(this.configuredPortOf(name));
     }
 
     daemon(name: string): ControlDaemon {
         return this.daemons.get(name)!;
     }
 
-    /** The control daemon that leads and isn't cut off. */
+    /** Name of the leader, once a control daemon that isn't isolated leads. */
     async leader(): Promise<string> {
         return until(
             "a leader",
             () =>
                 [...this.daemons].find(([name, daemon]) =>
-                    daemon.status().replicaStatus().leading && !this.wiring.cutOff.has(this.portOf(name))
+                    daemon.status().replicaStatus().leading && !this.wiring.cutOff.has(this.configuredPortOf(name))
                 )?.[0],
         );
     }
@@ -115,32 +116,32 @@
             failureDomain: "pocitos",
             operators: address,
             peers: address,
-            controls: this.names.map(other => ({ name: other, host: "127.0.0.1", port: this.portOf(other) })),
+            controls: this.names.map(other => ({ name: other, host: "127.0.0.1", port: this.configuredPortOf(other) })),
             timing: this.timing,
             dataFolder: path.join(this.folder, name),
         });
     }
 
-    /** Ends all and removes their data. */
+    /** Closes all daemons and deletes their data folders. */
     async close(): Promise<void> {
         await Promise.all([...this.daemons.keys()].map(name => this.stop(name)));
         await fs.rm(this.folder, { recursive: true });
     }
 
-    /** The port of the settings; the wiring knows the real one. */
-    private portOf(name: string): number {
+    /** Port in the settings, which identifies the daemon; the network maps it to the port that the daemon listens on. */
+    private configuredPortOf(name: string): number {
         return this.names.indexOf(name) + 1;
     }
 }
 
-/** Looks again and again until there is something; fails after a generous time. */
-export async function until<Value>(what: string, look: () => Value | undefined): Promise<Value> {
+/** Polls until a value is defined and returns it. @throws Error after 30 seconds, with the description of the value */
+export async function until<Value>(description: string, poll: () => Value | undefined): Promise<Value> {
     for (const end = performance.now() + 30_000; performance.now() < end;) {
-        const value = look();
+        const value = poll();
         if (value !== undefined) {
             return value;
         }
         await new Promise(resolve => setTimeout(resolve, 5));
     }
-    throw new Error(`There was no ${what} within 30 seconds.`);
+    throw new Error(`Timed out after 30 seconds waiting for ${description}.`);
 }
--- a/simulation/control/cuttableNetwork.ts
+++ b/simulation/control/cuttableNetwork.ts
@@ -2,34 +2,34 @@
 import { Link, type LinkFailure, Network, TcpNetwork } from "../../packages/basilpaddle/src/node/transport/index.js";
 import { createSilentLogger } from "../../packages/basilpaddle/src/node/utils/index.js";
 
-/** Which ports stand for which daemon now, and between whom messages get lost without a word. */
-export class Wiring {
-    /** Real ports, by the port that the settings name. */
-    readonly ports = new Map<number, number>();
-    /** Ports of the settings whose daemon is cut off from everybody, in both directions. */
+/** Listening port of each daemon, and the daemons that are isolated. Messages to and from these are lost without an error. */
+export class NetworkTopology {
+    /** Port that a daemon listens on, by its port in the settings. */
+    readonly actualPorts = new Map<number, number>();
+    /** Ports in the settings of the daemons that are isolated from all others, in both directions. */
     readonly cutOff = new Set<number>();
 }
 
-/** The network as one daemon sees it: real TCP, with ports from the wiring, and with cuts. */
+/** The network as used by one daemon: TCP that resolves ports by the topology and drops the messages of isolated daemons. */
 export class CuttableNetwork extends Network {
     private readonly network = TcpNetwork.create(createSilentLogger());
 
-    /** `own` is the port of the daemon itself; 0 where it is no control daemon. */
-    constructor(private readonly wiring: Wiring, private readonly own: number) {
+    /** `ownPort` is the port of this daemon in the topology. 0 for a daemon that is never isolated itself. */
+    constructor(private readonly wiring: NetworkTopology, private readonly ownPort: number) {
         super();
     }
 
     override link(address: { readonly host: string; readonly port: number; }): Link {
-        return new CuttableLink(this.wiring, this.own, address, this.network);
+        return new PartitionableLink(this.wiring, this.ownPort, address, this.network);
     }
 }
 
-class CuttableLink extends Link {
+class PartitionableLink extends Link {
     private inner: { readonly port: number; readonly link: Link; } | undefined;
 
     constructor(
-        private readonly wiring: Wiring,
-        private readonly own: number,
+        private readonly wiring: NetworkTopology,
+        private readonly ownPort: number,
         private readonly address: { readonly host: string; readonly port: number; },
         private readonly network: Network,
     ) {
@@ -37,15 +37,15 @@
     }
 
     override async request(body: unknown, timeout: number): Promise<Either<LinkFailure, unknown>> {
-        if (!this.isCut()) {
+        if (!this.isPartitioned()) {
             return this.link().request(body, timeout);
         }
         await new Promise(resolve => setTimeout(resolve, timeout));
-        return Left({ kind: "timeout", message: "the network lost it" });
+        return Left({ kind: "timeout", message: "simulated network partition" });
     }
 
     override send(body: unknown): void {
-        if (!this.isCut()) {
+        if (!this.isPartitioned()) {
             this.link().send(body);
         }
     }
@@ -54,12 +54,12 @@
         this.inner?.link.close();
     }
 
-    private isCut(): boolean {
-        return this.wiring.cutOff.has(this.own) || this.wiring.cutOff.has(this.address.port);
+    private isPartitioned(): boolean {
+        return this.wiring.cutOff.has(this.ownPort) || this.wiring.cutOff.has(this.address.port);
     }
 
     private link(): Link {
-        const port = this.wiring.ports.get(this.address.port) ?? this.address.port;
+        const port = this.wiring.actualPorts.get(this.address.port) ?? this.address.port;
         if (this.inner?.port !== port) {
             this.inner?.link.close();
             this.inner = { port, link: this.network.link({ host: this.address.host, port }) };
--- a/simulation/control/faultRun.ts
+++ b/simulation/control/faultRun.ts
@@ -7,11 +7,12 @@
 
 const names = ["one", "two", "three"];
 const clientCount = 4;
-/** Ports of the wiring by which clients are cut off. */
+/** The ports that identify the clients in the topology; clients don't listen on them. */
 const firstClientPort = 101;
+/** Delay between two steps. */
 const pauseMilliseconds = 120;
 
-/** What a run did. */
+/** Counts of a run: `conflicts` and `undecided` are answers to proposals, and `cuts` are isolations of a daemon. */
 export type FaultCounts = {
     steps: number;
     accepted: number;
@@ -22,23 +23,23 @@
 };
 
 /**
- * Changes by racing operators while control daemons are killed and both they and entry daemons are cut off. The seed
- * decides what happens in which order; how far each thing got by then is up to the machine.
+ * Operators propose concurrent changes while control daemons are killed and control and entry daemons are isolated. The seed
+ * determines the order of the steps, but not their timing, so that a run isn't fully reproducible.
  */
 export class FaultRun {
     readonly counts: FaultCounts = { steps: 0, accepted: 0, conflicts: 0, undecided: 0, cuts: 0, kills: 0 };
     private readonly clients: PeerControlClient[];
-    private readonly changeOfRevision = new Map<number, string>();
-    private readonly decided = new Map<string, { readonly change: Change; readonly revision: number; }>();
-    private readonly open = new Set<Promise<void>>();
+    private readonly changeIdByRevision = new Map<number, string>();
+    private readonly acceptedChanges = new Map<string, { readonly change: Change; readonly revision: number; }>();
+    private readonly pendingProposals = new Set<Promise<void>>();
     private failure: Error | undefined;
-    private lastChange = 0;
+    private lastChangeNumber = 0;
 
     private constructor(private readonly group: ControlGroup, private readonly randomness: SeededRandomness) {
-        this.clients = Array.from({ length: clientCount }, (_, position) => this.createClient(position));
+        this.clients = Array.from({ length: clientCount }, (_, index) => this.createClient(index));
     }
 
-    /** Plays one run for the given time. Throws what broke a promise. */
+    /** Executes one run for the given duration. @throws Error with the first violated invariant */
     static async play(seed: number, milliseconds: number): Promise<FaultCounts> {
         const run = new FaultRun(await ControlGroup.create(names), SeededRandomness.create(seed));
         try {
@@ -46,7 +47,7 @@
                 await run.step();
                 await new Promise(resolve => setTimeout(resolve, pauseMilliseconds));
             }
-            await run.end();
+            await run.waitForConvergence();
         }
         finally {
             await Promise.all(run.clients.map(client => client.close()));
@@ -80,106 +81,127 @@
                 this.group.wiring.cutOff.clear();
                 return;
             case 4:
-                this.resend();
+                this.resendAcceptedChange();
                 return;
             default:
-                this.race();
+                this.proposeConcurrently();
         }
     }
 
-    /** Two operators against the same revision, each at the control daemon that it takes for the leader. */
-    private race(): void {
+    /** Two operators propose changes based on the same revision. */
+    private proposeConcurrently(): void {
         const base = Math.max(...this.clients.map(client => client.view().configuration.revision));
         for (const operator of ["ana", "bo"]) {
-            const command = commands.change(`change-${++this.lastChange}`, base, operator);
+            const command = commands.change(`change-${++this.lastChangeNumber}`, base, operator);
             this.propose(command);
         }
     }
 
-    private resend(): void {
-        const earlier = [...this.decided.values()];
+    private resendAcceptedChange(): void {
+        const earlier = [...this.acceptedChanges.values()];
         if (earlier.length > 0) {
             const { change } = earlier[this.randomness.integer(0, earlier.length - 1)]!;
             this.propose({ kind: "changeConfiguration", change, at: 1 });
         }
     }
 
+    /** Proposes the command to every control daemon that considers itself the leader. */
     private propose(command: Command): void {
         for (const name of names) {
             const daemon = this.group.daemon(name);
             if (daemon?.status().replicaStatus().leading && command.kind === "changeConfiguration") {
                 const proposal = daemon.propose(command).then(answer => {
                     if (answer.kind === "result" && answer.result.kind === "accepted") {
-                        this.accepted(command.change, answer.result.revision);
+                        this.handleAccepted(command.change, answer.result.revision);
                     }
                     else if (answer.kind === "result") {
                         this.counts.conflicts += 1;
-                        this.check(!this.decided.has(command.change.changeId), "an accepted change got another answer");
+                        this.check(
+                            !this.acceptedChanges.has(command.change.changeId),
+                            "an accepted change was refused afterwards",
+                        );
                     }
                     else {
                         this.counts.undecided += 1;
                     }
-                }).finally(() => this.open.delete(proposal));
-                this.open.add(proposal);
+                }).finally(() => this.pendingProposals.delete(proposal));
+                this.pendingProposals.add(proposal);
             }
         }
     }
 
-    /** Runs at the moment of the answer. */
-    private accepted(change: Change, revision: number): void {
+    /** Called with the answer: by then, every client that may start work must have applied the change. */
+    private handleAccepted(change: Change, revision: number): void {
         this.counts.accepted += 1;
-        const first = this.decided.get(change.changeId);
-        this.check(first === undefined || first.revision === revision, "a resend got another revision");
-        this.decided.set(change.changeId, { change, revision });
+        const first = this.acceptedChanges.get(change.changeId);
+        this.check(
+            first === undefined || first.revision === revision,
+            "an accepted change was answered with another revision afterwards",
+        );
+        this.acceptedChanges.set(change.changeId, { change, revision });
         this.checkRevision(revision, change.changeId);
-        const behind = this.clients.filter(each => each.mayStart() && each.view().configuration.revision < revision);
-        const which = behind.map(each => each.session().daemon).join(", ");
-        this.check(behind.length === 0, `revision ${revision} was accepted and not in force on ${which}`);
+        const behindClients = this.clients.filter(each =>
+            each.mayStart() && each.view().configuration.revision < revision
+        );
+        const behindDaemons = behindClients.map(each => each.session().daemon).join(", ");
+        this.check(
+            behindClients.length === 0,
+            `revision ${revision} was accepted before it was in force on ${behindDaemons}`,
+        );
     }
 
-    /** Without faults every daemon gets to the newest revision. */
-    private async end(): Promise<void> {
+    /** Ends all faults; every client must then reach the newest accepted revision and be able to start work. */
+    private async waitForConvergence(): Promise<void> {
         this.group.wiring.cutOff.clear();
-        await Promise.all(this.open);
-        const newest = Math.max(0, ...[...this.decided.values()].map(decided => decided.revision));
+        await Promise.all(this.pendingProposals);
+        const newestRevision = Math.max(0, ...[...this.acceptedChanges.values()].map(accepted => accepted.revision));
         const end = performance.now() + 20_000;
-        while (this.clients.some(each => !each.mayStart() || each.view().configuration.revision < newest)) {
+        while (this.clients.some(each => !each.mayStart() || each.view().configuration.revision < newestRevision)) {
             if (performance.now() > end) {
-                this.check(false, `not every daemon could start work at revision ${newest} 20 s after the last fault`);
+                this.check(
+                    false,
+                    `not every daemon could start work at revision ${newestRevision} 20 s after the last fault`,
+                );
                 return;
             }
             await new Promise(resolve => setTimeout(resolve, 20));
         }
     }
 
-    private createClient(position: number): PeerControlClient {
+    private createClient(index: number): PeerControlClient {
         const settings = this.group.settings(names[0]!);
         const client = PeerControlClient.create({
-            session: commands.session(`entry-${position}`),
+            session: commands.session(`entry-${index}`),
             failureDomain: "pocitos",
             peers: { host: "127.0.0.1", port: 1 },
             controls: settings.controls,
             timing: settings.timing,
-            network: new CuttableNetwork(this.group.wiring, firstClientPort + position),
+            network: new CuttableNetwork(this.group.wiring, firstClientPort + index),
             clock: SystemClock.create(),
-            randomness: SeededRandomness.create(position + 1),
+            randomness: SeededRandomness.create(index + 1),
             logger: createSilentLogger(),
         });
-        let last = 0;
+        let lastRevision = 0;
         client.onView(({ configuration }) => {
-            this.check(configuration.revision >= last, `revision ${configuration.revision} after ${last}`);
-            last = configuration.revision;
-            if (last > 0) {
-                this.checkRevision(last, configuration.changeId);
+            this.check(
+                configuration.revision >= lastRevision,
+                `a client received revision ${configuration.revision} after ${lastRevision}`,
+            );
+            lastRevision = configuration.revision;
+            if (lastRevision > 0) {
+                this.checkRevision(lastRevision, configuration.changeId);
             }
         });
         return client;
     }
 
     private checkRevision(revision: number, changeId: string): void {
-        const known = this.changeOfRevision.get(revision) ?? changeId;
-        this.changeOfRevision.set(revision, known);
-        this.check(known === changeId, `revision ${revision} is ${known} and ${changeId}`);
+        const knownChangeId = this.changeIdByRevision.get(revision) ?? changeId;
+        this.changeIdByRevision.set(revision, knownChangeId);
+        this.check(
+            knownChangeId === changeId,
+            `revision ${revision} belongs to two changes: ${knownChangeId} and ${changeId}`,
+        );
     }
 
     private check(condition: boolean, message: string): void {
