--- a/simulation/orders/holder.ts
+++ b/simulation/orders/holder.ts
@@ -7,17 +7,19 @@
 import { Reconciler } from "../../packages/basilpaddle/src/node/coordination/orders/reconciler.js";
 import type { World } from "./world.js";
 
-/** The limits of every run. */
+/** Limits of the orders in every simulation. */
 export const limits: OrderLimits = { concurrentLoads: 2, orderTimeout: 4_000, settle: 3_060, retryPause: 500 };
-/** Milliseconds between two rounds of a holder. */
+/** Milliseconds from one round of a holder to the next. */
 export const roundTime = 1_000;
 
-/** One holder of the orders lease at work on a world. Checks what must hold at each action. */
+/** A holder of the orders lease, which applies the reconciler's actions to a simulated pool and checks invariants at each. */
 export class Holder {
     state: ReconcilerState = emptyReconcilerState();
-    readonly given = new Set<string>();
-    readonly ended: string[] = [];
-    /** How late role changes take effect; not at all late when 0. */
+    /** Identifiers of the orders sent so far. */
+    readonly issuedOrders = new Set<string>();
+    /** Identifiers of the orders whose outcome is known. */
+    readonly completedOrders: string[] = [];
+    /** Milliseconds by which role changes are delayed, with their answers lost; 0 doesn't delay them. */
     lateBy = 0;
     rounds = 0;
     private readonly reconciler: Reconciler;
@@ -26,7 +28,7 @@
         this.reconciler = Reconciler.create(fence, limits);
     }
 
-    /** Whether anything was to be done. */
+    /** Runs one round; returns whether the reconciler requested any action. */
     round(): boolean {
         this.rounds += 1;
         const { world } = this;
@@ -34,27 +36,27 @@
         this.state = step.state;
         for (const action of step.actions) {
             if (action.kind === "outcome") {
-                this.end(action.open.orderId);
+                this.recordOutcome(action.open.orderId);
                 continue;
             }
-            const before = this.serving();
+            const before = this.servingCounts();
             if (action.kind === "drain") {
                 world.drain(action.engine, action.draining);
             }
             else if (action.kind === "move") {
-                world.move(action.version);
+                world.moveTraffic(action.version);
             }
             else {
                 expect(action.open.cause).not.to.equal("");
-                expect(this.given.has(action.open.orderId)).to.equal(false);
-                this.given.add(action.open.orderId);
-                const late = action.open.order.action === "changeRole" && this.lateBy > 0;
-                const sent = late
-                    ? world.sendLate(action.open, this.fence, this.lateBy)
+                expect(this.issuedOrders.has(action.open.orderId)).to.equal(false);
+                this.issuedOrders.add(action.open.orderId);
+                const isDelayed = action.open.order.action === "changeRole" && this.lateBy > 0;
+                const sent = isDelayed
+                    ? world.sendDelayed(action.open, this.fence, this.lateBy)
                     : world.send(action.open, this.fence);
                 this.state = this.reconciler.recordSendResult(this.state, action.open, sent, world.now);
                 if (sent.result !== "started" && sent.result !== "unknown") {
-                    this.end(action.open.orderId);
+                    this.recordOutcome(action.open.orderId);
                 }
             }
             this.checkFloor(before);
@@ -62,17 +64,18 @@
         return step.actions.length > 0;
     }
 
-    private end(orderId: string): void {
-        expect(this.ended).not.to.include(orderId);
-        this.ended.push(orderId);
+    private recordOutcome(orderId: string): void {
+        expect(this.completedOrders).not.to.include(orderId);
+        this.completedOrders.push(orderId);
     }
 
-    private serving() {
-        return { prefill: this.world.serving("prefill"), decode: this.world.serving("decode") };
+    private servingCounts() {
+        return { prefill: this.world.servingCount("prefill"), decode: this.world.servingCount("decode") };
     }
 
+    /** Checks that an action didn't reduce the serving copies to less than the floor. */
     private checkFloor(before: { readonly prefill: number; readonly decode: number; }): void {
-        const after = this.serving();
+        const after = this.servingCounts();
         for (const role of ["prefill", "decode"] as const) {
             const floor = Math.min(before[role], this.world.declared.floor[role]);
             expect(after[role], `serving ${role} copies after an action`).to.be.at.least(floor);
@@ -80,11 +83,11 @@
     }
 }
 
-/** Checks at each round of a run that nothing was cut and that the weight store isn't overrun. */
+/** Runs rounds, and checks in each that no attempt was aborted and that the limit on concurrent loads is kept. */
 export function playRounds(world: World, holder: Holder, count: number): void {
     for (let round = 0; round < count; round++) {
         holder.round();
-        expect(world.loading()).to.be.at.most(limits.concurrentLoads);
+        expect(world.countLoading()).to.be.at.most(limits.concurrentLoads);
         world.pass(roundTime);
         expect(world.violations).to.deep.equal([]);
     }
--- a/simulation/orders/runs.ts
+++ b/simulation/orders/runs.ts
@@ -6,29 +6,29 @@
 import { pool } from "./samples.js";
 import { World } from "./world.js";
 
-const declared = fc.record({
+const declarationArbitrary = fc.record({
     prefill: fc.integer({ min: 0, max: 4 }),
     decode: fc.integer({ min: 1, max: 4 }),
     floor: fc.integer({ min: 0, max: 2 }),
     version: fc.constantFrom("1", "2", "3"),
     adapters: fc.subarray(["a", "b"]),
 });
-const run = fc.record({
+const runArbitrary = fc.record({
     seed: fc.nat(),
     engines: fc.integer({ min: 1, max: 7 }),
     checksFence: fc.boolean(),
     faults: fc.constantFrom(0, 0.1, 0.3),
-    declarations: fc.array(declared, { minLength: 1, maxLength: 3 }),
+    declarations: fc.array(declarationArbitrary, { minLength: 1, maxLength: 3 }),
 });
 
-type Run = typeof run extends fc.Arbitrary<infer Value> ? Value : never;
+type RunSettings = typeof runArbitrary extends fc.Arbitrary<infer Value> ? Value : never;
 
-function worldOf({ seed, engines, checksFence, faults, declarations }: Run): World {
+function worldOf({ seed, engines, checksFence, faults, declarations }: RunSettings): World {
     const rules = { ...limits, checksFence, faults };
     return new World(poolOf(declarations[0]!), engines, SeededRandomness.create(seed), rules);
 }
 
-function poolOf({ prefill, decode, floor, version, adapters }: Run["declarations"][number]) {
+function poolOf({ prefill, decode, floor, version, adapters }: RunSettings["declarations"][number]) {
     return pool({
         models: [{ name: "m", version, adapters }],
         copies: { prefill, decode },
@@ -36,9 +36,9 @@
     });
 }
 
-/** Orders cut nothing, keep the floor and the weight store's rate, and come to what is declared. */
+/** Property: orders abort no attempts, keep the floor and the limit on concurrent loads, and converge to the declaration. */
 export function declarationRuns(tally = new Tally()) {
-    return fc.property(run, settings => {
+    return fc.property(runArbitrary, settings => {
         const world = worldOf(settings);
         const holder = new Holder(world, 10);
         for (const declaration of settings.declarations) {
@@ -46,32 +46,32 @@
             world.pass(roundTime);
             playRounds(world, holder, 25);
         }
-        world.quieten();
+        world.stopFaults();
         playRounds(world, holder, 100);
-        const stuck = [...holder.state.open.values()].map(({ orderId }) => orderId);
-        expect(stuck).to.deep.equal([]);
-        expect(holder.ended.length).to.equal(holder.given.size);
+        const openOrders = [...holder.state.open.values()].map(({ orderId }) => orderId);
+        expect(openOrders).to.deep.equal([]);
+        expect(holder.completedOrders.length).to.equal(holder.issuedOrders.size);
         expect(holder.round()).to.equal(false);
         if (settings.declarations.at(-1)!.floor === 0) {
-            expect(world.isAsDeclared()).to.equal(true);
+            expect(world.matchesDeclaration()).to.equal(true);
         }
         tally.add(holder.rounds);
     });
 }
 
-/** Orders of the next holder contradict none of the last one. */
+/** Property: the orders of the next holder don't conflict with those of the previous one. */
 export function handOverRuns(tally = new Tally()) {
-    return fc.property(run, fc.integer({ min: 1, max: 25 }), (settings, handOver) => {
+    return fc.property(runArbitrary, fc.integer({ min: 1, max: 25 }), (settings, handoverRound) => {
         const world = worldOf(settings);
-        const last = new Holder(world, 10);
-        playRounds(world, last, handOver);
+        const previous = new Holder(world, 10);
+        playRounds(world, previous, handoverRound);
         world.declared = poolOf(settings.declarations.at(-1)!);
         world.pass(limits.settle + limits.orderTimeout);
         const next = new Holder(world, 20);
         playRounds(world, next, 25);
-        world.quieten();
+        world.stopFaults();
         playRounds(world, next, 100);
         expect(next.round()).to.equal(false);
-        tally.add(last.rounds + next.rounds);
+        tally.add(previous.rounds + next.rounds);
     });
 }
--- a/simulation/orders/samples.ts
+++ b/simulation/orders/samples.ts
@@ -8,17 +8,20 @@
 } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { emptyView } from "../../packages/basilpaddle/src/node/state/index.js";
 
+/** Name of the pool in sample announcements and views. */
 export const poolName = "drafting";
 
-export function pool(settings: Partial<Pool> = {}): Pool {
+/** A declared pool of one model with one prefill and two decode copies. */
+export function pool(overrides: Partial<Pool> = {}): Pool {
     return poolSchema.parse({
         models: [{ name: "m", version: "2" }],
         copies: { prefill: 1, decode: 2 },
-        ...settings,
+        ...overrides,
     });
 }
 
-export function announce(id: string, settings: Partial<Announcement> = {}): Announcement {
+/** The announcement of a decode engine. */
+export function announce(id: string, overrides: Partial<Announcement> = {}): Announcement {
     const url = "http://127.0.0.9:8000";
     return announcementSchema.parse({
         id,
@@ -27,10 +30,11 @@
         failureDomain: "hall-a",
         role: "decode",
         pool: poolName,
-        ...settings,
+        ...overrides,
     });
 }
 
+/** A view with one declared pool and its engines, which are ready unless listed in `draining`. */
 export function viewOf(declared: Pool, engines: readonly Announcement[], draining: readonly string[] = []): View {
     const view = emptyView();
     return {
--- a/simulation/orders/world.ts
+++ b/simulation/orders/world.ts
@@ -16,24 +16,28 @@
 type WorldEngine = EngineState & { announced: Announcement; draining: boolean; checksFence: boolean; };
 type Attempt = {
     readonly id: string;
-    readonly began: number;
+    readonly startedAt: number;
     readonly version: string;
-    readonly decode: string;
-    at: string;
-    until: number;
+    readonly decodeEngineId: string;
+    /** The engine where the attempt runs now. */
+    engineId: string;
+    /** When its prefill or decode ends. */
+    stageEndsAt: number;
 };
-type Late = { readonly at: number; readonly sentAt: number; readonly open: OpenOrder; readonly fence: number; };
+/** An order that takes effect at a later time. */
+type DelayedOrder = { readonly at: number; readonly sentAt: number; readonly open: OpenOrder; readonly fence: number; };
 
-/** What the model of the world may do. */
+/** Timing of the simulation in milliseconds, and its faults. */
 export type WorldRules = {
     readonly settle: number;
     readonly orderTimeout: number;
     readonly checksFence: boolean;
-    /** Chance of each fault at each chance for it. */
+    /** Probability of a fault at each point where one can occur. */
     readonly faults: number;
 };
 
-function loaded(model: EngineState["models"][number]): EngineState["models"][number] {
+/** The model with its loads completed; the same object if it isn't loading anything. */
+function completeLoad(model: EngineState["models"][number]): EngineState["models"][number] {
     if (model.phase !== "loading" && model.loadingAdapters.length === 0) {
         return model;
     }
@@ -41,27 +45,28 @@
     return { ...model, adapters, phase: "warm", loadingAdapters: [] };
 }
 
-/** A pool of engines with callers, seen by entry daemons whose view is up to a view lease old. */
+/** Simulation of a pool of engines and its callers. Entry daemons use views that are up to a view lease old. */
 export class World {
     now = 0;
     declared: Pool;
+    /** Orders that aborted attempts. */
     readonly violations: string[] = [];
     private readonly engines = new Map<string, WorldEngine>();
     private attempts: Attempt[] = [];
-    private late: Late[] = [];
+    private delayedOrders: DelayedOrder[] = [];
     private views: { readonly at: number; readonly view: View; }[] = [];
-    private begun = 0;
-    private named: string | undefined;
+    private startedAttempts = 0;
+    private namedVersion: string | undefined;
 
     constructor(declared: Pool, engines: number, private readonly random: SeededRandomness, private rules: WorldRules) {
         this.declared = declared;
         for (let n = 0; n < engines; n++) {
-            this.start(`engine-${n}`, this.random.fraction() < 0.5 ? "prefill" : "decode");
+            this.startEngine(`engine-${n}`, this.random.fraction() < 0.5 ? "prefill" : "decode");
         }
-        this.publish();
+        this.publishView();
     }
 
-    quieten(): void {
+    stopFaults(): void {
         this.rules = { ...this.rules, faults: 0 };
     }
 
@@ -73,30 +78,32 @@
         return [...this.engines.values()];
     }
 
-    /** Engines as the view has them, with a reading of now. */
-    serving(role: Role): number {
+    /** Number of engines that serve in the role, by the current view and the current state of the engines. */
+    servingCount(role: Role): number {
         const view = this.view();
-        const engines = this.observed(this.readingsNow());
+        const engines = this.observed(this.currentReadings());
         const served = new Map(this.declared.models.map(({ name }) => [name, servedVersion(view, poolName, name)]));
-        const situation = { name: poolName, declared: this.declared, engines, served, named: {} };
-        return servingCopies(situation, role);
+        const poolState = { name: poolName, declared: this.declared, engines, served, named: {} };
+        return servingCopies(poolState, role);
     }
 
-    /** Readings of engines, of which some fail. They aren't taken at one instant: an attempt that moves may be in none. */
-    readings(chance = 1 - this.rules.faults): Map<string, EngineReading> {
-        const early = this.readingsNow();
+    /** Readings of the engines, some of which fail. Taken at different times, they may all miss an attempt in transfer. */
+    readings(successProbability = 1 - this.rules.faults): Map<string, EngineReading> {
+        const earlyReadings = this.currentReadings();
         this.step();
-        const late = this.readingsNow();
-        const read = [...this.engines.keys()].filter(() => this.random.fraction() < chance);
-        return new Map(read.map(id => [id, (this.random.fraction() < 0.5 ? early : late).get(id)!]));
+        const lateReadings = this.currentReadings();
+        const readableEngines = [...this.engines.keys()].filter(() => this.random.fraction() < successProbability);
+        return new Map(
+            readableEngines.map(id => [id, (this.random.fraction() < 0.5 ? earlyReadings : lateReadings).get(id)!]),
+        );
     }
 
     drain(id: string, draining: boolean): void {
         this.engines.get(id)!.draining = draining;
-        this.publish(false);
+        this.publishView(false);
     }
 
-    /** Sends an order, which takes a while; its answer, or itself, may get lost on the way. */
+    /** Sends an order, which takes up to 8 steps. A fault loses the answer, and either delays the order or loses it as well. */
     send(open: OpenOrder, fence: number): SentOrder {
         for (let steps = this.random.integer(0, 8); steps > 0; steps--) {
             this.step();
@@ -106,57 +113,63 @@
             return { sentAt, result: this.apply({ at: sentAt, sentAt, open, fence }) };
         }
         if (this.random.fraction() < 0.7) {
-            this.late.push({ at: sentAt + this.random.fraction() * this.rules.orderTimeout, sentAt, open, fence });
+            this.delayedOrders.push({
+                at: sentAt + this.random.fraction() * this.rules.orderTimeout,
+                sentAt,
+                open,
+                fence,
+            });
         }
         return { sentAt, result: "unknown" };
     }
 
-    move(version: string): void {
-        this.named = version;
-        this.publish(false);
+    moveTraffic(version: string): void {
+        this.namedVersion = version;
+        this.publishView(false);
     }
 
-    /** Sends an order that takes effect so much later, and whose answer is lost. */
-    sendLate(open: OpenOrder, fence: number, delay: number): SentOrder {
-        this.late.push({ at: this.now + delay, sentAt: this.now, open, fence });
+    /** Sends an order that takes effect after `delay` milliseconds and whose answer is lost. */
+    sendDelayed(open: OpenOrder, fence: number, delay: number): SentOrder {
+        this.delayedOrders.push({ at: this.now + delay, sentAt: this.now, open, fence });
         return { sentAt: this.now, result: "unknown" };
     }
 
-    /** Lets time pass: callers come and go, loads end, late orders arrive, engines restart. */
+    /** Advances the time: attempts start and end, loads complete, delayed orders take effect, and engines restart. */
     pass(milliseconds: number): void {
         const until = this.now + milliseconds;
         while (this.now < until) {
             this.step();
-            this.restart();
+            this.restartEngines();
         }
-        this.publish();
+        this.publishView();
     }
 
-    /** Engines by the role that they play. */
+    /** Number of engines by actual role. */
     copies(): Pool["copies"] {
         const count = (role: Role) => [...this.engines.values()].filter(engine => engine.role === role).length;
         return { prefill: count("prefill"), decode: count("decode") };
     }
 
-    loading(): number {
-        return [...this.engines.values()].filter(({ models }) => models.some(model => loaded(model) !== model))
+    /** Number of engines with a load in progress. */
+    countLoading(): number {
+        return [...this.engines.values()].filter(({ models }) => models.some(model => completeLoad(model) !== model))
             .length;
     }
 
-    /** What a pool without faults comes to. */
-    isAsDeclared(): boolean {
-        const engines = this.observed(this.readingsNow());
-        // A pool without a pair of engines serves nothing, and keeps what it has.
-        const unserved = servedVersion(this.view(), poolName, "m") === undefined;
-        const models = engines.every(engine =>
-            (unserved || engine.reading!.state.models.length === this.declared.models.length)
+    /** Whether the pool is in a state that it must converge to without faults. */
+    matchesDeclaration(): boolean {
+        const engines = this.observed(this.currentReadings());
+        // If no pair of engines carries a version, the pool serves none and unloads nothing, so that old models may remain.
+        const isUnserved = servedVersion(this.view(), poolName, "m") === undefined;
+        const hasDeclaredModels = engines.every(engine =>
+            (isUnserved || engine.reading!.state.models.length === this.declared.models.length)
             && this.declared.models.every(({ name, version, adapters }) => isWarm(engine, name, version, adapters))
         );
         const count = (role: Role) => engines.filter(({ reading }) => reading!.state.role === role).length;
         const { copies } = this.declared;
-        const short = copies.prefill > count("prefill") && copies.decode < count("decode")
+        const needsRoleChange = copies.prefill > count("prefill") && copies.decode < count("decode")
             || copies.decode > count("decode") && copies.prefill < count("prefill");
-        return models && !short && engines.every(({ state }) => state === "ready");
+        return hasDeclaredModels && !needsRoleChange && engines.every(({ state }) => state === "ready");
     }
 
     private observed(readings: ReadonlyMap<string, EngineReading>) {
@@ -164,7 +177,7 @@
             .map(({ announcement, state }) => ({ announcement, state, reading: readings.get(announcement.id) }));
     }
 
-    private apply({ open, fence, sentAt }: Late): OrderSendResult {
+    private apply({ open, fence, sentAt }: DelayedOrder): OrderSendResult {
         const engine = this.engines.get(open.engine)!;
         if (engine.incarnation !== open.incarnation || this.random.fraction() < this.rules.faults / 4) {
             return "failed";
@@ -173,105 +186,116 @@
             return "refused";
         }
         engine.highestFence = Math.max(engine.highestFence, fence);
-        return this.carryOut(engine, open.order, sentAt);
+        return this.execute(engine, open.order, sentAt);
     }
 
-    private carryOut(engine: WorldEngine, order: Order, sentAt: number): OrderSendResult {
+    private execute(engine: WorldEngine, order: Order, sentAt: number): OrderSendResult {
         if (order.action === "changeRole") {
-            this.cut(engine, order, () => true);
+            this.recordAborted(engine, order, () => true);
             engine.role = order.role;
             return "done";
         }
         const others = engine.models.filter(({ name, version }) => name !== order.model || version !== order.version);
         if (order.action === "unload") {
-            this.cut(engine, order, ({ version, began }) => version === order.version && began < sentAt);
+            this.recordAborted(
+                engine,
+                order,
+                ({ version, startedAt }) => version === order.version && startedAt < sentAt,
+            );
             engine.models = others;
             return "done";
         }
         const { model: name, version, adapters } = order;
-        const present = engine.models.find(model => model.name === name && model.version === version);
-        engine.models = present?.phase === "warm"
-            ? [...others, { ...present, loadingAdapters: adapters }]
+        const existing = engine.models.find(model => model.name === name && model.version === version);
+        engine.models = existing?.phase === "warm"
+            ? [...others, { ...existing, loadingAdapters: adapters }]
             : [...others, { name, version, adapters, phase: "loading", loadingAdapters: [] }];
         return "started";
     }
 
-    private cut(engine: WorldEngine, order: Order, isCut: (attempt: Attempt) => boolean): void {
-        const cut = this.attempts.filter(attempt => attempt.at === engine.id && isCut(attempt));
-        if (cut.length > 0) {
+    private recordAborted(engine: WorldEngine, order: Order, isAborted: (attempt: Attempt) => boolean): void {
+        const aborted = this.attempts.filter(attempt => attempt.engineId === engine.id && isAborted(attempt));
+        if (aborted.length > 0) {
             this.violations.push(
-                `${order.action} at ${engine.id} cut ${cut.map(({ id }) => id).join()} at ${this.now}`,
+                `${order.action} at ${engine.id} aborted ${aborted.map(({ id }) => id).join()} at ${this.now}`,
             );
         }
     }
 
     private step(): void {
         this.now += 100;
-        this.arrive();
+        this.applyDelayedOrders();
         this.moveAttempts();
-        this.begin();
+        this.startAttempt();
         for (const engine of this.engines.values()) {
-            engine.models = engine.models.map(model => this.random.fraction() < 0.1 ? loaded(model) : model);
+            engine.models = engine.models.map(model => this.random.fraction() < 0.1 ? completeLoad(model) : model);
         }
     }
 
-    private arrive(): void {
-        for (const late of this.late.filter(({ at }) => at <= this.now)) {
-            this.apply(late);
+    private applyDelayedOrders(): void {
+        for (const delayed of this.delayedOrders.filter(({ at }) => at <= this.now)) {
+            this.apply(delayed);
         }
-        this.late = this.late.filter(({ at }) => at > this.now);
+        this.delayedOrders = this.delayedOrders.filter(({ at }) => at > this.now);
     }
 
-    /** An attempt goes from its prefill engine to its decode engine, unless that proves that it doesn't take it. */
+    /** Moves attempts from their prefill to their decode engine, and ends those that have finished or that it can't run. */
     private moveAttempts(): void {
-        for (const attempt of this.attempts.filter(({ until }) => until <= this.now)) {
-            const decode = this.engines.get(attempt.decode)!;
-            const takes = decode.role === "decode" && this.has(decode, attempt.version);
-            if (attempt.at === attempt.decode || !takes) {
+        for (const attempt of this.attempts.filter(({ stageEndsAt }) => stageEndsAt <= this.now)) {
+            const decode = this.engines.get(attempt.decodeEngineId)!;
+            const accepts = decode.role === "decode" && this.hasWarm(decode, attempt.version);
+            if (attempt.engineId === attempt.decodeEngineId || !accepts) {
                 this.attempts.splice(this.attempts.indexOf(attempt), 1);
                 continue;
             }
-            attempt.at = attempt.decode;
-            attempt.until = this.now + this.random.integer(200, 6_000);
+            attempt.engineId = attempt.decodeEngineId;
+            attempt.stageEndsAt = this.now + this.random.integer(200, 6_000);
         }
     }
 
-    /** An entry daemon begins an attempt by a view that may be almost a view lease old. */
-    private begin(): void {
-        const oldest = this.now - this.rules.settle * this.random.fraction();
-        const { view } = this.views.findLast(({ at }) => at <= oldest) ?? this.views[0]!;
+    /** Starts an attempt with engines from a view that may be almost a view lease old, as an entry daemon may. */
+    private startAttempt(): void {
+        const viewTime = this.now - this.rules.settle * this.random.fraction();
+        const { view } = this.views.findLast(({ at }) => at <= viewTime) ?? this.views[0]!;
         const version = servedVersion(view, poolName, "m");
-        const choose = (role: Role) => {
-            const able = Object.values(view.backends).filter(({ announcement, state }) =>
+        const selectEngine = (role: Role) => {
+            const candidates = Object.values(view.backends).filter(({ announcement, state }) =>
                 state === "ready" && announcement.role === role
                 && announcement.models.some(model => model.version === version)
             );
-            const chosen = able[this.random.integer(0, Math.max(0, able.length - 1))];
-            return chosen === undefined ? undefined : this.engines.get(chosen.announcement.id);
+            const selected = candidates[this.random.integer(0, Math.max(0, candidates.length - 1))];
+            return selected === undefined ? undefined : this.engines.get(selected.announcement.id);
         };
-        const [prefill, decode] = [choose("prefill"), choose("decode")];
+        const [prefill, decode] = [selectEngine("prefill"), selectEngine("decode")];
         if (version === undefined || prefill === undefined || decode === undefined) {
             return;
         }
-        if (prefill.role === "prefill" && this.has(prefill, version)) {
-            this.begun += 1;
-            const until = this.now + this.random.integer(100, 1_000);
-            const id = `attempt-${this.begun}`;
-            this.attempts.push({ id, began: this.now, version, decode: decode.id, at: prefill.id, until });
+        if (prefill.role === "prefill" && this.hasWarm(prefill, version)) {
+            this.startedAttempts += 1;
+            const stageEndsAt = this.now + this.random.integer(100, 1_000);
+            const id = `attempt-${this.startedAttempts}`;
+            this.attempts.push({
+                id,
+                startedAt: this.now,
+                version,
+                decodeEngineId: decode.id,
+                engineId: prefill.id,
+                stageEndsAt,
+            });
         }
     }
 
-    private restart(): void {
+    private restartEngines(): void {
         for (const engine of this.engines.values()) {
             if (this.random.fraction() < this.rules.faults / 100) {
-                this.attempts = this.attempts.filter(({ at }) => at !== engine.id);
-                this.late = this.late.filter(({ open }) => open.engine !== engine.id);
-                this.start(engine.id, engine.role, engine.incarnation + 1);
+                this.attempts = this.attempts.filter(({ engineId }) => engineId !== engine.id);
+                this.delayedOrders = this.delayedOrders.filter(({ open }) => open.engine !== engine.id);
+                this.startEngine(engine.id, engine.role, engine.incarnation + 1);
             }
         }
     }
 
-    private start(id: string, role: Role, incarnation = 1): void {
+    private startEngine(id: string, role: Role, incarnation = 1): void {
         const models = [{ name: "m", version: "1", adapters: [], phase: "warm" as const, loadingAdapters: [] }];
         const { checksFence } = this.rules;
         const announced = announce(id, { role, incarnation });
@@ -279,11 +303,11 @@
         this.engines.set(id, { ...state, announced, draining: false, checksFence });
     }
 
-    private has(engine: WorldEngine, wanted: string): boolean {
-        return engine.models.some(({ version, phase }) => version === wanted && phase === "warm");
+    private hasWarm(engine: WorldEngine, wantedVersion: string): boolean {
+        return engine.models.some(({ version, phase }) => version === wantedVersion && phase === "warm");
     }
 
-    private readingsNow(): Map<string, EngineReading> {
+    private currentReadings(): Map<string, EngineReading> {
         const { now } = this;
         return new Map([...this.engines.values()].map(engine => [
             engine.id,
@@ -293,13 +317,13 @@
 
     private stateOf(engine: WorldEngine): EngineState {
         const { id, incarnation, role, models, highestFence } = engine;
-        const active = this.attempts.filter(({ at }) => at === id).map(attempt => attempt.id);
+        const active = this.attempts.filter(({ engineId }) => engineId === id).map(attempt => attempt.id);
         return { id, incarnation, role, models, highestFence, active };
     }
 
-    /** Engines announce what has changed, sooner or later; the view takes it in. */
-    private publish(announcing = true): void {
-        for (const engine of announcing ? this.engines.values() : []) {
+    /** Publishes a new view. Engines announce their changes in it; a fault delays that, except after a restart. */
+    private publishView(includeAnnouncements = true): void {
+        for (const engine of includeAnnouncements ? this.engines.values() : []) {
             const { incarnation, role, id } = engine;
             if (incarnation !== engine.announced.incarnation || this.random.fraction() >= this.rules.faults) {
                 const models = engine.models.filter(({ phase }) => phase === "warm");
@@ -309,8 +333,8 @@
         }
         const draining = [...this.engines.values()].filter(engine => engine.draining).map(({ id }) => id);
         const view = viewOf(this.declared, [...this.engines.values()].map(({ announced }) => announced), draining);
-        const named: Record<string, string> = this.named === undefined ? {} : { m: this.named };
+        const named: Record<string, string> = this.namedVersion === undefined ? {} : { m: this.namedVersion };
         this.views.push({ at: this.now, view: { ...view, served: { [poolName]: named } } });
-        this.views = this.views.filter(({ at }, place) => at >= this.now - 30_000 || place === this.views.length - 1);
+        this.views = this.views.filter(({ at }, index) => at >= this.now - 30_000 || index === this.views.length - 1);
     }
 }
