--- a/simulation/checkedFile.ts
+++ b/simulation/checkedFile.ts
@@ -3,7 +3,7 @@
 import type { z } from "zod";
 import { type Finding, findingsFromZodError } from "../packages/basilpaddle/src/node/protocol/index.js";
 
-/** Reads a JSON file that a person wrote and checks it against a schema; gives all that is wrong with it. */
+/** Reads a JSON file and validates it against a schema; returns all findings if the file is unreadable or invalid. */
 export function readCheckedFile<T>(file: string, schema: z.ZodType<T>): Either<readonly Finding[], T> {
     let content: unknown;
     try {
--- a/simulation/main.ts
+++ b/simulation/main.ts
@@ -1,5 +1,5 @@
-// Plays random runs for as long as it is told, and says how many runs and steps it made. A batch that fails is named with
-// its seed, and the others go on.
+// Executes batches of random runs for the given time and prints the number of runs and steps. A failed batch is reported with
+// its seed and ends the runs of its subject; the other subjects still run.
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
 import { type Subject, Tally } from "./subject.js";
@@ -10,37 +10,41 @@
     .option("subject", {
         choices: ["all", ...subjects.map(({ name }) => name)],
         default: "all",
-        describe: "what to drive",
+        describe: "subject to test",
     })
     .option("seconds", {
         type: "number",
         default: 60,
-        describe: "how long to go on with each subject; 0 plays one batch",
+        describe: "time to spend on each subject; 0 runs a single batch",
     })
-    .option("seed", { type: "number", default: 1, describe: "seed of the first batch of runs; later ones count up" })
-    .option("shrink", { type: "boolean", default: true, describe: "look for the smallest run that fails" })
+    .option("seed", {
+        type: "number",
+        default: 1,
+        describe: "seed of the first batch; each further batch increments it",
+    })
+    .option("shrink", { type: "boolean", default: true, describe: "shrink a failing run to a minimal one" })
     .strict()
     .parse();
 
-let playing = { name: "", seed: options.seed };
+let currentBatch = { name: "", seed: options.seed };
 
 function reportFailure(error: unknown): void {
-    const { name, seed } = playing;
+    const { name, seed } = currentBatch;
     console.error(`${name}: seed ${seed} FAILED`, error);
-    console.error(`repeat it: npm run random-runs -- --subject ${name} --seed ${seed} --seconds 0`);
+    console.error(`reproduce with: npm run random-runs -- --subject ${name} --seed ${seed} --seconds 0`);
     process.exitCode = 1;
 }
 
-/** Plays batches until the time is over or one fails. */
-async function play(subject: Subject): Promise<void> {
+/** Executes batches until the time is over or one fails. */
+async function runSubject(subject: Subject): Promise<void> {
     const total = new Tally();
     const end = performance.now() + options.seconds * 1_000;
     let seed = options.seed;
     do {
-        playing = { name: subject.name, seed };
+        currentBatch = { name: subject.name, seed };
         const batch = new Tally();
         try {
-            await subject.play(seed, batch, options.shrink);
+            await subject.runBatch(seed, batch, options.shrink);
         }
         catch (error) {
             reportFailure(error);
@@ -50,14 +54,16 @@
         total.merge(batch);
         seed += 1;
     } while (performance.now() < end);
-    console.log(`${subject.name}: ${total.describe()}, seeds ${options.seed} to ${seed - 1}: every promise was kept`);
+    console.log(
+        `${subject.name}: ${total.describe()}, seeds ${options.seed} to ${seed - 1}: no invariant was violated`,
+    );
 }
 
-// What is thrown outside of a run's own promises would end the process without a word of the seed.
+// An exception outside of the awaited promises of a run would end the process without reporting the seed.
 process.on("uncaughtException", error => {
     reportFailure(error);
     process.exit(1);
 });
 for (const subject of subjects.filter(({ name }) => options.subject === "all" || options.subject === name)) {
-    await play(subject);
+    await runSubject(subject);
 }
--- a/simulation/manualClock.ts
+++ b/simulation/manualClock.ts
@@ -1,7 +1,7 @@
 import { setImmediate } from "node:timers/promises";
 import { Clock } from "../packages/basilpaddle/src/node/utils/index.js";
 
-/** A clock that goes on when it is told. */
+/** A clock for tests that advances only when told to; its wall time equals its monotonic time. */
 export class ManualClock extends Clock {
     private timers: { readonly at: number; readonly callback: () => void; }[] = [];
 
@@ -25,7 +25,7 @@
         };
     }
 
-    /** Lets time pass, timer by timer, and whatever follows from it come to rest. */
+    /** Advances the time and runs the timers that are due, in order. Promises settle before each timer and at the end. */
     async pass(milliseconds: number): Promise<void> {
         const until = this.now + milliseconds;
         for (;;) {
@@ -42,13 +42,13 @@
         await rest();
     }
 
-    /** Time passes while the process is stopped: no timer runs. */
+    /** Advances the time without running timers, as if the process were suspended. */
     freeze(milliseconds: number): void {
         this.now += milliseconds;
     }
 }
 
-/** Lets everything run that waits for nothing but promises. */
+/** Runs all code that waits only for promises: five turns of the event loop. */
 export async function rest(): Promise<void> {
     for (let turn = 0; turn < 5; turn++) {
         await setImmediate();
--- a/simulation/subject.ts
+++ b/simulation/subject.ts
@@ -1,77 +1,78 @@
 import * as fc from "fast-check";
 
-/** What was played so far. */
+/** Counts of the runs so far. */
 export class Tally {
     runs = 0;
     steps = 0;
     private readonly counts = new Map<string, number>();
 
-    /** Counts a run that ended well, with its steps. */
+    /** Counts a successful run and its steps. */
     add(steps: number): void {
         this.runs += 1;
         this.steps += steps;
     }
 
-    /** Counts something that only this subject has. */
+    /** Increments a counter that is specific to the subject. */
     note(name: string, count: number): void {
         this.counts.set(name, this.noted(name) + count);
     }
 
+    /** Value of a counter that is specific to the subject; 0 if it was never incremented. */
     noted(name: string): number {
         return this.counts.get(name) ?? 0;
     }
 
-    /** Takes in the counts of a batch that ended well. */
+    /** Adds the counts of a successful batch. */
     merge(batch: Tally): void {
         this.runs += batch.runs;
         this.steps += batch.steps;
         batch.counts.forEach((count, name) => this.note(name, count));
     }
 
-    /** All counts in one line. */
+    /** Formats all counts on one line. */
     describe(): string {
-        const more = [...this.counts].map(([name, count]) => `, ${name} ${Math.round(count)}`);
-        return `${this.runs} runs, ${this.steps} steps${more.join("")}`;
+        const otherCounts = [...this.counts].map(([name, count]) => `, ${name} ${Math.round(count)}`);
+        return `${this.runs} runs, ${this.steps} steps${otherCounts.join("")}`;
     }
 }
 
-/** Something of the project that random runs drive. */
+/** A part of the project that is tested by random runs. */
 export abstract class Subject {
     abstract readonly name: string;
 
-    /** Plays a batch of runs that follow from the seed, and throws what broke a promise. */
-    abstract play(seed: number, tally: Tally, shrink: boolean): Promise<void>;
+    /** Executes a batch of runs that are derived from the seed. @throws Error if a run violates an invariant */
+    abstract runBatch(seed: number, tally: Tally, shrink: boolean): Promise<void>;
 }
 
-/** Runs that fast-check draws and shrinks. */
-export type DrawnRuns = {
+/** Runs of a fast-check property. */
+export type PropertyRuns = {
     readonly check: (parameters: fc.Parameters<unknown>) => Promise<void>;
-    /** Runs in a batch. */
+    /** Number of runs in a batch. */
     readonly count: number;
 };
 
-/** A subject whose runs are drawn from properties; its tests play the same ones with fixed seeds. */
-export class DrawnSubject extends Subject {
+/** A subject that is tested by fast-check properties. Its unit tests check the same properties with fixed seeds. */
+export class PropertySubject extends Subject {
     private constructor(
         override readonly name: string,
-        private readonly runsOf: (tally: Tally) => readonly DrawnRuns[],
+        private readonly propertyRunsOf: (tally: Tally) => readonly PropertyRuns[],
     ) {
         super();
     }
 
-    static create(name: string, runsOf: (tally: Tally) => readonly DrawnRuns[]): DrawnSubject {
-        return new DrawnSubject(name, runsOf);
+    static create(name: string, propertyRunsOf: (tally: Tally) => readonly PropertyRuns[]): PropertySubject {
+        return new PropertySubject(name, propertyRunsOf);
     }
 
-    override async play(seed: number, tally: Tally, shrink: boolean): Promise<void> {
-        for (const { check, count } of this.runsOf(tally)) {
+    override async runBatch(seed: number, tally: Tally, shrink: boolean): Promise<void> {
+        for (const { check, count } of this.propertyRunsOf(tally)) {
             await check({ seed, numRuns: count, endOnFailure: !shrink });
         }
     }
 }
 
-/** Draws so many runs of a property in a batch. */
-export function drawn<Input>(property: fc.IRawProperty<Input>, count: number): DrawnRuns {
+/** A batch of `count` runs of a property. */
+export function propertyRuns<Input>(property: fc.IRawProperty<Input>, count: number): PropertyRuns {
     return {
         count,
         check: async parameters => {
--- a/simulation/until.ts
+++ b/simulation/until.ts
@@ -1,9 +1,9 @@
-/** Waits until the condition holds; a failure says which it was. */
-export async function until(name: string, condition: () => boolean): Promise<void> {
-    const end = Date.now() + 20_000;
+/** Polls until the condition holds. @throws Error after 20 seconds, with the description of the condition */
+export async function until(description: string, condition: () => boolean): Promise<void> {
+    const deadline = Date.now() + 20_000;
     while (!condition()) {
-        if (Date.now() > end) {
-            throw new Error(`never came true: ${name}`);
+        if (Date.now() > deadline) {
+            throw new Error(`Timed out after 20 seconds waiting for: ${description}`);
         }
         await new Promise(resolve => setTimeout(resolve, 2));
     }
