--- a/simulation/experiment/difference.ts
+++ b/simulation/experiment/difference.ts
@@ -17,7 +17,7 @@
     readonly isSeen: boolean;
 };
 
-/** Compares the values of two variants, paired by seed. @throws Error if the variants have different numbers of values, or none */
+/** Compares the values of two variants, paired by seed. @throws Error if their numbers of values differ or are zero */
 export function differenceOf(before: readonly number[], after: readonly number[]): Difference {
     if (before.length !== after.length || before.length === 0) {
         throw new Error("a paired difference requires the same number of values for both variants, and at least one");
