--- a/simulation/control/cuttableNetwork.ts
+++ b/simulation/control/cuttableNetwork.ts
@@ -15,12 +15,12 @@
     private readonly network = TcpNetwork.create(createSilentLogger());
 
     /** `ownPort` is the port of this daemon in the topology. 0 for a daemon that is never isolated itself. */
-    constructor(private readonly wiring: NetworkTopology, private readonly ownPort: number) {
+    constructor(private readonly topology: NetworkTopology, private readonly ownPort: number) {
         super();
     }
 
     override link(address: { readonly host: string; readonly port: number; }): Link {
-        return new PartitionableLink(this.wiring, this.ownPort, address, this.network);
+        return new PartitionableLink(this.topology, this.ownPort, address, this.network);
     }
 }
 
@@ -28,7 +28,7 @@
     private inner: { readonly port: number; readonly link: Link; } | undefined;
 
     constructor(
-        private readonly wiring: NetworkTopology,
+        private readonly topology: NetworkTopology,
         private readonly ownPort: number,
         private readonly address: { readonly host: string; readonly port: number; },
         private readonly network: Network,
@@ -55,11 +55,11 @@
     }
 
     private isPartitioned(): boolean {
-        return this.wiring.cutOff.has(this.ownPort) || this.wiring.cutOff.has(this.address.port);
+        return this.topology.cutOff.has(this.ownPort) || this.topology.cutOff.has(this.address.port);
     }
 
     private link(): Link {
-        const port = this.wiring.actualPorts.get(this.address.port) ?? this.address.port;
+        const port = this.topology.actualPorts.get(this.address.port) ?? this.address.port;
         if (this.inner?.port !== port) {
             this.inner?.link.close();
             this.inner = { port, link: this.network.link({ host: this.address.host, port }) };
