--- a/simulation/agreement/checks.ts
+++ b/simulation/agreement/checks.ts
@@ -25,8 +25,11 @@
             `entry ${entry.index} was applied after entry ${previousIndex}`,
         );
         const content = `${entry.term} ${entry.kind} ${Buffer.from(entry.data).toString("hex")}`;
-        const known = this.committed.get(entry.index) ?? content;
-        assertInvariant(known === content, `entry ${entry.index} was applied as ${content}, but before as ${known}`);
+        const expectedContent = this.committed.get(entry.index) ?? content;
+        assertInvariant(
+            expectedContent === content,
+            `entry ${entry.index} was applied as ${content}, but before as ${expectedContent}`,
+        );
         this.committed.set(entry.index, content);
         this.highestApplied = Math.max(this.highestApplied, entry.index);
     }
@@ -64,11 +67,11 @@
         const vote = message.kind === "voteAnswer" && message.granted && !message.trial;
         const candidacy = message.kind === "requestVote" && !message.trial;
         if (vote || candidacy) {
-            this.voted(identity, message.term, vote ? to : identity, durable);
+            this.checkVote(identity, message.term, vote ? to : identity, durable);
         }
     }
 
-    private voted(identity: string, term: number, choice: string, durable: DurableState): void {
+    private checkVote(identity: string, term: number, choice: string, durable: DurableState): void {
         const ballot = durable.records.findLast(record => record.kind === "ballot");
         const synced = ballot !== undefined
             && (ballot.term > term || (ballot.term === term && ballot.vote === choice));
--- a/simulation/agreement/fault.ts
+++ b/simulation/agreement/fault.ts
@@ -3,11 +3,11 @@
 const kinds = [
     "kill",
     "loseDisk",
-    "bringBackDisk",
+    "reattachDisk",
     "cut",
     "isolate",
     "freeze",
-    "roughNetwork",
+    "degradedNetwork",
     "slowDisk",
     "handOver",
 ] as const;
@@ -32,7 +32,7 @@
 );
 
 /** Arbitrary for runs: the seed, the number of hosts, and the faults. */
-export const runs = fc.record({
+export const runArbitrary = fc.record({
     seed: fc.integer({ min: 1, max: 0x7fff_ffff }),
     size: fc.constantFrom(3, 3, 5),
     faults: fc.array(
--- a/simulation/agreement/host.ts
+++ b/simulation/agreement/host.ts
@@ -32,7 +32,7 @@
 export type HostEnvironment = {
     readonly now: () => number;
     readonly send: (from: Host, to: string, message: Extract<Effect, { kind: "send"; }>["message"]) => void;
-    readonly written: (host: Host, process: Process, write: Write) => void;
+    readonly onWriteRequested: (host: Host, process: Process, write: Write) => void;
 };
 
 /** A host with its disk, and a process while it runs. */
@@ -55,7 +55,7 @@
         private readonly names: readonly string[],
         private readonly checks: InvariantChecker,
         private readonly randomness: Randomness,
-        private readonly surroundings: HostEnvironment,
+        private readonly environment: HostEnvironment,
     ) {
         this.identity = `${name}#test`;
         this.durable = emptyDisk(this.identity, { voters: names.map(other => `${other}#test`), learners: [] });
@@ -79,12 +79,12 @@
         const peers = (): string[] => names.filter(other => other !== this.name);
         const options = { identity, peers, timing, randomness, chunkBytes, batchEntries };
         const state = AgreementState.create(options, recovered, this.clock());
-        const restored = recovered.snapshot === undefined ? "" : digestOf(recovered.snapshot.data);
+        const restoredDigest = recovered.snapshot === undefined ? "" : digestOf(recovered.snapshot.data);
         this.process = {
             state,
-            startedAt: this.surroundings.now(),
+            startedAt: this.environment.now(),
             applied: state.committed,
-            digest: restored,
+            digest: restoredDigest,
             confirmations: new Map(),
         };
     }
@@ -143,7 +143,7 @@
 
     /** The current time of this host's clock. */
     clock(): number {
-        return this.surroundings.now() + this.clockOffset;
+        return this.environment.now() + this.clockOffset;
     }
 
     /** Converts a time of this host's clock to simulated time. */
@@ -156,7 +156,7 @@
             case "write":
             case "save":
                 this.pending.push(effect);
-                this.surroundings.written(this, process, effect);
+                this.environment.onWriteRequested(this, process, effect);
                 return;
             case "restore":
                 assertInvariant(
@@ -169,7 +169,7 @@
                 return;
             case "send":
                 this.check(process, effect);
-                this.surroundings.send(this, effect.to, effect.message);
+                this.environment.send(this, effect.to, effect.message);
                 return;
             case "apply":
                 for (const entry of effect.entries) {
@@ -181,7 +181,7 @@
                 return;
             case "leadership":
                 if (effect.leading) {
-                    this.checks.becameLeader(this.identity, process.state.term, this.surroundings.now());
+                    this.checks.becameLeader(this.identity, process.state.term, this.environment.now());
                 }
                 return;
             case "confirmed": {
@@ -199,7 +199,7 @@
 
     private check(process: Process, effect: Extract<Effect, { kind: "send"; }>): void {
         this.checks.sent(this.identity, effect.to, effect.message, this.durable);
-        const age = this.surroundings.now() - process.startedAt;
+        const age = this.environment.now() - process.startedAt;
         assertInvariant(age >= 2 * timing.electionTimeout, `${this.identity} sends messages ${age} ms after its start`);
     }
 
--- a/simulation/agreement/runs.ts
+++ b/simulation/agreement/runs.ts
@@ -1,11 +1,11 @@
 import * as fc from "fast-check";
 import { Tally } from "../subject.js";
-import { type Run, runs } from "./fault.js";
+import { type Run, runArbitrary } from "./fault.js";
 import { World } from "./world.js";
 
 /** Property: the agreement protocol keeps its invariants under random faults, and the group recovers afterwards. */
 export function agreementProperty(tally = new Tally()): ReturnType<typeof fc.property<[Run]>> {
-    return fc.property(runs, ({ seed, size, faults }) => {
+    return fc.property(runArbitrary, ({ seed, size, faults }) => {
         tally.add(World.create(seed, size).run(faults));
     });
 }
--- a/simulation/agreement/world.ts
+++ b/simulation/agreement/world.ts
@@ -37,7 +37,7 @@
                     const identity = from.identity;
                     this.deliver(from.name, nameOf(to), () => ({ kind: "message", from: identity, message }), to);
                 },
-                written: (host, process) => this.scheduleDiskWrite(host, process),
+                onWriteRequested: (host, process) => this.scheduleDiskWrite(host, process),
             });
         });
     }
@@ -104,13 +104,13 @@
     }
 
     private scheduleTick(host: Host, process: Process): void {
-        const due = Math.max(host.simulatedTime(nextTickAt(process.state)), this.now + 1);
-        if (due >= (this.tickTimes.get(process) ?? Number.POSITIVE_INFINITY)) {
+        const dueAt = Math.max(host.simulatedTime(nextTickAt(process.state)), this.now + 1);
+        if (dueAt >= (this.tickTimes.get(process) ?? Number.POSITIVE_INFINITY)) {
             return;
         }
-        this.tickTimes.set(process, due);
-        this.at(due, () => {
-            if (this.tickTimes.get(process) === due) {
+        this.tickTimes.set(process, dueAt);
+        this.at(dueAt, () => {
+            if (this.tickTimes.get(process) === dueAt) {
                 this.tickTimes.delete(process);
                 this.handle(host, process, () => ({ kind: "tick" }));
             }
@@ -136,8 +136,8 @@
     }
 
     private scheduleDiskWrite(host: Host, process: Process): void {
-        const slow = this.now < host.slowDiskUntil ? 300 : 2;
-        host.diskIdleAt = Math.max(host.diskIdleAt, this.now) + 0.1 + this.randomness.fraction() * slow;
+        const maxWriteMilliseconds = this.now < host.slowDiskUntil ? 300 : 2;
+        host.diskIdleAt = Math.max(host.diskIdleAt, this.now) + 0.1 + this.randomness.fraction() * maxWriteMilliseconds;
         this.at(host.diskIdleAt, () => {
             if (host.process === process) {
                 const { write } = host.completeWrite();
@@ -189,7 +189,7 @@
                     this.at(until, () => this.start(host));
                 }
                 return;
-            case "bringBackDisk":
+            case "reattachDisk":
                 if (host.detachedDisk !== undefined && this.canTolerateDiskLoss(host)) {
                     host.reattachDisk();
                     this.at(until, () => this.start(host));
@@ -207,7 +207,7 @@
             case "freeze":
                 host.frozenUntil = Math.max(host.frozenUntil, until);
                 return;
-            case "roughNetwork":
+            case "degradedNetwork":
                 this.degradedUntil = Math.max(this.degradedUntil, until);
                 return;
             case "slowDisk":
@@ -269,12 +269,12 @@
 
     private isRecovered(): boolean {
         const identities = this.hosts.map(host => host.identity);
-        const leads = this.hosts.some(host => host.process?.state.leadership !== undefined);
-        return leads && this.hosts.every(host => {
+        const hasLeader = this.hosts.some(host => host.process?.state.leadership !== undefined);
+        return hasLeader && this.hosts.every(host => {
             const { state, applied } = host.process!;
             const voters = state.log.membership.voters;
-            const complete = voters.length === identities.length && identities.every(each => voters.includes(each));
-            return complete && applied >= this.checks.highestApplied - maxLagEntries;
+            const hasAllVoters = voters.length === identities.length && identities.every(each => voters.includes(each));
+            return hasAllVoters && applied >= this.checks.highestApplied - maxLagEntries;
         });
     }
 
