--- a/simulation/places/__tests__/randomDays.spec.ts
+++ b/simulation/places/__tests__/randomDays.spec.ts
@@ -51,14 +51,14 @@
 describe("random simulated days", function() {
     this.timeout(120_000);
 
-    it("leave no grant held and no request waiting, and end every request with exactly one result", () => {
+    it("end with no allocation and no waiting request, and every request has exactly one result", () => {
         fc.assert(
             fc.property(days, fc.integer({ min: 1, max: 1_000 }), (day, seed) => {
                 const simulation = DaySimulation.create(day, seed);
                 for (let now = 0; now < length + settleMilliseconds; now += tickMilliseconds) {
                     simulation.advanceTo(now);
                 }
-                expect(simulation.status()).to.deep.equal({ waiting: 0, held: 0, mostHeldTokens: 0 });
+                expect(simulation.status()).to.deep.equal({ waiting: 0, allocated: 0, maxAllocatedTokens: 0 });
                 const { requests, inTime, late, unserved, lost } = simulation.outcome();
                 expect(inTime + late + unserved + lost).to.be.closeTo(requests === 0 ? 0 : 1, 1e-9);
             }),
@@ -69,9 +69,11 @@
     it("earn less worth with engine crashes than without", () => {
         fc.assert(
             fc.property(fc.integer({ min: 1, max: 1_000 }), seed => {
-                const calm = bundledDay("celeste");
+                const dayWithoutFaults = bundledDay("celeste");
                 const faults = [{ kind: "crash" as const, at: 3_000, lasts: 4_000, part: 0.6 }];
-                expect(simulateDay({ ...calm, faults }, seed).worth).to.be.below(simulateDay(calm, seed).worth);
+                expect(simulateDay({ ...dayWithoutFaults, faults }, seed).worth).to.be.below(
+                    simulateDay(dayWithoutFaults, seed).worth,
+                );
             }),
             { numRuns: 5, seed: 7 },
         );
--- a/simulation/places/daySimulation.ts
+++ b/simulation/places/daySimulation.ts
@@ -110,13 +110,13 @@
         this.placementQueues.forEach(queue => this.handleDecisions(queue.review(now), now));
     }
 
-    /** Waiting and granted requests of all placement queues, and the most tokens granted at one engine by one queue. */
-    status(): { readonly waiting: number; readonly held: number; readonly mostHeldTokens: number; } {
+    /** Number of waiting requests and of allocations of all placement queues, and the most tokens allocated at one engine by one queue. */
+    status(): { readonly waiting: number; readonly allocated: number; readonly maxAllocatedTokens: number; } {
         const statuses = this.placementQueues.map(queue => queue.counts());
         return {
             waiting: statuses.reduce((sum, { waiting }) => sum + waiting, 0),
-            held: statuses.reduce((sum, { held }) => sum + held, 0),
-            mostHeldTokens: Math.max(0, ...statuses.flatMap(({ heldTokens }) => [...heldTokens.values()])),
+            allocated: statuses.reduce((sum, { held }) => sum + held, 0),
+            maxAllocatedTokens: Math.max(0, ...statuses.flatMap(({ heldTokens }) => [...heldTokens.values()])),
         };
     }
 
--- a/simulation/places/workload.ts
+++ b/simulation/places/workload.ts
@@ -46,9 +46,9 @@
         + (1 - fixedWorthFraction) * size / (workload.promptTokens + answerTokenWeight * workload.answerTokens);
 }
 
-function logNormalSample(random: Randomness, mean: number, deviation: number, maximum: number): number {
+function logNormalSample(random: Randomness, mean: number, deviation: number, maxValue: number): number {
     const sample = mean * Math.exp(deviation * standardNormalSample(random) - deviation * deviation / 2);
-    return Math.max(1, Math.round(Math.min(maximum, sample)));
+    return Math.max(1, Math.round(Math.min(maxValue, sample)));
 }
 
 function standardNormalSample(random: Randomness): number {
