--- a/simulation/quarantine/__tests__/crashSimulation.spec.ts
+++ b/simulation/quarantine/__tests__/crashSimulation.spec.ts
@@ -27,12 +27,12 @@
 // runs started, and was quarantined for ten minutes: its log line `request` had `heldBack` with three servers. Every crash had
 // the same weight, regardless of the progress of the run.
 describe("requests that are only affected by crashes", () => {
-    for (const [pattern, maximum] of [["single", 0], ["third", 0.001], ["rolling", 0.001]] as const) {
+    for (const [pattern, maxFraction] of [["single", 0], ["third", 0.001], ["rolling", 0.001]] as const) {
         it(`are hardly ever quarantined when engines crash independently of requests: ${pattern}`, function() {
             this.timeout(30_000);
             const outcomes = simulateSeeds(pattern, 0);
             expect(Math.max(...outcomes.map(({ affected }) => affected))).to.be.greaterThan(0);
-            expect(wronglyQuarantinedFraction(outcomes)).to.be.at.most(maximum);
+            expect(wronglyQuarantinedFraction(outcomes)).to.be.at.most(maxFraction);
         });
     }
 
--- a/simulation/quarantine/crashSimulation.ts
+++ b/simulation/quarantine/crashSimulation.ts
@@ -194,15 +194,15 @@
 
     private crashByPattern(): void {
         const alive = [...this.running.keys()];
-        const some = alive.filter(() => this.random.fraction() < 1 / 3);
+        const affectedEngines = alive.filter(() => this.random.fraction() < 1 / 3);
         switch (this.day.pattern) {
             case "none":
                 return;
             case "single":
-                some.slice(0, 1).forEach(engine => this.crash(engine));
+                affectedEngines.slice(0, 1).forEach(engine => this.crash(engine));
                 return;
             case "third":
-                some.forEach(engine => this.crash(engine));
+                affectedEngines.forEach(engine => this.crash(engine));
                 return;
             case "rolling":
                 alive.forEach((engine, index) => this.after(800 * index, () => this.crash(engine)));
@@ -240,7 +240,7 @@
         this.events.push({ at: this.now + milliseconds, act });
     }
 
-    private randomBetween([least, most]: readonly [number, number]): number {
-        return this.random.integer(least, most);
+    private randomBetween([min, max]: readonly [number, number]): number {
+        return this.random.integer(min, max);
     }
 }
