--- a/simulation/requests/fakePlacement.ts
+++ b/simulation/requests/fakePlacement.ts
@@ -27,9 +27,9 @@
         super();
     }
 
-    override async reserve(demand: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision> {
-        const { attempt } = demand;
-        this.schedulingRequests.push(demand);
+    override async reserve(request: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision> {
+        const { attempt } = request;
+        this.schedulingRequests.push(request);
         await this.queue(signal);
         const refused = (code: "noBackend" | "callerGone"): SchedulingDecision => ({
             kind: "refused",
@@ -40,18 +40,18 @@
             return refused("callerGone");
         }
         const firstAvailable = (role: string) =>
-            this.engines.find(({ announcement: { id, role: own } }) => own === role && !demand.avoid.includes(id));
+            this.engines.find(({ announcement: { id, role: own } }) => own === role && !request.avoid.includes(id));
         const prefill = firstAvailable("prefill")?.announcement.id;
         const decode = firstAvailable("decode")?.announcement.id;
         if (this.refusal !== undefined || prefill === undefined || decode === undefined) {
             return this.refusal ?? refused("noBackend");
         }
-        this.reserved.set(attempt, demand);
+        this.reserved.set(attempt, request);
         return { kind: "assigned", attempt, prefill, decode, fence: 1, expectedReuse: 0 };
     }
 
-    override move(holding: EngineHolding): Promise<string | undefined> {
-        this.reportedFull.push(holding.decode);
+    override move(assignment: EngineHolding): Promise<string | undefined> {
+        this.reportedFull.push(assignment.decode);
         return Promise.resolve(this.replacementDecode);
     }
 
--- a/simulation/requests/fakes.ts
+++ b/simulation/requests/fakes.ts
@@ -101,27 +101,27 @@
             yield failure("failed", fault);
             return;
         }
-        for (let place = offset; place < this.tokens.length; place++) {
+        for (let position = offset; position < this.tokens.length; position++) {
             if (fault === "hang" || signal.aborted) {
                 await aborted(signal);
                 yield failure("unknown", "aborted");
                 return;
             }
-            if (fault === "cut" && place >= offset + 2) {
+            if (fault === "cut" && position >= offset + 2) {
                 yield failure("unknown", "cut");
                 return;
             }
-            if (fault === "short" && place === this.tokens.length - 1) {
+            if (fault === "short" && position === this.tokens.length - 1) {
                 break;
             }
             await this.beforeToken();
-            if (fault === "gap" && place === offset + 1) {
+            if (fault === "gap" && position === offset + 1) {
                 continue;
             }
             const line: Either<EngineFailure, DecodeLine> = Right({
                 kind: "token",
-                offset: place,
-                text: this.tokens[place] as string,
+                offset: position,
+                text: this.tokens[position] as string,
             });
             yield line;
             if (fault === "repeat") {
--- a/simulation/requests/runs.ts
+++ b/simulation/requests/runs.ts
@@ -65,17 +65,17 @@
 
 /** Property: the invariants hold under random faults, stops and lost proposals, and nothing remains held afterwards. */
 export function requestProperty(tally = new Tally()) {
-    return fc.asyncProperty(scenario, async ({ faults: chosen, stop, resume, nonIdempotent, ...rest }) => {
+    return fc.asyncProperty(scenario, async ({ faults: injectedFaults, stop, resume, nonIdempotent, ...rest }) => {
         const rig = Rig.create({ abilities: { resume } });
         rig.control.lost.push(...rest.lost);
-        for (const { engine, stage, fault } of chosen) {
+        for (const { engine, stage, fault } of injectedFaults) {
             rig.engine(engine).faults[stage].push(fault);
         }
         for (const engine of rig.engines) {
             engine.lostCancels = rest.lostCancels;
             engine.onStageBegun = stage => stage === stop?.stage && rig.scope.stop(stop.reason);
         }
-        const includesHang = chosen.some(({ fault }) => fault === "hang");
+        const includesHang = injectedFaults.some(({ fault }) => fault === "hang");
         const deadline = setTimeout(() => rig.scope.stop("deadlineExceeded"), includesHang ? 20 : 5_000);
         const end = await rig.drive(nonIdempotent ? { run: { key: "k", digest: "d" } } : {});
         clearTimeout(deadline);
