--- a/simulation/scheduling/runs.ts
+++ b/simulation/scheduling/runs.ts
@@ -113,13 +113,16 @@
                         break;
                     case "full":
                         if (requestedAttempts.has(`a${action.id}`)) {
-                            const holding = {
+                            const assignment = {
                                 prefill: "p1",
                                 decode: action.engine,
                                 stage: "prefilled",
                                 tokens: 0,
                             } as const;
-                            bench.scheduler.move({ demand: schedulingRequest(`a${action.id}`), ...holding }, bench.now);
+                            bench.scheduler.move(
+                                { demand: schedulingRequest(`a${action.id}`), ...assignment },
+                                bench.now,
+                            );
                         }
                         break;
                     case "sessions":
