--- a/simulation/view/deployment.ts
+++ b/simulation/view/deployment.ts
@@ -74,16 +74,16 @@
     constructor(options: { seed: number; controls: number; members: number; daemons: number; }) {
         this.world = new World(options.seed);
         const processes = (kind: string, count: number): Process[] =>
-            Array.from({ length: count }, (_, place) => {
+            Array.from({ length: count }, (_, index) => {
                 const drift = this.timing.clockDrift * 0.49 * (2 * this.world.randomness.fraction() - 1);
-                return new Process(this.world, `${kind}-${place}`, 1 + drift);
+                return new Process(this.world, `${kind}-${index}`, 1 + drift);
             });
         this.group = new Group(this.timing, processes("control", options.controls), options.members);
         this.daemons = processes("entry", options.daemons).map(process => new Daemon(this, process));
     }
 
-    voter(place: number): Voter {
-        return this.group.voters[place]!;
+    voter(index: number): Voter {
+        return this.group.voters[index]!;
     }
 
     /** Proposes an operator's change to every voter that believes it is the leader. */
--- a/simulation/view/runs.ts
+++ b/simulation/view/runs.ts
@@ -10,7 +10,7 @@
 const indexBelow = (count: number): fc.Arbitrary<number> => fc.integer({ min: 0, max: count - 1 });
 const duration = fc.oneof(fc.integer({ min: 20, max: 1_000 }), fc.integer({ min: 1_000, max: 7_000 }));
 const lostQuorumFault = fc.record({
-    kind: fc.constant("blink" as const),
+    kind: fc.constant("lostQuorum" as const),
     daemon: indexBelow(daemons),
     spared: indexBelow(3),
     grow: fc.boolean(),
@@ -20,29 +20,29 @@
 });
 const fault = fc.oneof(
     fc.record({ kind: fc.constant("crash" as const), voter: indexBelow(voters), duration }),
-    fc.record({ kind: fc.constant("crashMost" as const), duration }),
-    fc.record({ kind: fc.constant("roll" as const), duration }),
+    fc.record({ kind: fc.constant("crashSeveral" as const), duration }),
+    fc.record({ kind: fc.constant("rollingRestart" as const), duration }),
     fc.record({ kind: fc.constant("freeze" as const), voter: indexBelow(voters), duration }),
     fc.record({ kind: fc.constant("freezeDaemon" as const), daemon: indexBelow(daemons), duration }),
     fc.record({ kind: fc.constant("restartDaemon" as const), daemon: indexBelow(daemons) }),
     fc.record({
-        kind: fc.constant("cut" as const),
+        kind: fc.constant("cutOneWay" as const),
         daemon: indexBelow(daemons),
         voter: indexBelow(voters),
         back: fc.boolean(),
         duration,
     }),
     fc.record({
-        kind: fc.constant("cutOff" as const),
+        kind: fc.constant("cutFromVoters" as const),
         daemon: indexBelow(daemons),
         mask: fc.integer({ min: 1, max: 31 }),
         duration,
     }),
-    fc.record({ kind: fc.constant("split" as const), mask: fc.integer({ min: 1, max: 30 }), duration }),
-    fc.record({ kind: fc.constant("voters" as const), voter: indexBelow(voters) }),
+    fc.record({ kind: fc.constant("partitionVoters" as const), mask: fc.integer({ min: 1, max: 30 }), duration }),
+    fc.record({ kind: fc.constant("changeVoters" as const), voter: indexBelow(voters) }),
     lostQuorumFault,
     fc.record({
-        kind: fc.constant("stun" as const),
+        kind: fc.constant("freezeThenCut" as const),
         daemon: indexBelow(daemons),
         duration: fc.integer({ min: 20, max: 2_500 }),
     }),
@@ -79,7 +79,7 @@
  * The worst case of a lost quorum: two voters refuse a daemon's connections while it is cut off from the remaining ones, and
  * it is cut off from all voters before the two are reachable again. With `grow`, two voters join that are unknown to the daemon.
  */
-function injectLostQuorum(deployment: Deployment, fault: Extract<Fault, { kind: "blink"; }>): void {
+function injectLostQuorum(deployment: Deployment, fault: Extract<Fault, { kind: "lostQuorum"; }>): void {
     const { world } = deployment;
     const refusing = [0, 1, 2].filter(voter => voter !== fault.spared);
     if (fault.grow) {
@@ -99,13 +99,13 @@
     switch (fault.kind) {
         case "crash":
             return deployment.voter(fault.voter).crash(fault.duration);
-        case "crashMost":
+        case "crashSeveral":
             return group.voters.slice(0, 2 + world.randomness.integer(0, 1)).forEach(voter => {
                 world.at(world.now + 300 * world.randomness.fraction(), () => {
                     voter.crash(fault.duration * (0.5 + world.randomness.fraction()));
                 });
             });
-        case "roll":
+        case "rollingRestart":
             return group.voters.forEach((voter, at) =>
                 world.at(world.now + at * fault.duration, () => voter.crash(200))
             );
@@ -115,24 +115,24 @@
             return deployment.daemons[fault.daemon]!.process.freeze(fault.duration);
         case "restartDaemon":
             return deployment.daemons[fault.daemon]!.restart();
-        case "cut": {
+        case "cutOneWay": {
             const names = [deployment.daemons[fault.daemon]!.process.name, deployment.voter(fault.voter).process.name];
             const [from, to] = fault.back ? names.reverse() : names;
             return world.cut(from!, to!, fault.duration);
         }
-        case "cutOff":
+        case "cutFromVoters":
             return cutFromVoters(deployment, fault.daemon, fault.mask, fault.duration);
-        case "split":
+        case "partitionVoters":
             return selectedVoters(fault.mask).forEach(one => {
                 selectedVoters(~fault.mask).forEach(other =>
                     deployment.cutBothWays(one.process, other.process, fault.duration)
                 );
             });
-        case "voters":
+        case "changeVoters":
             return changeVoters(deployment, fault.voter);
-        case "blink":
+        case "lostQuorum":
             return injectLostQuorum(deployment, fault);
-        case "stun":
+        case "freezeThenCut":
             deployment.daemons[fault.daemon]!.process.freeze(fault.duration);
             return world.at(world.now + fault.duration, () => cutFromVoters(deployment, fault.daemon, 31, 5_000));
         case "loss":
--- a/simulation/view/voters.ts
+++ b/simulation/view/voters.ts
@@ -149,7 +149,7 @@
         const { voters } = this.latestMembership();
         const view = this.state.view();
         const steps = this.log.slice(0, this.applied)
-            .flatMap(({ command }, place) => command === undefined ? [] : [{ index: place + 1, command }])
+            .flatMap(({ command }, position) => command === undefined ? [] : [{ index: position + 1, command }])
             .filter(step => step.index > applied);
         const behind = wantsSteps && steps.length > 0;
         return {
