--- a/simulation/orders/holder.ts
+++ b/simulation/orders/holder.ts
@@ -73,7 +73,7 @@
         return { prefill: this.world.servingCount("prefill"), decode: this.world.servingCount("decode") };
     }
 
-    /** Checks that an action didn't reduce the serving copies to less than the floor. */
+    /** Checks that an action didn't reduce the serving copies below the floor, or further below it. */
     private checkFloor(before: { readonly prefill: number; readonly decode: number; }): void {
         const after = this.servingCounts();
         for (const role of ["prefill", "decode"] as const) {
--- a/simulation/orders/world.ts
+++ b/simulation/orders/world.ts
@@ -285,6 +285,7 @@
         }
     }
 
+    /** Restarts engines at random, with their initial model and without the orders in transit to them. */
     private restartEngines(): void {
         for (const engine of this.engines.values()) {
             if (this.random.fraction() < this.rules.faults / 100) {
@@ -321,7 +322,7 @@
         return { id, incarnation, role, models, highestFence, active };
     }
 
-    /** Publishes a new view. Engines announce their changes in it; a fault delays that, except after a restart. */
+    /** Publishes a new view, by default with the engines' changes. A fault delays these, except after a restart. */
     private publishView(includeAnnouncements = true): void {
         for (const engine of includeAnnouncements ? this.engines.values() : []) {
             const { incarnation, role, id } = engine;
