--- a/playground/standins/__tests__/fakeEngine.spec.ts
+++ b/playground/standins/__tests__/fakeEngine.spec.ts
@@ -6,7 +6,7 @@
 
 const models = [{ name: "draft", version: "1" }];
 const fast = { pool: "drafting", models, promptTokenTime: 0.01, tokenTime: 1, linkRate: 1e12 };
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 function generation(prompt: string) {
     return { model: "draft", prompt, maxTokens: 200, priority: 100, sampling: {} };
@@ -33,31 +33,31 @@
     });
 
     async function prepare(attempt: string, prompt: string): Promise<void> {
-        const { handle } = (await prefillClient.prefill(attempt, generation(prompt), never)).unsafeCoerce();
+        const { handle } = (await prefillClient.prefill(attempt, generation(prompt), neverAborted)).unsafeCoerce();
         const source = { url: prefill.url, handle };
-        (await decodeClient.import(attempt, source, generation(prompt), never)).unsafeCoerce();
+        (await decodeClient.import(attempt, source, generation(prompt), neverAborted)).unsafeCoerce();
     }
 
-    async function read(attempt: string, offset: number, most = Infinity): Promise<string[]> {
+    async function read(attempt: string, offset: number, maxCount = Infinity): Promise<string[]> {
         const texts: string[] = [];
-        for await (const line of decodeClient.decode(attempt, offset, never)) {
+        for await (const line of decodeClient.decode(attempt, offset, neverAborted)) {
             const value = line.unsafeCoerce();
             if (value.kind === "token") {
                 expect(value.offset).to.equal(offset + texts.length);
                 texts.push(value.text);
             }
-            if (texts.length >= most) {
+            if (texts.length >= maxCount) {
                 break;
             }
         }
         return texts;
     }
 
-    it("gives the whole answer to its own prompt, and holds nothing after it", async () => {
+    it("returns the complete answer to each prompt, and releases all slots and results afterwards", async () => {
         const prompts = ["the dossier of one tenant", "another dossier"];
-        const answers = await Promise.all(prompts.map(async (prompt, place) => {
-            await prepare(`a/${place}`, prompt);
-            return await read(`a/${place}`, 0);
+        const answers = await Promise.all(prompts.map(async (prompt, index) => {
+            await prepare(`a/${index}`, prompt);
+            return await read(`a/${index}`, 0);
         }));
         expect(answers).to.deep.equal(prompts.map(prompt => answerOf(prompt, 200)));
         expect(prefill.active()).to.deep.equal([]);
@@ -73,34 +73,34 @@
         expect([...first, ...rest]).to.deep.equal(answerOf(prompt, 200));
     });
 
-    it("refuses an import without a free slot, and proves it", async () => {
+    it("refuses an import if no slot is free, with the proof that nothing was run", async () => {
         await prepare("a", "one");
         await prepare("b", "two");
-        const { handle } = (await prefillClient.prefill("c", generation("three"), never)).unsafeCoerce();
-        const refused = await decodeClient.import("c", { url: prefill.url, handle }, generation("three"), never);
+        const { handle } = (await prefillClient.prefill("c", generation("three"), neverAborted)).unsafeCoerce();
+        const refused = await decodeClient.import("c", { url: prefill.url, handle }, generation("three"), neverAborted);
         expect(refused.swap().unsafeCoerce()).to.include({ kind: "notRun", code: "full" });
         (await decodeClient.cancel("a", 1_000)).unsafeCoerce();
         expect(decode.active()).to.deep.equal(["b"]);
     });
 
-    it("evicts a result that nobody fetches", async () => {
-        const short = await FakeEngine.create({ ...fast, id: "prefill-2", role: "prefill", evictAfter: 1 });
-        const client = HttpEngine.create(short.url);
-        const { handle } = (await client.prefill("a", generation("one"), never)).unsafeCoerce();
-        while (short.active().length > 0) {
+    it("evicts a result that isn't fetched in time", async () => {
+        const evicting = await FakeEngine.create({ ...fast, id: "prefill-2", role: "prefill", evictAfter: 1 });
+        const client = HttpEngine.create(evicting.url);
+        const { handle } = (await client.prefill("a", generation("one"), neverAborted)).unsafeCoerce();
+        while (evicting.active().length > 0) {
             await wait(1);
         }
-        const refused = await decodeClient.import("a", { url: short.url, handle }, generation("one"), never);
+        const refused = await decodeClient.import("a", { url: evicting.url, handle }, generation("one"), neverAborted);
         expect(refused.swap().unsafeCoerce()).to.include({ kind: "notRun", code: "evicted" });
         expect(decode.active()).to.deep.equal([]);
         await client.close();
-        await short.close();
+        await evicting.close();
     });
 
     it("reuses the cached part of a prompt", async () => {
         const prompt = "house preamble ".repeat(200);
-        await prefillClient.prefill("a", generation(prompt), never);
-        const again = (await prefillClient.prefill("b", generation(prompt), never)).unsafeCoerce();
-        expect(again.reusedTokens).to.equal(Math.floor(prompt.length / 256) * 64);
+        await prefillClient.prefill("a", generation(prompt), neverAborted);
+        const repeated = (await prefillClient.prefill("b", generation(prompt), neverAborted)).unsafeCoerce();
+        expect(repeated.reusedTokens).to.equal(Math.floor(prompt.length / 256) * 64);
     });
 });
--- a/playground/standins/__tests__/rollout.spec.ts
+++ b/playground/standins/__tests__/rollout.spec.ts
@@ -18,19 +18,19 @@
 } from "../../../packages/basilpaddle/src/node/index.js";
 import { FakeEngine } from "../fakeEngine.js";
 import { FakeWeightStore } from "../fakeWeightStore.js";
-import { answerJson, HttpServer, wait } from "../httpServer.js";
+import { HttpServer, respondWithJson, wait } from "../httpServer.js";
 
-const own = { daemon: "entry-1", incarnation: "a" };
-const limit = 20_000;
+const ownSession = { daemon: "entry-1", incarnation: "a" };
+const timeoutMilliseconds = 20_000;
 
-/** One entry daemon whose control daemons are always there. */
+/** The control client of a single entry daemon: applies each command at once, as if control daemons were always reachable. */
 class LocalControl extends ControlClient {
     readonly orders: string[] = [];
     private readonly state = ViewState.create();
     private readonly listeners = new Set<(view: View) => void>();
     private index = 0;
 
-    take(command: Command): CommandResult {
+    apply(command: Command): CommandResult {
         this.index += 1;
         if (command.kind === "recordOrder") {
             this.orders.push(
@@ -45,7 +45,7 @@
     }
 
     override session() {
-        return own;
+        return ownSession;
     }
 
     override view(): View {
@@ -62,7 +62,7 @@
     }
 
     override propose(command: Command): Promise<Either<Undecided, CommandResult>> {
-        return Promise.resolve(Right(this.take(command)));
+        return Promise.resolve(Right(this.apply(command)));
     }
 
     override recordRenewal(): void {}
@@ -77,22 +77,22 @@
     let engines: FakeEngine[] = [];
     let service: OrderService;
 
-    function declare(base: number, version: string, prefill: number): void {
+    function changeDeclaration(base: number, version: string, prefill: number): void {
         const pool = { models: [{ name: "m", version }], copies: { prefill, decode: 4 - prefill } };
         const declaration = declarationSchema.parse({ pools: { drafting: pool } });
         const change = { changeId: `c${base}`, operator: "ana", base, declaration, files: [], note: "" };
-        control.take({ kind: "changeConfiguration", change, at: 1 });
+        control.apply({ kind: "changeConfiguration", change, at: 1 });
     }
 
     async function until(condition: () => boolean): Promise<void> {
-        const end = performance.now() + limit;
-        while (!condition() && performance.now() < end) {
+        const deadline = performance.now() + timeoutMilliseconds;
+        while (!condition() && performance.now() < deadline) {
             await wait(5);
         }
         expect(condition(), control.orders.join("; ")).to.equal(true);
     }
 
-    function announced(): string[] {
+    function describeBackends(): string[] {
         return Object.values(control.view().backends).map(({ announcement, state }) =>
             `${announcement.role} ${state} ${announcement.models.map(({ version }) => version).join()}`
         ).sort();
@@ -101,11 +101,11 @@
     before(async () => {
         listener = await HttpServer.create("127.0.0.1", async ({ path, body, response }) => {
             expect(path).to.equal(backendMessagePath);
-            const word = backendMessageSchema.parse(JSON.parse(body));
-            if (word.kind === "announce") {
-                control.take({ kind: "announceBackend", announcement: word.announcement, at: 1 });
+            const message = backendMessageSchema.parse(JSON.parse(body));
+            if (message.kind === "announce") {
+                control.apply({ kind: "announceBackend", announcement: message.announcement, at: 1 });
             }
-            answerJson(response, 200, { outcome: "accepted", renewAfter: 20 });
+            respondWithJson(response, 200, { outcome: "accepted", renewAfter: 20 });
         });
         store = await FakeWeightStore.create({ rate: 1e9 });
         const shared = {
@@ -122,9 +122,9 @@
             ),
         );
         const peers = { host: "127.0.0.1", port: 1 };
-        control.take({ kind: "openSession", session: own, failureDomain: "a", peers, at: 1 });
-        control.take({ kind: "grantLease", lease: "orders", holder: own, at: 1 });
-        declare(0, "1", 2);
+        control.apply({ kind: "openSession", session: ownSession, failureDomain: "a", peers, at: 1 });
+        control.apply({ kind: "grantLease", lease: "orders", holder: ownSession, at: 1 });
+        changeDeclaration(0, "1", 2);
         service = OrderService.create({
             control,
             engineAt: url => HttpEngine.create(url),
@@ -141,23 +141,23 @@
         await service.close();
         await Promise.all(engines.map(engine => engine.close()));
         await store.close();
-        listener.die();
+        listener.destroy();
     });
 
-    it("loads the new version within the store's rate, moves traffic, and unloads the old one", async () => {
-        declare(1, "2", 2);
-        await until(() => announced().every(engine => engine.endsWith("ready 2")));
+    it("loads the new version on at most two engines at once, moves traffic, and unloads the old version", async () => {
+        changeDeclaration(1, "2", 2);
+        await until(() => describeBackends().every(engine => engine.endsWith("ready 2")));
         expect(control.view().served).to.deep.equal({ drafting: { m: "2" } });
         expect(store.loads.most).to.be.at.most(2);
         expect(store.loads.total).to.equal(4);
-        const done = (what: string) => control.orders.filter(order => order.endsWith(`${what} done`)).length;
-        await until(() => done("load m@2") === 4 && done("unload m@1") === 4);
+        const countDoneOrders = (what: string) => control.orders.filter(order => order.endsWith(`${what} done`)).length;
+        await until(() => countDoneOrders("load m@2") === 4 && countDoneOrders("unload m@1") === 4);
     });
 
-    it("changes a role after a drain", async () => {
-        declare(2, "2", 1);
-        await until(() => announced().filter(engine => engine === "decode ready 2").length === 3);
-        const changes = engines.flatMap(({ orders }) => orders.given).filter(({ order }) =>
+    it("changes the role of an engine after it was drained", async () => {
+        changeDeclaration(2, "2", 1);
+        await until(() => describeBackends().filter(engine => engine === "decode ready 2").length === 3);
+        const changes = engines.flatMap(({ orders }) => orders.received).filter(({ order }) =>
             order.action === "changeRole"
         );
         expect(changes.length).to.equal(1);
--- a/playground/standins/announcer.ts
+++ b/playground/standins/announcer.ts
@@ -9,28 +9,38 @@
 } from "../../packages/basilpaddle/src/node/index.js";
 import { wait } from "./httpServer.js";
 
-const retryAfter = 200;
-const wordTimeout = 2_000;
-/** How long a leaving backend server goes on telling that it leaves, where nobody listens. */
-const leaveLimit = 10_000;
+const retryDelayMilliseconds = 200;
+const messageTimeoutMilliseconds = 2_000;
+/** Milliseconds after which a leaving backend server stops retrying its leave message if no entry daemon processes it. */
+const leaveTimeoutMilliseconds = 10_000;
 
-/** What a backend server tells. */
-export type Told = { readonly announcement: () => Announcement; readonly load: () => LoadReport | undefined; };
+/** The current announcement and load report of a backend server. */
+export type AnnouncementSource = {
+    readonly announcement: () => Announcement;
+    readonly load: () => LoadReport | undefined;
+};
 
-/** Announces a backend server, one word at a time, through listeners chosen as a balancer does. */
+/**
+ * Sends the announcements, heartbeats and leave message of a backend server to entry daemons: one message at a time, each to a
+ * random listener, as through a load balancer.
+ */
 export class Announcer {
     private readonly randomness: SeededRandomness;
     private readonly stopped = new AbortController();
     private changed = new AbortController();
-    private announced = false;
+    private isAnnounced = false;
     private running: Promise<void> = Promise.resolve();
 
-    private constructor(private readonly listeners: readonly string[], private readonly told: Told, seed: number) {
+    private constructor(
+        private readonly listeners: readonly string[],
+        private readonly source: AnnouncementSource,
+        seed: number,
+    ) {
         this.randomness = SeededRandomness.create(seed);
     }
 
-    static create(listeners: readonly string[], told: Told, seed: number): Announcer {
-        return new Announcer(listeners, told, seed);
+    static create(listeners: readonly string[], source: AnnouncementSource, seed: number): Announcer {
+        return new Announcer(listeners, source, seed);
     }
 
     start(): void {
@@ -39,23 +49,23 @@
         }
     }
 
-    /** What is announced has changed; it is announced again at once. */
-    change(): void {
-        this.announced = false;
+    /** Sends the announcement again at once, since it has changed. */
+    announceChange(): void {
+        this.isAnnounced = false;
         this.changed.abort();
     }
 
-    /** Tells that the backend server leaves, until somebody has heard it. */
+    /** Stops the heartbeats, and sends the leave message until an entry daemon has processed it or the timeout has passed. */
     async leave(): Promise<void> {
         await this.stop();
-        const { id, incarnation } = this.told.announcement();
-        const until = performance.now() + leaveLimit;
-        while (this.listeners.length > 0 && performance.now() < until) {
-            const answer = await this.tell({ kind: "leave", id, incarnation });
+        const { id, incarnation } = this.source.announcement();
+        const deadline = performance.now() + leaveTimeoutMilliseconds;
+        while (this.listeners.length > 0 && performance.now() < deadline) {
+            const answer = await this.send({ kind: "leave", id, incarnation });
             if (answer !== undefined && answer.outcome !== "tryAgain") {
                 return;
             }
-            await wait(retryAfter);
+            await wait(retryDelayMilliseconds);
         }
     }
 
@@ -68,40 +78,40 @@
     private async run(): Promise<void> {
         while (!this.stopped.signal.aborted) {
             this.changed = new AbortController();
-            const announcing = !this.announced;
-            const answer = await this.tell(announcing ? this.announcement() : this.renewal());
+            const isAnnouncement = !this.isAnnounced;
+            const answer = await this.send(isAnnouncement ? this.announcement() : this.heartbeat());
             if (answer?.outcome === "superseded") {
                 return;
             }
             if (answer?.outcome === "announceAgain") {
-                this.announced = false;
+                this.isAnnounced = false;
                 continue;
             }
-            if (answer?.outcome === "accepted" && announcing && !this.changed.signal.aborted) {
-                this.announced = true;
+            if (answer?.outcome === "accepted" && isAnnouncement && !this.changed.signal.aborted) {
+                this.isAnnounced = true;
             }
-            const waitsFor = answer === undefined ? retryAfter : answer.renewAfter;
-            await wait(this.stopped.signal.aborted ? 0 : waitsFor, this.changed.signal);
+            const delay = answer === undefined ? retryDelayMilliseconds : answer.renewAfter;
+            await wait(this.stopped.signal.aborted ? 0 : delay, this.changed.signal);
         }
     }
 
     private announcement(): BackendMessage {
-        return { kind: "announce", announcement: this.told.announcement(), load: this.told.load() };
+        return { kind: "announce", announcement: this.source.announcement(), load: this.source.load() };
     }
 
-    private renewal(): BackendMessage {
-        const { id, incarnation } = this.told.announcement();
-        return { kind: "renew", id, incarnation, load: this.told.load() };
+    private heartbeat(): BackendMessage {
+        const { id, incarnation } = this.source.announcement();
+        return { kind: "renew", id, incarnation, load: this.source.load() };
     }
 
-    private async tell(word: BackendMessage) {
+    private async send(message: BackendMessage) {
         const listener = this.listeners[this.randomness.integer(0, this.listeners.length - 1)]!;
         try {
             const answer = await request(`http://${listener}${backendMessagePath}`, {
                 method: "POST",
                 headers: { "content-type": "application/json" },
-                body: JSON.stringify(word),
-                signal: AbortSignal.timeout(wordTimeout),
+                body: JSON.stringify(message),
+                signal: AbortSignal.timeout(messageTimeoutMilliseconds),
             });
             return backendAnswerSchema.parse(await answer.body.json());
         }
--- a/playground/standins/decodeWork.ts
+++ b/playground/standins/decodeBatch.ts
@@ -5,15 +5,15 @@
 import type { Ran } from "./ran.js";
 import type { FakeEngineSettings } from "./settings.js";
 
-/** Paths by which a fake decode engine fetches from a fake prefill engine. */
-export const transferPath = { fetch: "/engine/v1/export", fetched: "/engine/v1/exported" } as const;
+/** Paths with which a fake decode engine fetches KV cache from a fake prefill engine, and releases it there afterwards. */
+export const transferPath = { begin: "/engine/v1/export", release: "/engine/v1/exported" } as const;
 
-/** The text of a finished answer stays this long, for a caller that resumes; it holds no slot. */
-const resumeLimit = 5_000;
+/** Milliseconds for which a finished answer is kept, so that its stream can be resumed; it occupies no slot. */
+const resumeWindowMilliseconds = 5_000;
 
 type Phase = "importing" | "held" | "decoding" | "done" | "failed";
 
-/** One answer in the making. */
+/** An attempt on a decode engine, from its import until its answer is deleted. */
 export type Decoding = {
     readonly attempt: string;
     readonly model: string;
@@ -25,30 +25,30 @@
     waiters: (() => void)[];
 };
 
-/** Where an import fetches from. */
-export type Source = { readonly url: string; readonly handle: string; };
+/** The prefill engine from which an import fetches KV cache, and the handle of that cache there. */
+export type ImportSource = { readonly url: string; readonly handle: string; };
 
-/** Decodes in one batch: at each beat, every running answer gets a token. */
-export class DecodeWork {
+/** Decodes all running attempts as one batch: each step produces one token for every attempt. */
+export class DecodeBatch {
     private readonly decodings = new Map<string, Decoding>();
     private linkBusyUntil = 0;
-    private nextBeat = 0;
+    private nextStepAt = 0;
     private timer: NodeJS.Timeout | undefined;
 
     private constructor(
         private readonly settings: FakeEngineSettings,
         private readonly ran: Ran,
-        private readonly factor: () => number,
+        private readonly slowdownFactor: () => number,
     ) {}
 
-    static create(settings: FakeEngineSettings, ran: Ran, factor: () => number): DecodeWork {
-        return new DecodeWork(settings, ran, factor);
+    static create(settings: FakeEngineSettings, ran: Ran, slowdownFactor: () => number): DecodeBatch {
+        return new DecodeBatch(settings, ran, slowdownFactor);
     }
 
-    /** Undefined where it was cancelled. */
+    /** Allocates a slot and fetches the KV cache; undefined if the attempt was cancelled meanwhile. */
     async import(
         attempt: string,
-        source: Source,
+        source: ImportSource,
         generation: Generation,
     ): Promise<{ readonly bytes: number; } | EngineRefusal | undefined> {
         if (this.active().length >= this.settings.slots) {
@@ -60,7 +60,7 @@
         this.ran.of(attempt).imports += 1;
         const decoding = createDecoding(attempt, generation);
         this.decodings.set(attempt, decoding);
-        const bytes = await this.transfer(source, decoding.abort.signal).catch((error: unknown) => {
+        const bytes = await this.fetchKvCache(source, decoding.abort.signal).catch((error: unknown) => {
             this.cancel(attempt);
             throw error;
         });
@@ -83,22 +83,22 @@
         this.ran.of(decoding.attempt).decodes += 1;
         if (decoding.phase === "held") {
             decoding.phase = "decoding";
-            this.beatLater();
+            this.startSteps();
         }
     }
 
-    /** The lines that are there from the offset on; waits for the next one where there is none. */
+    /** Returns the lines from the offset on; waits for the next one if there is none yet. */
     async lines(decoding: Decoding, offset: number, signal: AbortSignal): Promise<DecodeLine[]> {
         while (decoding.produced <= offset && decoding.phase === "decoding" && !signal.aborted) {
             await new Promise<void>(resolve => decoding.waiters.push(resolve));
         }
         const lines: DecodeLine[] = decoding.tokens.slice(offset, decoding.produced)
-            .map((text, place) => ({ kind: "token", offset: offset + place, text }));
+            .map((text, index) => ({ kind: "token", offset: offset + index, text }));
         if (decoding.phase === "done") {
             lines.push({ kind: "end", offset: decoding.tokens.length, reason: decoding.reason });
         }
         else if (decoding.phase === "failed") {
-            lines.push({ kind: "error", message: "the attempt was cut" });
+            lines.push({ kind: "error", message: "the attempt was cancelled" });
         }
         return lines;
     }
@@ -109,11 +109,11 @@
             decoding.phase = "failed";
             decoding.abort.abort();
             this.decodings.delete(attempt);
-            wakeAll(decoding);
+            notifyWaiters(decoding);
         }
     }
 
-    /** Attempts that hold a slot, of one model or of all. */
+    /** Attempts to which a slot is allocated, of one model or of all. */
     active(model?: string): string[] {
         return [...this.decodings.values()]
             .filter(({ phase }) => phase !== "done" && phase !== "failed")
@@ -125,59 +125,60 @@
         clearTimeout(this.timer);
     }
 
-    private async transfer(source: Source, signal: AbortSignal): Promise<number | undefined> {
-        const fetched = await post(source.url + transferPath.fetch, { handle: source.handle });
-        if (fetched.status === 409) {
+    private async fetchKvCache(source: ImportSource, signal: AbortSignal): Promise<number | undefined> {
+        const response = await post(source.url + transferPath.begin, { handle: source.handle });
+        if (response.status === 409) {
             return undefined;
         }
-        if (fetched.status !== 200) {
-            throw new Error(`the prefill engine answered ${fetched.status}`);
+        if (response.status !== 200) {
+            throw new Error(`the prefill engine returned status ${response.status}`);
         }
-        const { bytes } = fetched.body as { readonly bytes: number; };
+        const { bytes } = response.body as { readonly bytes: number; };
         const now = performance.now();
-        this.linkBusyUntil = Math.max(now, this.linkBusyUntil) + bytes / this.settings.linkRate * 1_000 * this.factor();
+        this.linkBusyUntil = Math.max(now, this.linkBusyUntil)
+            + bytes / this.settings.linkRate * 1_000 * this.slowdownFactor();
         await wait(this.linkBusyUntil - now, signal);
-        await post(source.url + transferPath.fetched, { handle: source.handle }).catch(() => undefined);
+        await post(source.url + transferPath.release, { handle: source.handle }).catch(() => undefined);
         return bytes;
     }
 
-    private beatLater(): void {
+    private startSteps(): void {
         if (this.timer === undefined) {
-            this.nextBeat = performance.now() + this.settings.tokenTime * this.factor();
-            this.setTimer();
+            this.nextStepAt = performance.now() + this.settings.tokenTime * this.slowdownFactor();
+            this.scheduleStep();
         }
     }
 
-    private setTimer(): void {
-        this.timer = setTimeout(() => this.beat(), Math.max(0, this.nextBeat - performance.now()));
+    private scheduleStep(): void {
+        this.timer = setTimeout(() => this.runSteps(), Math.max(0, this.nextStepAt - performance.now()));
     }
 
-    private beat(): void {
+    private runSteps(): void {
         this.timer = undefined;
-        const step = Math.max(this.settings.tokenTime * this.factor(), 0.01);
-        const beats = Math.max(1, 1 + Math.floor((performance.now() - this.nextBeat) / step));
-        this.nextBeat += beats * step;
-        let running = false;
+        const stepDuration = Math.max(this.settings.tokenTime * this.slowdownFactor(), 0.01);
+        const steps = Math.max(1, 1 + Math.floor((performance.now() - this.nextStepAt) / stepDuration));
+        this.nextStepAt += steps * stepDuration;
+        let isDecoding = false;
         for (const decoding of this.decodings.values()) {
             if (decoding.phase === "decoding") {
-                this.produce(decoding, beats);
-                running ||= decoding.produced < decoding.tokens.length;
+                this.produce(decoding, steps);
+                isDecoding ||= decoding.produced < decoding.tokens.length;
             }
         }
-        if (running) {
-            this.setTimer();
+        if (isDecoding) {
+            this.scheduleStep();
         }
     }
 
-    private produce(decoding: Decoding, beats: number): void {
-        const produced = Math.min(decoding.tokens.length, decoding.produced + beats);
+    private produce(decoding: Decoding, steps: number): void {
+        const produced = Math.min(decoding.tokens.length, decoding.produced + steps);
         this.ran.of(decoding.attempt).tokens += produced - decoding.produced;
         decoding.produced = produced;
         if (produced === decoding.tokens.length) {
             decoding.phase = "done";
-            setTimeout(() => this.decodings.delete(decoding.attempt), resumeLimit).unref();
+            setTimeout(() => this.decodings.delete(decoding.attempt), resumeWindowMilliseconds).unref();
         }
-        wakeAll(decoding);
+        notifyWaiters(decoding);
     }
 }
 
@@ -196,12 +197,12 @@
     };
 }
 
-/** Lets whoever waits for lines look again. */
-export function wakeAll(decoding: Decoding): void {
+/** Wakes the streams that wait for lines of the attempt, so that they check again. */
+export function notifyWaiters(decoding: Decoding): void {
     const waiters = decoding.waiters;
     decoding.waiters = [];
-    for (const wake of waiters) {
-        wake();
+    for (const notify of waiters) {
+        notify();
     }
 }
 
--- a/playground/standins/fakeEngine.ts
+++ b/playground/standins/fakeEngine.ts
@@ -12,72 +12,72 @@
     prefillRequestSchema,
 } from "../../packages/basilpaddle/src/node/index.js";
 import { Announcer } from "./announcer.js";
-import { DecodeWork, transferPath } from "./decodeWork.js";
+import { DecodeBatch, transferPath } from "./decodeBatch.js";
 import { Faults } from "./faults.js";
-import { answerJson, type Call, HttpServer, wait } from "./httpServer.js";
-import { OrderWork } from "./orderWork.js";
-import { PrefillWork } from "./prefillWork.js";
+import { type Call, HttpServer, respondWithJson, wait } from "./httpServer.js";
+import { OrderExecutor } from "./orderWork.js";
+import { PrefillQueue } from "./prefillQueue.js";
 import { PrefixCache } from "./prefixCache.js";
 import { Ran } from "./ran.js";
 import { type FakeEngineSettings, fakeEngineSettingsSchema } from "./settings.js";
 import { streamLines } from "./streamLines.js";
 
-type Picture = { readonly at: number; readonly active: string[]; readonly queuedTokens: number; };
+type LoadSnapshot = { readonly at: number; readonly active: string[]; readonly queuedTokens: number; };
 type Handler = (call: Call) => Promise<void> | void;
 
-const drainInterval = 20;
-const pictureInterval = 25;
+const drainPollMilliseconds = 20;
+const snapshotIntervalMilliseconds = 25;
 
-/** A fake engine that plays either role. */
+/** A fake engine that runs in either role, prefill or decode. */
 export class FakeEngine {
     readonly ran = Ran.create();
     readonly faults: Faults;
-    readonly orders: OrderWork;
-    private readonly prefills: PrefillWork;
-    private readonly decodes: DecodeWork;
+    readonly orders: OrderExecutor;
+    private readonly prefillQueue: PrefillQueue;
+    private readonly decodeBatch: DecodeBatch;
     private readonly announcer: Announcer;
     private readonly incarnation: number;
-    /** Attempts under which it ends. */
-    private readonly deadly = new Set<string>();
+    /** Attempts that crash the engine as soon as they start to decode. */
+    private readonly poisonAttempts = new Set<string>();
     private readonly handlers: ReadonlyMap<string, Handler>;
-    private readonly pictures: Picture[] = [];
-    private readonly pictureTimer: NodeJS.Timeout;
+    private readonly loadSnapshots: LoadSnapshot[] = [];
+    private readonly snapshotTimer: NodeJS.Timeout;
     private server!: HttpServer;
     private leaving = false;
-    private reports = 0;
+    private reportCount = 0;
 
     private constructor(
         private readonly settings: FakeEngineSettings,
         private readonly cache: PrefixCache,
-        private readonly onDeath: () => void,
+        private readonly onCrash: () => void,
     ) {
         this.incarnation = settings.incarnation ?? Date.now();
-        this.faults = Faults.create(() => this.die());
-        const factor = () => this.faults.factor();
-        this.prefills = PrefillWork.create(settings, cache, this.ran, factor);
-        this.decodes = DecodeWork.create(settings, this.ran, factor);
-        this.orders = OrderWork.create(settings, {
+        this.faults = Faults.create(() => this.crash());
+        const slowdownFactor = () => this.faults.slowdownFactor();
+        this.prefillQueue = PrefillQueue.create(settings, cache, this.ran, slowdownFactor);
+        this.decodeBatch = DecodeBatch.create(settings, this.ran, slowdownFactor);
+        this.orders = OrderExecutor.create(settings, {
             active: model => this.active(model),
-            cut: attempts => attempts.forEach(attempt => this.release(attempt)),
-            changed: () => {
+            cancelAttempts: attempts => attempts.forEach(attempt => this.release(attempt)),
+            onChange: () => {
                 this.cache.clear();
-                this.announcer.change();
+                this.announcer.announceChange();
             },
         });
-        const told = { announcement: () => this.announcement(), load: () => this.report(true) };
-        this.announcer = Announcer.create(settings.listeners, told, settings.seed);
-        this.pictureTimer = setInterval(() => this.takePicture(), pictureInterval);
+        const announcementSource = { announcement: () => this.announcement(), load: () => this.loadReport(true) };
+        this.announcer = Announcer.create(settings.listeners, announcementSource, settings.seed);
+        this.snapshotTimer = setInterval(() => this.takeSnapshot(), snapshotIntervalMilliseconds);
         this.handlers = this.createHandlers();
     }
 
-    /** Starts the engine. `onDeath` is called when a fault kills it. */
+    /** Starts the engine. `onCrash` is called when a fault or a prompt crashes it. */
     static async create(
         settings: Parameters<typeof fakeEngineSettingsSchema.parse>[0],
-        onDeath: () => void = () => {},
+        onCrash: () => void = () => {},
     ): Promise<FakeEngine> {
         const resolved = fakeEngineSettingsSchema.parse(settings);
-        const engine = new FakeEngine(resolved, await PrefixCache.create(resolved), onDeath);
-        engine.server = await HttpServer.create(resolved.host, call => engine.answer(call));
+        const engine = new FakeEngine(resolved, await PrefixCache.create(resolved), onCrash);
+        engine.server = await HttpServer.create(resolved.host, call => engine.dispatch(call));
         engine.announcer.start();
         return engine;
     }
@@ -90,9 +90,9 @@
         return this.settings.id;
     }
 
-    /** Attempts that hold a slot or memory, of one model or of all. */
+    /** Attempts that occupy a slot or memory, of one model or of all. */
     active(model?: string): string[] {
-        return [...new Set([...this.prefills.active(model), ...this.decodes.active(model)])];
+        return [...new Set([...this.prefillQueue.active(model), ...this.decodeBatch.active(model)])];
     }
 
     state(): EngineState {
@@ -100,40 +100,40 @@
         return { id: this.id, incarnation: this.incarnation, role, models, highestFence, active: this.active() };
     }
 
-    /** Says that it leaves, takes no new work, and ends once nothing runs any more. */
+    /** Announces that it leaves, then refuses new work and closes once no attempt is active any more. */
     async leave(): Promise<void> {
         await this.announcer.leave();
         this.leaving = true;
         while (this.active().length > 0) {
-            await wait(drainInterval);
+            await wait(drainPollMilliseconds);
         }
         await this.close();
     }
 
-    /** Ends at once, and cuts what runs. */
+    /** Closes at once and interrupts the active attempts. */
     async close(): Promise<void> {
-        clearInterval(this.pictureTimer);
-        this.decodes.close();
-        this.server.die();
+        clearInterval(this.snapshotTimer);
+        this.decodeBatch.close();
+        this.server.destroy();
         await this.announcer.stop();
     }
 
-    private die(): void {
+    private crash(): void {
         void this.close();
-        this.onDeath();
+        this.onCrash();
     }
 
-    private async answer(call: Call): Promise<void> {
+    private async dispatch(call: Call): Promise<void> {
         if (call.path === "/fault") {
             this.faults.control(call);
             return;
         }
         const handler = this.handlers.get(call.path);
         if (handler === undefined) {
-            answerJson(call.response, 404, { message: `no such path: ${call.path}` });
+            respondWithJson(call.response, 404, { message: `no such path: ${call.path}` });
             return;
         }
-        if (!call.path.includes("/test/") && this.faults.strike(call)) {
+        if (!call.path.includes("/test/") && this.faults.inject(call)) {
             return;
         }
         await handler(call);
@@ -146,23 +146,23 @@
             [enginePath.decode, call => this.decode(call)],
             [enginePath.cancel, call => this.cancel(call)],
             [enginePath.order, call => this.order(call)],
-            [enginePath.state, call => answerJson(call.response, 200, this.state())],
-            [enginePath.load, call => answerJson(call.response, 200, this.report(false))],
-            [transferPath.fetch, call => this.fetch(call)],
-            [transferPath.fetched, call => {
-                this.prefills.fetched(handleOf(call));
-                answerJson(call.response, 200, {});
+            [enginePath.state, call => respondWithJson(call.response, 200, this.state())],
+            [enginePath.load, call => respondWithJson(call.response, 200, this.loadReport(false))],
+            [transferPath.begin, call => this.beginTransfer(call)],
+            [transferPath.release, call => {
+                this.prefillQueue.releaseResult(readHandle(call));
+                respondWithJson(call.response, 200, {});
             }],
-            ["/engine/v1/test/held", call => answerJson(call.response, 200, { active: this.active() })],
-            ["/engine/v1/test/ran", call => answerJson(call.response, 200, this.ran.all())],
-            ["/engine/v1/test/orders", call => answerJson(call.response, 200, this.orders.given)],
+            ["/engine/v1/test/held", call => respondWithJson(call.response, 200, { active: this.active() })],
+            ["/engine/v1/test/ran", call => respondWithJson(call.response, 200, this.ran.all())],
+            ["/engine/v1/test/orders", call => respondWithJson(call.response, 200, this.orders.received)],
         ]);
     }
 
     private async prefill(call: Call): Promise<void> {
         const { attempt, generation } = prefillRequestSchema.parse(JSON.parse(call.body));
         const refusal = this.refusal("prefill", generation);
-        answerWork(call, refusal ?? await this.prefills.prefill(attempt, generation));
+        sendResult(call, refusal ?? await this.prefillQueue.prefill(attempt, generation));
     }
 
     private async import(call: Call): Promise<void> {
@@ -170,49 +170,49 @@
         const refusal = this.refusal("decode", generation);
         const { diesUnder } = this.settings;
         if (diesUnder !== undefined && generation.prompt.includes(diesUnder)) {
-            this.deadly.add(attempt);
+            this.poisonAttempts.add(attempt);
         }
-        answerWork(call, refusal ?? await this.decodes.import(attempt, source, generation));
+        sendResult(call, refusal ?? await this.decodeBatch.import(attempt, source, generation));
     }
 
     private async decode(call: Call): Promise<void> {
         const { attempt, offset } = decodeRequestSchema.parse(JSON.parse(call.body));
-        const decoding = this.decodes.find(attempt);
+        const decoding = this.decodeBatch.find(attempt);
         if (decoding === undefined) {
-            answerWork(call, { notRun: true, code: "evicted", message: `${attempt} isn't held here` });
+            sendResult(call, { notRun: true, code: "evicted", message: `${attempt} has no KV cache on this engine` });
             return;
         }
         const resuming = decoding.phase !== "held";
         if (offset > decoding.produced || decoding.phase === "importing" || resuming && !this.settings.resume) {
-            answerJson(call.response, 400, { message: `can't decode from ${offset}` });
+            respondWithJson(call.response, 400, { message: `can't decode from offset ${offset}` });
             return;
         }
-        if (this.deadly.has(attempt)) {
-            this.die();
+        if (this.poisonAttempts.has(attempt)) {
+            this.crash();
             return;
         }
-        this.decodes.start(decoding);
-        await streamLines(call.response, this.decodes, decoding, offset, this.faults);
+        this.decodeBatch.start(decoding);
+        await streamLines(call.response, this.decodeBatch, decoding, offset, this.faults);
     }
 
     private cancel(call: Call): void {
         const { attempt } = cancelRequestSchema.parse(JSON.parse(call.body));
-        if (this.faults.dropsCancel()) {
+        if (this.faults.takeCancelDrop()) {
             return;
         }
         this.ran.of(attempt).cancels += 1;
         this.release(attempt);
-        answerJson(call.response, 200, { released: true });
+        respondWithJson(call.response, 200, { released: true });
     }
 
     private async order(call: Call): Promise<void> {
         const { orderId, fence, order } = orderRequestSchema.parse(JSON.parse(call.body));
-        answerJson(call.response, 200, await this.orders.order(orderId, fence, order));
+        respondWithJson(call.response, 200, await this.orders.receive(orderId, fence, order));
     }
 
-    private fetch(call: Call): void {
-        const result = this.prefills.fetch(handleOf(call));
-        answerWork(call, result ?? { notRun: true, code: "evicted", message: "the result is evicted" });
+    private beginTransfer(call: Call): void {
+        const result = this.prefillQueue.beginTransfer(readHandle(call));
+        sendResult(call, result ?? { notRun: true, code: "evicted", message: "the result is evicted" });
     }
 
     private refusal(role: EngineState["role"], generation: Generation): EngineRefusal | undefined {
@@ -229,8 +229,8 @@
     }
 
     private release(attempt: string): void {
-        this.prefills.cancel(attempt);
-        this.decodes.cancel(attempt);
+        this.prefillQueue.cancel(attempt);
+        this.decodeBatch.cancel(attempt);
     }
 
     private announcement(): Announcement {
@@ -258,42 +258,42 @@
         };
     }
 
-    /** Cache events go with the words to entry daemons only: each is told once. */
-    private report(withCache: boolean): LoadReport {
-        this.takePicture();
-        const picture = this.pictures[0]!;
-        this.reports += 1;
+    /** Cache events are included only in messages to entry daemons, since each event is reported once. */
+    private loadReport(withCache: boolean): LoadReport {
+        this.takeSnapshot();
+        const snapshot = this.loadSnapshots[0]!;
+        this.reportCount += 1;
         const tokenTime = this.orders.role === "prefill" ? this.settings.promptTokenTime : this.settings.tokenTime;
         return {
             id: this.id,
             incarnation: this.incarnation,
-            sequence: this.reports,
-            active: picture.active,
-            queuedTokens: picture.queuedTokens,
-            tokenTime: tokenTime * this.faults.factor(),
-            cache: withCache ? this.cache.due(performance.now()) : undefined,
+            sequence: this.reportCount,
+            active: snapshot.active,
+            queuedTokens: snapshot.queuedTokens,
+            tokenTime: tokenTime * this.faults.slowdownFactor(),
+            cache: withCache ? this.cache.takeDueEvents(performance.now()) : undefined,
         };
     }
 
-    /** Keeps pictures of the load for as long as reports lag; the first one is what a report tells. */
-    private takePicture(): void {
+    /** Records the current load and keeps the snapshots of the last `loadLag` milliseconds; a report contains the oldest one. */
+    private takeSnapshot(): void {
         const at = performance.now();
-        this.pictures.push({ at, active: this.active(), queuedTokens: this.prefills.queuedTokens() });
-        while (this.pictures.length > 1 && this.pictures[1]!.at <= at - this.settings.loadLag) {
-            this.pictures.shift();
+        this.loadSnapshots.push({ at, active: this.active(), queuedTokens: this.prefillQueue.queuedTokens() });
+        while (this.loadSnapshots.length > 1 && this.loadSnapshots[1]!.at <= at - this.settings.loadLag) {
+            this.loadSnapshots.shift();
         }
     }
 }
 
-function handleOf(call: Call): string {
+function readHandle(call: Call): string {
     return (JSON.parse(call.body) as { readonly handle: string; }).handle;
 }
 
-function answerWork(call: Call, answer: object | undefined): void {
+function sendResult(call: Call, answer: object | undefined): void {
     if (answer === undefined) {
-        answerJson(call.response, 500, { message: "the attempt was cancelled" });
+        respondWithJson(call.response, 500, { message: "the attempt was cancelled" });
         return;
     }
     const refused = "notRun" in answer;
-    answerJson(call.response, refused ? 409 : 200, answer);
+    respondWithJson(call.response, refused ? 409 : 200, answer);
 }
--- a/playground/standins/fakeService.ts
+++ b/playground/standins/fakeService.ts
@@ -1,36 +1,36 @@
 import type { Announcement } from "../../packages/basilpaddle/src/node/index.js";
 import { Announcer } from "./announcer.js";
 import { Faults } from "./faults.js";
-import { answerJson, type Call, HttpServer, wait } from "./httpServer.js";
+import { type Call, HttpServer, respondWithJson, wait } from "./httpServer.js";
 import { type FakeServiceSettings, fakeServiceSettingsSchema } from "./settings.js";
 
-const drainInterval = 20;
+const drainPollMilliseconds = 20;
 
 /**
- * A fake plain service. `GET …/status/<key>` is idempotent and tells how often the key ran; any POST runs once more
- * under its `idempotency-key`, so that a test can tell a call that ran twice.
+ * A fake plain service. `GET …/status/<key>` is idempotent and returns how often the key was run; every POST adds one run of
+ * its `idempotency-key`, so that a test can detect a call that ran twice.
  */
 export class FakeService {
     readonly faults: Faults;
-    /** How often each key ran. */
-    readonly runs = new Map<string, number>();
+    /** Number of runs by key. */
+    readonly runCounts = new Map<string, number>();
     private readonly announcer: Announcer;
     private readonly incarnation: number;
     private server!: HttpServer;
     private leaving = false;
-    private running = 0;
+    private openCalls = 0;
 
-    private constructor(private readonly settings: FakeServiceSettings, private readonly onDeath: () => void) {
+    private constructor(private readonly settings: FakeServiceSettings, private readonly onCrash: () => void) {
         this.incarnation = settings.incarnation ?? Date.now();
-        this.faults = Faults.create(() => this.die());
-        const told = { announcement: () => this.announcement(), load: () => undefined };
-        this.announcer = Announcer.create(settings.listeners, told, settings.seed);
+        this.faults = Faults.create(() => this.crash());
+        const announcementSource = { announcement: () => this.announcement(), load: () => undefined };
+        this.announcer = Announcer.create(settings.listeners, announcementSource, settings.seed);
     }
 
-    /** Starts the service. `onDeath` is called when a fault kills it. */
-    static async create(settings: unknown, onDeath: () => void = () => {}): Promise<FakeService> {
-        const service = new FakeService(fakeServiceSettingsSchema.parse(settings), onDeath);
-        service.server = await HttpServer.create(service.settings.host, call => service.answer(call));
+    /** Starts the service. `onCrash` is called when a fault crashes it. */
+    static async create(settings: unknown, onCrash: () => void = () => {}): Promise<FakeService> {
+        const service = new FakeService(fakeServiceSettingsSchema.parse(settings), onCrash);
+        service.server = await HttpServer.create(service.settings.host, call => service.dispatch(call));
         service.announcer.start();
         return service;
     }
@@ -39,69 +39,69 @@
         return this.server.url;
     }
 
-    /** Says that it leaves, takes no new work, and ends once nothing runs any more. */
+    /** Announces that it leaves, then refuses new calls and closes once no call is open any more. */
     async leave(): Promise<void> {
         await this.announcer.leave();
         this.leaving = true;
-        while (this.running > 0) {
-            await wait(drainInterval);
+        while (this.openCalls > 0) {
+            await wait(drainPollMilliseconds);
         }
         await this.close();
     }
 
-    /** Ends at once, and cuts what runs. */
+    /** Closes at once and interrupts the open calls. */
     async close(): Promise<void> {
-        this.server.die();
+        this.server.destroy();
         await this.announcer.stop();
     }
 
-    private die(): void {
+    private crash(): void {
         void this.close();
-        this.onDeath();
+        this.onCrash();
     }
 
-    private async answer(call: Call): Promise<void> {
+    private async dispatch(call: Call): Promise<void> {
         if (call.path === "/fault") {
             this.faults.control(call);
             return;
         }
         if (call.path === "/test/runs") {
-            answerJson(call.response, 200, Object.fromEntries(this.runs));
+            respondWithJson(call.response, 200, Object.fromEntries(this.runCounts));
             return;
         }
         if (this.leaving) {
-            answerJson(call.response, 503, { message: "leaving" });
+            respondWithJson(call.response, 503, { message: "leaving" });
             return;
         }
-        this.running += 1;
+        this.openCalls += 1;
         await this.serve(call).finally(() => {
-            this.running -= 1;
+            this.openCalls -= 1;
         });
     }
 
     private async serve(call: Call): Promise<void> {
         if (call.method === "GET") {
-            await this.lookUp(call);
+            await this.sendStatus(call);
             return;
         }
-        const struckBefore = this.faults.strike(call);
-        if (struckBefore) {
+        const isFaultInjected = this.faults.inject(call);
+        if (isFaultInjected) {
             return;
         }
         const key = String(call.request.headers["idempotency-key"] ?? call.path);
-        const runs = (this.runs.get(key) ?? 0) + 1;
-        this.runs.set(key, runs);
-        await wait(this.settings.callTime * this.faults.factor());
-        answerJson(call.response, 200, { service: this.settings.id, key, runs });
+        const runs = (this.runCounts.get(key) ?? 0) + 1;
+        this.runCounts.set(key, runs);
+        await wait(this.settings.callTime * this.faults.slowdownFactor());
+        respondWithJson(call.response, 200, { service: this.settings.id, key, runs });
     }
 
-    private async lookUp(call: Call): Promise<void> {
-        if (this.faults.strike(call)) {
+    private async sendStatus(call: Call): Promise<void> {
+        if (this.faults.inject(call)) {
             return;
         }
-        await wait(this.settings.callTime * this.faults.factor());
+        await wait(this.settings.callTime * this.faults.slowdownFactor());
         const key = decodeURIComponent(call.path.split("/").at(-1)!);
-        answerJson(call.response, 200, { service: this.settings.id, key, runs: this.runs.get(key) ?? 0 });
+        respondWithJson(call.response, 200, { service: this.settings.id, key, runs: this.runCounts.get(key) ?? 0 });
     }
 
     private announcement(): Announcement {
--- a/playground/standins/faults.ts
+++ b/playground/standins/faults.ts
@@ -1,18 +1,18 @@
 import type { ServerResponse } from "node:http";
-import { answerJson, type Call } from "./httpServer.js";
+import { type Call, respondWithJson } from "./httpServer.js";
 import { type Fault, faultSchema } from "./settings.js";
 
-/** Faults that are switched on, and how often they may still strike. */
+/** The active faults of a stand-in, and the number of calls that each may still affect. */
 export class Faults {
-    private active: { readonly fault: Fault; left: number; }[] = [];
+    private active: { readonly fault: Fault; remaining: number; }[] = [];
 
-    private constructor(private readonly die: () => void) {}
+    private constructor(private readonly crash: () => void) {}
 
-    static create(die: () => void): Faults {
-        return new Faults(die);
+    static create(crash: () => void): Faults {
+        return new Faults(crash);
     }
 
-    /** POST /fault switches one on; DELETE /fault ends all. */
+    /** POST /fault activates a fault; DELETE /fault deactivates all. */
     control(call: Call): void {
         if (call.method === "DELETE") {
             this.active = [];
@@ -20,34 +20,34 @@
         else if (call.method === "POST") {
             this.add(faultSchema.parse(JSON.parse(call.body)));
         }
-        answerJson(call.response, 200, this.active.map(({ fault }) => fault));
+        respondWithJson(call.response, 200, this.active.map(({ fault }) => fault));
     }
 
     add(fault: Fault): void {
         if (fault.kind === "die" && fault.path === undefined) {
-            this.die();
+            this.crash();
             return;
         }
-        this.active.push({ fault, left: fault.count ?? Infinity });
+        this.active.push({ fault, remaining: fault.count ?? Infinity });
     }
 
-    /** By how much everything is slowed down now. */
-    factor(): number {
+    /** Factor by which all processing times are multiplied at present. */
+    slowdownFactor(): number {
         return this.active.find(({ fault }) => fault.kind === "slow")?.fault.factor ?? 1;
     }
 
-    /** Whether the next cancel is to get lost. */
-    dropsCancel(): boolean {
+    /** Whether to ignore this cancel; uses up one call of the fault. */
+    takeCancelDrop(): boolean {
         return this.take(fault => fault.kind === "dropCancel") !== undefined;
     }
 
-    /** The fault that strikes this decode stream after some tokens. */
-    onStream(): Fault | undefined {
+    /** The fault to inject into this decode stream after some of its tokens; uses up one call of the fault. */
+    takeStreamFault(): Fault | undefined {
         return this.take(fault => fault.afterTokens !== undefined);
     }
 
-    /** Lets a fault strike a call before the call does anything. True if it did. */
-    strike(call: Call): boolean {
+    /** Injects the first matching fault instead of handling the call; returns whether there was one. */
+    inject(call: Call): boolean {
         const last = call.path.split("/").at(-1);
         const fault = this.take(candidate =>
             candidate.afterTokens === undefined && candidate.kind !== "slow" && candidate.kind !== "dropCancel"
@@ -56,21 +56,21 @@
         if (fault === undefined) {
             return false;
         }
-        this.strikeResponse(fault, call.response);
+        this.injectInto(fault, call.response);
         return true;
     }
 
-    /** What the caller gets to see of the fault. */
-    strikeResponse(fault: Fault, response: ServerResponse): void {
+    /** Makes the fault take effect on a response. */
+    injectInto(fault: Fault, response: ServerResponse): void {
         switch (fault.kind) {
             case "die":
-                this.die();
+                this.crash();
                 break;
             case "reset":
                 response.socket?.resetAndDestroy();
                 break;
             case "refuse":
-                answerJson(response, 503, { notRun: true, code: "full", message: "a fault refuses" });
+                respondWithJson(response, 503, { notRun: true, code: "full", message: "refused by an injected fault" });
                 break;
             case "plain503":
                 response.writeHead(503, { "content-type": "text/plain" }).end("busy");
@@ -89,12 +89,12 @@
     }
 
     private take(matches: (fault: Fault) => boolean): Fault | undefined {
-        const found = this.active.find(({ fault, left }) => left > 0 && matches(fault));
+        const found = this.active.find(({ fault, remaining }) => remaining > 0 && matches(fault));
         if (found === undefined) {
             return undefined;
         }
-        found.left -= 1;
-        this.active = this.active.filter(({ left }) => left > 0);
+        found.remaining -= 1;
+        this.active = this.active.filter(({ remaining }) => remaining > 0);
         return found.fault;
     }
 }
--- a/playground/standins/httpServer.ts
+++ b/playground/standins/httpServer.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** One call of a stand-in, with its whole body. */
+/** An HTTP request to a stand-in, with its complete body. */
 export type Call = {
     readonly method: string;
     readonly path: string;
@@ -10,8 +10,8 @@
     readonly response: ServerResponse;
 };
 
-/** Answers with JSON, unless the caller has gone. */
-export function answerJson(response: ServerResponse, status: number, body: unknown): void {
+/** Sends a JSON response, unless the caller has disconnected or was answered. */
+export function respondWithJson(response: ServerResponse, status: number, body: unknown): void {
     if (response.destroyed || response.writableEnded) {
         return;
     }
@@ -20,7 +20,7 @@
     response.end(text);
 }
 
-/** Waits; a wait without time ends in the same turn of the loop. */
+/** Resolves after the time or on abort; without a timer, in the same turn of the event loop, if the time is 0 or less. */
 export function wait(milliseconds: number, signal?: AbortSignal): Promise<void> {
     if (milliseconds <= 0 || signal?.aborted) {
         return Promise.resolve();
@@ -42,18 +42,18 @@
     return Buffer.concat(chunks).toString();
 }
 
-/** A server of a stand-in, on a port that the system chose. */
+/** The HTTP server of a stand-in, on a port that the system chooses. */
 export class HttpServer {
     private constructor(private readonly server: Server, readonly url: string) {}
 
-    static create(host: string, answer: (call: Call) => Promise<void>): Promise<HttpServer> {
+    static create(host: string, handler: (call: Call) => Promise<void>): Promise<HttpServer> {
         const server = createServer((request, response) => {
             const path = request.url ?? "/";
             void readBody(request)
-                .then(body => answer({ method: request.method ?? "GET", path, body, request, response }))
-                .catch((error: unknown) => answerJson(response, 500, { message: String(error) }));
+                .then(body => handler({ method: request.method ?? "GET", path, body, request, response }))
+                .catch((error: unknown) => respondWithJson(response, 500, { message: String(error) }));
         });
-        // Node ends a request that takes five minutes, and headers that take one; a held stream may last longer.
+        // By default Node.js limits a request to five minutes and its headers to one minute; a stalled stream may last longer.
         server.requestTimeout = 0;
         server.keepAliveTimeout = 10_000;
         return new Promise((resolve, reject) => {
@@ -65,13 +65,13 @@
         });
     }
 
-    /** Ends every connection with a reset, as the death of a process does. */
-    die(): void {
+    /** Stops listening and destroys every connection, as the crash of a process does. */
+    destroy(): void {
         this.server.close();
         this.server.closeAllConnections();
     }
 
-    /** Takes no further connection, and ends once those in use are done. */
+    /** Stops listening, and resolves once the connections in use are closed. */
     close(): Promise<void> {
         return new Promise(resolve => {
             this.server.close(() => resolve());
--- a/playground/standins/measure/engineClient.ts
+++ b/playground/standins/measure/engineClient.ts
@@ -2,30 +2,30 @@
 import { once } from "node:events";
 import { HttpEngine } from "../../../packages/basilpaddle/src/node/index.js";
 
-/** Measures the processor time that HttpEngine takes for a token: `node --import=tsx playground/standins/measure/engineClient.ts` */
-const never = new AbortController().signal;
+/** Measures the CPU time that HttpEngine takes per token: `node --import=tsx playground/standins/measure/engineClient.ts` */
+const neverAborted = new AbortController().signal;
 
 async function readStream(engine: HttpEngine, attempt: string, batches: boolean): Promise<number> {
     let tokens = 0;
     if (batches) {
-        for await (const batch of engine.decodeBatches(attempt, 0, never)) {
+        for await (const batch of engine.decodeBatches(attempt, 0, neverAborted)) {
             tokens += batch.unsafeCoerce().length;
         }
         return tokens;
     }
-    for await (const line of engine.decode(attempt, 0, never)) {
+    for await (const line of engine.decode(attempt, 0, neverAborted)) {
         tokens += line.isRight() ? 1 : 0;
     }
     return tokens;
 }
 
-async function measure(url: string, name: string, streams: number, tokens: number, beat: number, batches: boolean) {
+async function measure(url: string, name: string, streams: number, tokens: number, interval: number, batches: boolean) {
     const engine = HttpEngine.create(url);
-    await Promise.all(Array.from({ length: streams }, (_, n) => readStream(engine, `20/${beat}/${n}`, batches)));
+    await Promise.all(Array.from({ length: streams }, (_, n) => readStream(engine, `20/${interval}/${n}`, batches)));
     const cpuBefore = process.cpuUsage();
     const startedAt = performance.now();
     const read = await Promise.all(
-        Array.from({ length: streams }, (_, n) => readStream(engine, `${tokens}/${beat}/${n}`, batches)),
+        Array.from({ length: streams }, (_, n) => readStream(engine, `${tokens}/${interval}/${n}`, batches)),
     );
     const seconds = (performance.now() - startedAt) / 1_000;
     const cpu = process.cpuUsage(cpuBefore);
--- a/playground/standins/measure/reconcile.ts
+++ b/playground/standins/measure/reconcile.ts
@@ -15,7 +15,7 @@
 const rounds = 200;
 
 /** Pools of fifteen engines with twenty attempts each, in the middle of a rollout or settled. */
-function worldOf(engines: number, rollout: boolean) {
+function createDeployment(engines: number, rollout: boolean) {
     const pools: Record<string, unknown> = {};
     const backends: View["backends"] = {};
     const readings = new Map<string, EngineReading>();
@@ -47,19 +47,21 @@
 
 for (const rollout of [false, true]) {
     for (const engines of [15, 150, 600]) {
-        const { view, readings } = worldOf(engines, rollout);
+        const { view, readings } = createDeployment(engines, rollout);
         const reconciler = Reconciler.create(1, limits);
         let state = emptyReconcilerState();
         const times: number[] = [];
         for (let round = 0; round < rounds; round++) {
             const now = round * 1_000;
-            const fresh = new Map([...readings].map(([id, reading]) => [id, { ...reading, askedAt: now }]));
+            const currentReadings = new Map([...readings].map(([id, reading]) => [id, { ...reading, askedAt: now }]));
             const startedAt = performance.now();
-            state = reconciler.step(state, view, fresh, now).state;
+            state = reconciler.step(state, view, currentReadings, now).state;
             times.push(performance.now() - startedAt);
         }
         times.sort((one, other) => one - other);
-        const at = (part: number) => Number(times[Math.floor(times.length * part)]!.toFixed(3));
-        console.log(JSON.stringify({ rollout, engines, p50Milliseconds: at(0.5), p99Milliseconds: at(0.99) }));
+        const percentile = (fraction: number) => Number(times[Math.floor(times.length * fraction)]!.toFixed(3));
+        console.log(
+            JSON.stringify({ rollout, engines, p50Milliseconds: percentile(0.5), p99Milliseconds: percentile(0.99) }),
+        );
     }
 }
--- a/playground/standins/measure/tokenServer.ts
+++ b/playground/standins/measure/tokenServer.ts
@@ -1,28 +1,28 @@
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** Streams tokens as an engine does, in a process of its own: `attempt` is `<tokens>/<milliseconds between two>/<n>`. */
+/** Streams tokens as an engine does, in a separate process: `attempt` is `<tokens>/<milliseconds between two>/<n>`. */
 const server = createServer((request, response) => {
     const chunks: Buffer[] = [];
     request.on("data", chunk => chunks.push(chunk as Buffer));
     request.on("end", () => {
         const { attempt } = JSON.parse(Buffer.concat(chunks).toString()) as { readonly attempt: string; };
-        const [tokens, beat] = attempt.split("/").map(Number) as [number, number];
+        const [tokens, interval] = attempt.split("/").map(Number) as [number, number];
         response.writeHead(200);
         let offset = 0;
         const line = () => `{"kind":"token","offset":${offset++},"text":" wordy"}\n`;
         const end = () => response.end(`{"kind":"end","offset":${offset},"reason":"stop"}\n`);
-        if (beat === 0) {
-            const more = () => {
+        if (interval === 0) {
+            const writeMore = () => {
                 while (offset < tokens) {
                     if (!response.write(Array.from({ length: Math.min(50, tokens - offset) }, line).join(""))) {
-                        response.once("drain", more);
+                        response.once("drain", writeMore);
                         return;
                     }
                 }
                 end();
             };
-            more();
+            writeMore();
             return;
         }
         const timer = setInterval(() => {
@@ -31,7 +31,7 @@
                 clearInterval(timer);
                 end();
             }
-        }, beat);
+        }, interval);
     });
 });
 server.listen(0, "127.0.0.1", () => process.send!((server.address() as AddressInfo).port));
--- a/playground/standins/orderWork.ts
+++ b/playground/standins/orderWork.ts
@@ -3,7 +3,7 @@
 import { wait } from "./httpServer.js";
 import type { FakeEngineSettings } from "./settings.js";
 
-/** An order as it came, with the attempts that were active then. */
+/** A received order with its outcome, and the attempts that were active when it arrived. */
 export type GivenOrder = {
     readonly orderId: string;
     readonly fence: number;
@@ -12,30 +12,30 @@
     readonly active: readonly string[];
 };
 
-/** What an order may do to the engine that carries it out. */
-export type Carrier = {
+/** The engine that executes an order, as far as orders affect it. */
+export type OrderTarget = {
     readonly active: (model?: string) => string[];
-    /** Ends attempts at once, as an engine does that is given an order before it was drained. */
-    readonly cut: (attempts: readonly string[]) => void;
-    /** Called when what the engine announces has changed. */
-    readonly changed: () => void;
+    /** Cancels attempts at once, as an engine does that receives an order before it was drained. */
+    readonly cancelAttempts: (attempts: readonly string[]) => void;
+    /** Called when the announcement of the engine has changed. */
+    readonly onChange: () => void;
 };
 
-/** Models and role of a fake engine, and the orders that change them. */
-export class OrderWork {
+/** The models and the role of a fake engine; executes the orders that change them. */
+export class OrderExecutor {
     role: EngineState["role"];
     models: EngineState["models"];
     highestFence = 0;
-    readonly given: GivenOrder[] = [];
+    readonly received: GivenOrder[] = [];
     private readonly answers = new Map<string, OrderAnswer>();
 
-    private constructor(private readonly settings: FakeEngineSettings, private readonly carrier: Carrier) {
+    private constructor(private readonly settings: FakeEngineSettings, private readonly target: OrderTarget) {
         this.role = settings.role;
         this.models = settings.models.map(model => ({ ...model, phase: "warm", loadingAdapters: [] }));
     }
 
-    static create(settings: FakeEngineSettings, carrier: Carrier): OrderWork {
-        return new OrderWork(settings, carrier);
+    static create(settings: FakeEngineSettings, target: OrderTarget): OrderExecutor {
+        return new OrderExecutor(settings, target);
     }
 
     /** Whether a request for the model can be run. */
@@ -46,20 +46,21 @@
         );
     }
 
-    async order(orderId: string, fence: number, order: Order): Promise<OrderAnswer> {
+    /** Executes an order after the configured latency; a repeated order gets the answer of its first execution. */
+    async receive(orderId: string, fence: number, order: Order): Promise<OrderAnswer> {
         await wait(this.settings.orderLatency);
-        const known = this.answers.get(orderId);
-        if (known !== undefined) {
-            return known;
+        const earlier = this.answers.get(orderId);
+        if (earlier !== undefined) {
+            return earlier;
         }
-        const active = order.action === "unload" ? this.carrier.active(order.model) : this.carrier.active();
-        const answer = this.carryOut(fence, order);
-        this.given.push({ orderId, fence, order, outcome: answer.outcome, active });
+        const active = order.action === "unload" ? this.target.active(order.model) : this.target.active();
+        const answer = this.execute(fence, order);
+        this.received.push({ orderId, fence, order, outcome: answer.outcome, active });
         this.answers.set(orderId, answer);
         return answer;
     }
 
-    private carryOut(fence: number, order: Order): OrderAnswer {
+    private execute(fence: number, order: Order): OrderAnswer {
         if (this.settings.checksFence && fence < this.highestFence) {
             return this.refuse(`fencing number ${fence} is older than ${this.highestFence}`);
         }
@@ -76,39 +77,39 @@
 
     private load(order: Extract<Order, { action: "load"; }>): OrderAnswer {
         const { model: name, version, adapters } = order;
-        const present = this.models.find(model => model.name === name && model.version === version);
-        if (present?.phase === "loading") {
+        const existing = this.models.find(model => model.name === name && model.version === version);
+        if (existing?.phase === "loading") {
             return this.answer("started");
         }
-        if (present !== undefined && adapters.every(adapter => present.adapters.includes(adapter))) {
+        if (existing !== undefined && adapters.every(adapter => existing.adapters.includes(adapter))) {
             return this.answer("done");
         }
-        // A warm version goes on serving while adapters come beside it.
-        const meanwhile = present === undefined
+        // A warm version continues to serve requests while adapters are loaded for it.
+        const loadingModel = existing === undefined
             ? { name, version, adapters, phase: "loading" as const, loadingAdapters: [] }
-            : { ...present, loadingAdapters: adapters };
-        this.replace(name, version, meanwhile);
+            : { ...existing, loadingAdapters: adapters };
+        this.replaceModel(name, version, loadingModel);
         void this.fetchWeights(name, version).then(loaded => {
-            const all = [...new Set([...present?.adapters ?? [], ...adapters])];
-            const warm = { name, version, adapters: all, phase: "warm" as const, loadingAdapters: [] };
-            this.replace(name, version, loaded ? warm : present);
-            this.carrier.changed();
+            const allAdapters = [...new Set([...existing?.adapters ?? [], ...adapters])];
+            const loadedModel = { name, version, adapters: allAdapters, phase: "warm" as const, loadingAdapters: [] };
+            this.replaceModel(name, version, loaded ? loadedModel : existing);
+            this.target.onChange();
         });
         return this.answer("started");
     }
 
-    private replace(name: string, version: string, model: EngineState["models"][number] | undefined): void {
+    private replaceModel(name: string, version: string, model: EngineState["models"][number] | undefined): void {
         const others = this.models.filter(other => other.name !== name || other.version !== version);
         this.models = model === undefined ? others : [...others, model];
     }
 
     private unload(order: Extract<Order, { action: "unload"; }>): OrderAnswer {
-        const left = this.models.filter(({ name, version }) => name !== order.model || version !== order.version);
-        if (!left.some(({ name }) => name === order.model)) {
-            this.carrier.cut(this.carrier.active(order.model));
+        const remaining = this.models.filter(({ name, version }) => name !== order.model || version !== order.version);
+        if (!remaining.some(({ name }) => name === order.model)) {
+            this.target.cancelAttempts(this.target.active(order.model));
         }
-        this.models = left;
-        this.carrier.changed();
+        this.models = remaining;
+        this.target.onChange();
         return this.answer("done");
     }
 
@@ -117,9 +118,9 @@
             return this.refuse("this engine doesn't change its role");
         }
         if (role !== this.role) {
-            this.carrier.cut(this.carrier.active());
+            this.target.cancelAttempts(this.target.active());
             this.role = role;
-            this.carrier.changed();
+            this.target.onChange();
         }
         return this.answer("done");
     }
--- a/playground/standins/prefillWork.ts
+++ b/playground/standins/prefillQueue.ts
@@ -8,53 +8,57 @@
 } from "../../packages/basilpaddle/src/node/index.js";
 import { wait } from "./httpServer.js";
 import type { PrefixCache } from "./prefixCache.js";
-
 import type { Ran } from "./ran.js";
 import type { FakeEngineSettings } from "./settings.js";
 
-type Result = {
+type PrefillResult = {
     readonly attempt: string;
     readonly generation: Generation;
     readonly promptTokens: number;
     timer: NodeJS.Timeout;
 };
-type Job = { readonly abort: AbortController; readonly model: string; tokens: number; };
+type PrefillJob = { readonly abort: AbortController; readonly model: string; tokens: number; };
 
-/** A result that somebody began to fetch and never took stays at most this long. */
-const fetchLimit = 10_000;
+/** Milliseconds for which a result is kept after its transfer has begun, in case it is never released. */
+const transferTimeoutMilliseconds = 10_000;
 
-/** Computes prompts one after the other, and keeps results until they are fetched or evicted. */
-export class PrefillWork {
-    private readonly jobs = new Map<string, Job>();
-    private readonly results = new Map<string, Result>();
+/** Computes prompts one after another, and keeps each result until it is transferred or evicted. */
+export class PrefillQueue {
+    private readonly jobs = new Map<string, PrefillJob>();
+    private readonly results = new Map<string, PrefillResult>();
     private lastJob: Promise<void> = Promise.resolve();
 
     private constructor(
         private readonly settings: FakeEngineSettings,
         private readonly cache: PrefixCache,
         private readonly ran: Ran,
-        private readonly factor: () => number,
+        private readonly slowdownFactor: () => number,
     ) {}
 
-    static create(settings: FakeEngineSettings, cache: PrefixCache, ran: Ran, factor: () => number): PrefillWork {
-        return new PrefillWork(settings, cache, ran, factor);
+    static create(
+        settings: FakeEngineSettings,
+        cache: PrefixCache,
+        ran: Ran,
+        slowdownFactor: () => number,
+    ): PrefillQueue {
+        return new PrefillQueue(settings, cache, ran, slowdownFactor);
     }
 
-    /** Undefined where it was cancelled. */
+    /** Computes a prompt after those queued before it; undefined if the attempt was cancelled meanwhile. */
     async prefill(attempt: string, generation: Generation): Promise<PrefillAnswer | EngineRefusal | undefined> {
         if (this.jobs.size >= this.settings.slots) {
-            return { notRun: true, code: "full", message: `${this.jobs.size} prompts wait already` };
+            return { notRun: true, code: "full", message: `${this.jobs.size} prompts are queued already` };
         }
         if (this.jobs.has(attempt)) {
-            return { notRun: true, code: "badRequest", message: `${attempt} is being computed` };
+            return { notRun: true, code: "badRequest", message: `${attempt} is queued already` };
         }
-        const job: Job = { abort: new AbortController(), model: generation.model, tokens: 0 };
+        const job: PrefillJob = { abort: new AbortController(), model: generation.model, tokens: 0 };
         this.jobs.set(attempt, job);
-        const before = this.lastJob;
+        const previousJob = this.lastJob;
         const { promise, resolve } = withResolvers();
         this.lastJob = promise;
         try {
-            await before;
+            await previousJob;
             return await this.compute(attempt, generation, job);
         }
         finally {
@@ -63,18 +67,18 @@
         }
     }
 
-    /** Begins a fetch of a result; it isn't evicted meanwhile. */
-    fetch(handle: string): { readonly bytes: number; readonly promptTokens: number; } | undefined {
+    /** Begins the transfer of a result, which isn't evicted meanwhile; undefined if there is no such result. */
+    beginTransfer(handle: string): { readonly bytes: number; readonly promptTokens: number; } | undefined {
         const result = this.results.get(handle);
         if (result === undefined) {
             return undefined;
         }
-        this.keep(handle, result, fetchLimit);
+        this.retain(handle, result, transferTimeoutMilliseconds);
         return { bytes: result.promptTokens * this.settings.bytesPerToken, promptTokens: result.promptTokens };
     }
 
-    /** Ends a fetch; the result isn't held any more. */
-    fetched(handle: string): void {
+    /** Deletes a result, after its transfer or on a cancel. */
+    releaseResult(handle: string): void {
         clearTimeout(this.results.get(handle)?.timer);
         this.results.delete(handle);
     }
@@ -83,12 +87,12 @@
         this.jobs.get(attempt)?.abort.abort();
         for (const [handle, result] of this.results) {
             if (result.attempt === attempt) {
-                this.fetched(handle);
+                this.releaseResult(handle);
             }
         }
     }
 
-    /** Attempts that are computed or hold a result, of one model or of all. */
+    /** Attempts that are queued, being computed or have a result here, of one model or of all. */
     active(model?: string): string[] {
         const jobs = [...this.jobs].filter(([, job]) => model === undefined || job.model === model);
         const results = [...this.results.values()]
@@ -100,25 +104,29 @@
         return [...this.jobs.values()].reduce((sum, job) => sum + job.tokens, 0);
     }
 
-    private async compute(attempt: string, generation: Generation, job: Job): Promise<PrefillAnswer | undefined> {
+    private async compute(
+        attempt: string,
+        generation: Generation,
+        job: PrefillJob,
+    ): Promise<PrefillAnswer | undefined> {
         if (job.abort.signal.aborted) {
             return undefined;
         }
         const promptTokens = estimateTokens(generation.prompt);
-        const reusedTokens = this.cache.use(generation.prompt) * blockTokens;
+        const reusedTokens = this.cache.reuse(generation.prompt) * blockTokens;
         job.tokens = promptTokens - reusedTokens;
         this.ran.of(attempt).prefills += 1;
         this.ran.of(attempt).prefillTokens += job.tokens;
-        await wait(job.tokens * this.settings.promptTokenTime * this.factor(), job.abort.signal);
+        await wait(job.tokens * this.settings.promptTokenTime * this.slowdownFactor(), job.abort.signal);
         if (job.abort.signal.aborted) {
             return undefined;
         }
         const handle = randomUUID();
-        this.keep(handle, { attempt, generation, promptTokens, timer: setTimeout(() => {}, 0) });
+        this.retain(handle, { attempt, generation, promptTokens, timer: setTimeout(() => {}, 0) });
         return { handle, promptTokens, reusedTokens, bytes: promptTokens * this.settings.bytesPerToken };
     }
 
-    private keep(handle: string, result: Result, milliseconds = this.settings.evictAfter): void {
+    private retain(handle: string, result: PrefillResult, milliseconds = this.settings.evictAfter): void {
         clearTimeout(result.timer);
         result.timer = setTimeout(() => this.results.delete(handle), milliseconds);
         this.results.set(handle, result);
--- a/playground/standins/prefixCache.ts
+++ b/playground/standins/prefixCache.ts
@@ -1,14 +1,14 @@
 import { type LoadReport, PrefixHash, SeededRandomness } from "../../packages/basilpaddle/src/node/index.js";
-
 import type { FakeEngineSettings } from "./settings.js";
 
 type CacheEvent = NonNullable<LoadReport["cache"]>["events"][number];
 
-/** The prefix cache of a fake engine. Tells its changes late, and loses some of them. */
+/** The prefix cache of a fake engine. Its cache events are reported with a delay, and some of them are lost. */
 export class PrefixCache {
-    /** In the order of their last use. */
+    /** Cached prefix blocks, least recently used first. */
     private readonly blocks = new Set<string>();
-    private readonly events: { readonly sequence: number; readonly at: number; readonly event: CacheEvent; }[] = [];
+    private readonly pendingEvents: { readonly sequence: number; readonly at: number; readonly event: CacheEvent; }[] =
+        [];
     private nextSequence = 0;
     private readonly randomness: SeededRandomness;
 
@@ -20,53 +20,55 @@
         return new PrefixCache(settings, await PrefixHash.create());
     }
 
-    /** Blocks at the start of the prompt that are cached. Caches the others as well. */
-    use(prompt: string): number {
+    /** Returns the number of cached blocks at the start of the prompt, and caches the others. */
+    reuse(prompt: string): number {
         const prefixes = this.hash.prefixes(prompt);
         const firstMissing = prefixes.findIndex(prefix => !this.blocks.has(prefix));
         const reused = firstMissing === -1 ? prefixes.length : firstMissing;
         for (const prefix of prefixes) {
             if (!this.blocks.delete(prefix)) {
-                this.tell({ kind: "stored", prefix });
+                this.recordEvent({ kind: "stored", prefix });
             }
             this.blocks.add(prefix);
         }
-        this.shrink();
+        this.evictOldest();
         return reused;
     }
 
-    /** Forgets everything, as a change of models or roles does. */
+    /** Clears the cache, as a change of models or roles does. */
     clear(): void {
         this.blocks.clear();
-        this.tell({ kind: "cleared", prefix: "" });
+        this.recordEvent({ kind: "cleared", prefix: "" });
     }
 
-    /** The changes whose time has come, up to the first gap. */
-    due(now: number): LoadReport["cache"] {
-        const ready = this.events.findIndex(({ at }) => at > now);
-        const due = this.events.slice(0, ready === -1 ? undefined : ready);
-        const gap = due.findIndex(({ sequence }, place) => place > 0 && sequence !== due[place - 1]!.sequence + 1);
-        const told = this.events.splice(0, gap === -1 ? due.length : gap);
-        return told.length === 0
+    /** Removes and returns the events whose delay has passed, up to the first gap in their sequence numbers. */
+    takeDueEvents(now: number): LoadReport["cache"] {
+        const firstNotDue = this.pendingEvents.findIndex(({ at }) => at > now);
+        const dueEvents = this.pendingEvents.slice(0, firstNotDue === -1 ? undefined : firstNotDue);
+        const gap = dueEvents.findIndex(({ sequence }, index) =>
+            index > 0 && sequence !== dueEvents[index - 1]!.sequence + 1
+        );
+        const reported = this.pendingEvents.splice(0, gap === -1 ? dueEvents.length : gap);
+        return reported.length === 0
             ? undefined
-            : { firstSequence: told[0]!.sequence, events: told.map(({ event }) => event) };
+            : { firstSequence: reported[0]!.sequence, events: reported.map(({ event }) => event) };
     }
 
-    private shrink(): void {
+    private evictOldest(): void {
         for (const prefix of this.blocks) {
             if (this.blocks.size <= this.settings.cacheBlocks) {
                 return;
             }
             this.blocks.delete(prefix);
-            this.tell({ kind: "evicted", prefix });
+            this.recordEvent({ kind: "evicted", prefix });
         }
     }
 
-    private tell(event: CacheEvent): void {
+    private recordEvent(event: CacheEvent): void {
         const sequence = this.nextSequence;
         this.nextSequence += 1;
         if (this.randomness.fraction() >= this.settings.cacheEventLoss) {
-            this.events.push({ sequence, at: performance.now() + this.settings.cacheEventLag, event });
+            this.pendingEvents.push({ sequence, at: performance.now() + this.settings.cacheEventLag, event });
         }
     }
 }
--- a/playground/standins/ran.ts
+++ b/playground/standins/ran.ts
@@ -1,4 +1,4 @@
-/** What one attempt made an engine do. */
+/** The work that one attempt caused on an engine: numbers of calls and tokens. */
 export type AttemptRan = {
     prefills: number;
     prefillTokens: number;
@@ -8,10 +8,10 @@
     cancels: number;
 };
 
-/** Attempts that are remembered; the oldest are forgotten first. */
+/** Attempts that are kept; the oldest are dropped first. */
 const mostAttempts = 100_000;
 
-/** Counts what each attempt made an engine do. */
+/** Counts the work that each attempt caused on an engine. */
 export class Ran {
     private readonly attempts = new Map<string, AttemptRan>();
 
--- a/playground/standins/settings.ts
+++ b/playground/standins/settings.ts
@@ -2,13 +2,13 @@
 
 const milliseconds = z.number().min(0);
 
-/** How a stand-in's address is chosen: the host is given, the port by the system. */
+/** Host on which a stand-in listens; the system chooses the port. */
 const host = z.string().default("127.0.0.1");
 
 /** Settings of a fake engine. */
 export const fakeEngineSettingsSchema = z.strictObject({
     id: z.string(),
-    /** Taken from the time of the start when left out. */
+    /** The start time if omitted. */
     incarnation: z.int().min(0).optional(),
     host,
     failureDomain: z.string().default("local"),
@@ -17,35 +17,35 @@
     models: z.array(z.object({ name: z.string(), version: z.string(), adapters: z.array(z.string()).default([]) }))
         .default([]),
     slots: z.int().min(1).default(20),
-    /** Milliseconds to compute one prompt token, and between two tokens of every answer. */
+    /** Milliseconds for each prompt token, and between two tokens of each answer. */
     promptTokenTime: milliseconds.default(0.25),
     tokenTime: milliseconds.default(20),
-    /** A prefill's result is evicted after this long. */
+    /** Milliseconds after which a prefill result is evicted. */
     evictAfter: milliseconds.default(800),
-    /** Bytes a second that an import gets, shared by all imports of the engine; bytes of KV cache for a prompt token. */
+    /** Bytes per second for all KV cache imports of the engine together; bytes of KV cache per prompt token. */
     linkRate: z.number().positive().default(1e9),
     bytesPerToken: z.int().min(0).default(20_000),
-    /** Prefix blocks that fit into the cache. */
+    /** Capacity of the prefix cache in blocks. */
     cacheBlocks: z.int().min(0).default(2_000),
-    /** Cache events come this much late, and this part of them gets lost. */
+    /** Milliseconds by which cache events are delayed, and the fraction of them that is lost. */
     cacheEventLag: milliseconds.default(300),
     cacheEventLoss: z.number().min(0).max(1).default(0),
-    /** Load reports tell what was the case this long ago. */
+    /** Milliseconds by which load reports lag behind the load. */
     loadLag: milliseconds.default(200),
     checksFence: z.boolean().default(true),
-    /** Text in a prompt under which it ends as soon as it begins to decode. */
+    /** Text in a prompt that crashes the engine as soon as it starts to decode. */
     diesUnder: z.string().min(1).optional(),
     resume: z.boolean().default(true),
     changesRole: z.boolean().default(true),
     orderLatency: milliseconds.default(20),
-    /** Where models are loaded from; at once when left out. */
+    /** Base URL of the weight store from which models are loaded; if omitted, loads take no time. */
     weightStore: z.string().optional(),
     weightBytes: z.int().min(0).default(50_000_000),
-    /** The URL that it announces where that isn't its own, as with a relay before it. */
+    /** The URL to announce if it isn't the engine's own, as with a relay in front of it. */
     announcedUrl: z.string().optional(),
-    /** `host:port` of entry daemons' listeners for backend servers. Nothing is announced where there is none. */
+    /** `host:port` at which entry daemons listen for backend servers. Nothing is announced if there are none. */
     listeners: z.array(z.string()).default([]),
-    /** Seed of what gets lost. */
+    /** Seed for the choice of a listener for each message, and of the cache events that are lost. */
     seed: z.int().default(1),
 });
 
@@ -56,7 +56,7 @@
     host,
     failureDomain: z.string().default("local"),
     service: z.string(),
-    /** Milliseconds for one call. */
+    /** Milliseconds per call. */
     callTime: milliseconds.default(2),
     listeners: z.array(z.string()).default([]),
     seed: z.int().default(1),
@@ -65,20 +65,20 @@
 /** Settings of a fake weight store. */
 export const fakeWeightStoreSettingsSchema = z.strictObject({
     host,
-    /** Bytes a second for all loads together. */
+    /** Bytes per second for all loads together. */
     rate: z.number().positive().default(50_000_000),
 });
 
-/** What can be made to go wrong, for all calls or for those of one path. */
+/** A fault to inject, into all calls or into those of one path. */
 export const faultSchema = z.strictObject({
     kind: z.enum(["die", "hang", "reset", "dropCancel", "slow", "refuse", "plain503", "garbage"]),
-    /** Last part of the path, such as `prefill`; any call of the wire when left out. */
+    /** Last part of the path, such as `prefill`; if omitted, any call except those with which tests inspect the stand-in. */
     path: z.string().optional(),
-    /** Calls that it strikes; all when left out. */
+    /** Number of calls that are affected; all if omitted. */
     count: z.int().min(1).optional(),
-    /** On a decode stream: strikes after this many tokens. */
+    /** For decode streams: number of tokens after which the fault takes effect. */
     afterTokens: z.int().min(0).optional(),
-    /** With `slow`: times everything takes. */
+    /** For `slow`: factor by which all processing times are multiplied. */
     factor: z.number().positive().default(10),
 });
 
@@ -88,5 +88,5 @@
 export type FakeServiceSettings = z.infer<typeof fakeServiceSettingsSchema>;
 /** Settings of a fake weight store, resolved. */
 export type FakeWeightStoreSettings = z.infer<typeof fakeWeightStoreSettingsSchema>;
-/** Something that was made to go wrong. */
+/** A fault to inject. */
 export type Fault = z.infer<typeof faultSchema>;
--- a/playground/standins/streamLines.ts
+++ b/playground/standins/streamLines.ts
@@ -1,37 +1,37 @@
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
-import { type DecodeWork, type Decoding, wakeAll } from "./decodeWork.js";
+import { type DecodeBatch, type Decoding, notifyWaiters } from "./decodeBatch.js";
 import type { Faults } from "./faults.js";
 
-/** Writes an answer from the offset on, as it is produced, one JSON object a line. */
+/** Streams an answer from the offset on as it is produced, with one JSON object per line. */
 export async function streamLines(
     response: ServerResponse,
-    work: DecodeWork,
+    batch: DecodeBatch,
     decoding: Decoding,
     offset: number,
     faults: Faults,
 ): Promise<void> {
-    const gone = new AbortController();
+    const disconnected = new AbortController();
     response.on("close", () => {
-        gone.abort();
-        wakeAll(decoding);
+        disconnected.abort();
+        notifyWaiters(decoding);
     });
     response.writeHead(200, { "content-type": "application/x-ndjson" });
-    const fault = faults.onStream();
-    let next = offset;
-    for (let ended = false; !ended && !gone.signal.aborted;) {
-        const lines = await work.lines(decoding, next, gone.signal);
-        const room = fault === undefined ? lines.length : Math.max(0, offset + fault.afterTokens! - next);
-        const written = lines.slice(0, room);
-        next += written.filter(({ kind }) => kind === "token").length;
+    const fault = faults.takeStreamFault();
+    let nextOffset = offset;
+    for (let ended = false; !ended && !disconnected.signal.aborted;) {
+        const lines = await batch.lines(decoding, nextOffset, disconnected.signal);
+        const allowed = fault === undefined ? lines.length : Math.max(0, offset + fault.afterTokens! - nextOffset);
+        const written = lines.slice(0, allowed);
+        nextOffset += written.filter(({ kind }) => kind === "token").length;
         const flushed = response.write(written.map(line => `${JSON.stringify(line)}\n`).join(""));
-        if (fault !== undefined && room <= lines.length) {
-            faults.strikeResponse(fault, response);
+        if (fault !== undefined && allowed <= lines.length) {
+            faults.injectInto(fault, response);
             return;
         }
         ended = written.some(({ kind }) => kind !== "token");
-        if (!flushed && !gone.signal.aborted) {
-            await Promise.race([once(response, "drain"), once(gone.signal, "abort")]);
+        if (!flushed && !disconnected.signal.aborted) {
+            await Promise.race([once(response, "drain"), once(disconnected.signal, "abort")]);
         }
     }
     response.end();
