--- a/playground/harness/backend.ts
+++ b/playground/harness/backend.ts
@@ -1,6 +1,6 @@
 import { fileURLToPath } from "node:url";
-import type { GivenOrder } from "../standins/orderWork.js";
-import type { AttemptRan } from "../standins/ran.js";
+import type { AttemptRecord } from "../standins/attemptRecords.js";
+import type { ReceivedOrder } from "../standins/orderExecutor.js";
 import type { Fault } from "../standins/settings.js";
 import { Program, type ProgramExit } from "./program.js";
 
@@ -26,8 +26,8 @@
     }
 
     /** The work that the engine did, by attempt. */
-    async attemptRecords(): Promise<Record<string, AttemptRan>> {
-        return await this.read("/engine/v1/test/ran") as Record<string, AttemptRan>;
+    async attemptRecords(): Promise<Record<string, AttemptRecord>> {
+        return await this.read("/engine/v1/test/ran") as Record<string, AttemptRecord>;
     }
 
     /** Attempts that hold a slot or memory at the engine. */
@@ -36,8 +36,8 @@
     }
 
     /** The orders that the engine received, in order of arrival. */
-    async orders(): Promise<readonly GivenOrder[]> {
-        return await this.read("/engine/v1/test/orders") as GivenOrder[];
+    async orders(): Promise<readonly ReceivedOrder[]> {
+        return await this.read("/engine/v1/test/orders") as ReceivedOrder[];
     }
 
     /** Number of runs by key at a plain service. */
--- a/playground/standins/__tests__/fakeEngine.spec.ts
+++ b/playground/standins/__tests__/fakeEngine.spec.ts
@@ -62,7 +62,7 @@
         expect(answers).to.deep.equal(prompts.map(prompt => answerOf(prompt, 200)));
         expect(prefill.active()).to.deep.equal([]);
         expect(decode.active()).to.deep.equal([]);
-        expect(prefill.ran.of("a/0").prefills).to.equal(1);
+        expect(prefill.attemptRecords.of("a/0").prefills).to.equal(1);
     });
 
     it("resumes a stream at its offset", async () => {
--- a/playground/standins/decodeBatch.ts
+++ b/playground/standins/decodeBatch.ts
@@ -1,8 +1,8 @@
 import { request } from "undici";
 import type { DecodeLine, EngineRefusal, Generation } from "../../packages/basilpaddle/src/node/index.js";
 import { answerOf } from "./answer.js";
+import type { AttemptRecords } from "./attemptRecords.js";
 import { wait } from "./httpServer.js";
-import type { Ran } from "./ran.js";
 import type { FakeEngineSettings } from "./settings.js";
 
 /** Paths with which a fake decode engine fetches KV cache from a fake prefill engine, and releases it there afterwards. */
@@ -37,12 +37,12 @@
 
     private constructor(
         private readonly settings: FakeEngineSettings,
-        private readonly ran: Ran,
+        private readonly records: AttemptRecords,
         private readonly slowdownFactor: () => number,
     ) {}
 
-    static create(settings: FakeEngineSettings, ran: Ran, slowdownFactor: () => number): DecodeBatch {
-        return new DecodeBatch(settings, ran, slowdownFactor);
+    static create(settings: FakeEngineSettings, records: AttemptRecords, slowdownFactor: () => number): DecodeBatch {
+        return new DecodeBatch(settings, records, slowdownFactor);
     }
 
     /** Allocates a slot and fetches the KV cache; undefined if the attempt was cancelled meanwhile. */
@@ -57,7 +57,7 @@
         if (this.decodings.has(attempt)) {
             return { notRun: true, code: "badRequest", message: `${attempt} was imported before` };
         }
-        this.ran.of(attempt).imports += 1;
+        this.records.of(attempt).imports += 1;
         const decoding = createDecoding(attempt, generation);
         this.decodings.set(attempt, decoding);
         const bytes = await this.fetchKvCache(source, decoding.abort.signal).catch((error: unknown) => {
@@ -80,7 +80,7 @@
     }
 
     start(decoding: Decoding): void {
-        this.ran.of(decoding.attempt).decodes += 1;
+        this.records.of(decoding.attempt).decodes += 1;
         if (decoding.phase === "held") {
             decoding.phase = "decoding";
             this.startSteps();
@@ -172,7 +172,7 @@
 
     private produce(decoding: Decoding, steps: number): void {
         const produced = Math.min(decoding.tokens.length, decoding.produced + steps);
-        this.ran.of(decoding.attempt).tokens += produced - decoding.produced;
+        this.records.of(decoding.attempt).tokens += produced - decoding.produced;
         decoding.produced = produced;
         if (produced === decoding.tokens.length) {
             decoding.phase = "done";
--- a/playground/standins/fakeEngine.ts
+++ b/playground/standins/fakeEngine.ts
@@ -12,13 +12,13 @@
     prefillRequestSchema,
 } from "../../packages/basilpaddle/src/node/index.js";
 import { Announcer } from "./announcer.js";
+import { AttemptRecords } from "./attemptRecords.js";
 import { DecodeBatch, transferPath } from "./decodeBatch.js";
 import { Faults } from "./faults.js";
 import { type Call, HttpServer, respondWithJson, wait } from "./httpServer.js";
-import { OrderExecutor } from "./orderWork.js";
+import { OrderExecutor } from "./orderExecutor.js";
 import { PrefillQueue } from "./prefillQueue.js";
 import { PrefixCache } from "./prefixCache.js";
-import { Ran } from "./ran.js";
 import { type FakeEngineSettings, fakeEngineSettingsSchema } from "./settings.js";
 import { streamLines } from "./streamLines.js";
 
@@ -30,7 +30,7 @@
 
 /** A fake engine that runs in either role, prefill or decode. */
 export class FakeEngine {
-    readonly ran = Ran.create();
+    readonly attemptRecords = AttemptRecords.create();
     readonly faults: Faults;
     readonly orders: OrderExecutor;
     private readonly prefillQueue: PrefillQueue;
@@ -54,8 +54,8 @@
         this.incarnation = settings.incarnation ?? Date.now();
         this.faults = Faults.create(() => this.crash());
         const slowdownFactor = () => this.faults.slowdownFactor();
-        this.prefillQueue = PrefillQueue.create(settings, cache, this.ran, slowdownFactor);
-        this.decodeBatch = DecodeBatch.create(settings, this.ran, slowdownFactor);
+        this.prefillQueue = PrefillQueue.create(settings, cache, this.attemptRecords, slowdownFactor);
+        this.decodeBatch = DecodeBatch.create(settings, this.attemptRecords, slowdownFactor);
         this.orders = OrderExecutor.create(settings, {
             active: model => this.active(model),
             cancelAttempts: attempts => attempts.forEach(attempt => this.release(attempt)),
@@ -154,7 +154,7 @@
                 respondWithJson(call.response, 200, {});
             }],
             ["/engine/v1/test/held", call => respondWithJson(call.response, 200, { active: this.active() })],
-            ["/engine/v1/test/ran", call => respondWithJson(call.response, 200, this.ran.all())],
+            ["/engine/v1/test/ran", call => respondWithJson(call.response, 200, this.attemptRecords.all())],
             ["/engine/v1/test/orders", call => respondWithJson(call.response, 200, this.orders.received)],
         ]);
     }
@@ -200,7 +200,7 @@
         if (this.faults.takeCancelDrop()) {
             return;
         }
-        this.ran.of(attempt).cancels += 1;
+        this.attemptRecords.of(attempt).cancels += 1;
         this.release(attempt);
         respondWithJson(call.response, 200, { released: true });
     }
--- a/playground/standins/orderWork.ts
+++ b/playground/standins/orderExecutor.ts
@@ -4,7 +4,7 @@
 import type { FakeEngineSettings } from "./settings.js";
 
 /** A received order with its outcome, and the attempts that were active when it arrived. */
-export type GivenOrder = {
+export type ReceivedOrder = {
     readonly orderId: string;
     readonly fence: number;
     readonly order: Order;
@@ -26,7 +26,7 @@
     role: EngineState["role"];
     models: EngineState["models"];
     highestFence = 0;
-    readonly received: GivenOrder[] = [];
+    readonly received: ReceivedOrder[] = [];
     private readonly answers = new Map<string, OrderAnswer>();
 
     private constructor(private readonly settings: FakeEngineSettings, private readonly target: OrderTarget) {
--- a/playground/standins/prefillQueue.ts
+++ b/playground/standins/prefillQueue.ts
@@ -6,9 +6,9 @@
     type Generation,
     type PrefillAnswer,
 } from "../../packages/basilpaddle/src/node/index.js";
+import type { AttemptRecords } from "./attemptRecords.js";
 import { wait } from "./httpServer.js";
 import type { PrefixCache } from "./prefixCache.js";
-import type { Ran } from "./ran.js";
 import type { FakeEngineSettings } from "./settings.js";
 
 type PrefillResult = {
@@ -31,17 +31,17 @@
     private constructor(
         private readonly settings: FakeEngineSettings,
         private readonly cache: PrefixCache,
-        private readonly ran: Ran,
+        private readonly records: AttemptRecords,
         private readonly slowdownFactor: () => number,
     ) {}
 
     static create(
         settings: FakeEngineSettings,
         cache: PrefixCache,
-        ran: Ran,
+        records: AttemptRecords,
         slowdownFactor: () => number,
     ): PrefillQueue {
-        return new PrefillQueue(settings, cache, ran, slowdownFactor);
+        return new PrefillQueue(settings, cache, records, slowdownFactor);
     }
 
     /** Computes a prompt after those queued before it; undefined if the attempt was cancelled meanwhile. */
@@ -115,8 +115,8 @@
         const promptTokens = estimateTokens(generation.prompt);
         const reusedTokens = this.cache.reuse(generation.prompt) * blockTokens;
         job.tokens = promptTokens - reusedTokens;
-        this.ran.of(attempt).prefills += 1;
-        this.ran.of(attempt).prefillTokens += job.tokens;
+        this.records.of(attempt).prefills += 1;
+        this.records.of(attempt).prefillTokens += job.tokens;
         await wait(job.tokens * this.settings.promptTokenTime * this.slowdownFactor(), job.abort.signal);
         if (job.abort.signal.aborted) {
             return undefined;
