--- a/playground/standins/decodeBatch.ts
+++ b/playground/standins/decodeBatch.ts
@@ -11,7 +11,7 @@
 /** Milliseconds for which a finished answer is kept, so that its stream can be resumed; it occupies no slot. */
 const resumeWindowMilliseconds = 5_000;
 
-type Phase = "importing" | "held" | "decoding" | "done" | "failed";
+type Phase = "importing" | "imported" | "decoding" | "done" | "failed";
 
 /** An attempt on a decode engine, from its import until its answer is deleted. */
 export type Decoding = {
@@ -71,7 +71,7 @@
             this.cancel(attempt);
             return { notRun: true, code: "evicted", message: `${source.handle} is evicted` };
         }
-        decoding.phase = "held";
+        decoding.phase = "imported";
         return { bytes };
     }
 
@@ -81,7 +81,7 @@
 
     start(decoding: Decoding): void {
         this.records.of(decoding.attempt).decodes += 1;
-        if (decoding.phase === "held") {
+        if (decoding.phase === "imported") {
             decoding.phase = "decoding";
             this.startSteps();
         }
--- a/playground/standins/fakeEngine.ts
+++ b/playground/standins/fakeEngine.ts
@@ -182,7 +182,7 @@
             sendResult(call, { notRun: true, code: "evicted", message: `${attempt} has no KV cache on this engine` });
             return;
         }
-        const resuming = decoding.phase !== "held";
+        const resuming = decoding.phase !== "imported";
         if (offset > decoding.produced || decoding.phase === "importing" || resuming && !this.settings.resume) {
             respondWithJson(call.response, 400, { message: `can't decode from offset ${offset}` });
             return;
