--- a/playground/__tests__/failures.spec.ts
+++ b/playground/__tests__/failures.spec.ts
@@ -53,20 +53,20 @@
         const links = [...rig.deployment.relays.get(partitioned.name)!.values()];
         links.forEach(relay => relay.stallAll());
         const revision = await rig.apply(0, [model], "withdraws the second model");
-        const before = await rig.decodes();
+        const before = await rig.decodeCount();
         for (const modelCall of [call("cut off", { model: secondModel }), call("cut off as well")]) {
             const { status, error } = await rig.caller(2).requestCompletion(modelCall);
             expect(error, JSON.stringify(error)).to.include({ code: "viewExpired", outcome: "not_run" });
             expect(status).to.equal(503);
         }
         expect(await partitioned.isReady()).to.equal(false);
-        expect(await rig.decodes()).to.equal(before);
+        expect(await rig.decodeCount()).to.equal(before);
         await expectServed(0, "elsewhere meanwhile");
         links.forEach(relay => relay.heal());
         await expectServed(2, "after the healing");
         const withdrawn = await rig.caller(2).requestCompletion(call("withdrawn", { model: secondModel }));
         expect(withdrawn.error?.code).to.equal("unknownModel");
-        await until("the healed daemon to have the change", async () => {
+        await until("the reconnected daemon to apply the change", async () => {
             const { sessions } = await rig.deployment.status(rig.entry(0));
             return sessions.some(session => session.daemon === partitioned.name && session.revision === revision);
         });
@@ -84,23 +84,23 @@
     });
 
     it("returns a final answer when a decode engine becomes unreachable in the middle of a stream", async () => {
-        // Guards against a caller that waits forever, and a decode slot that stays held after the network has recovered.
+        // Guards against a caller that waits forever, and a decode slot that stays allocated after the network has recovered.
         const { backend, relay } = await rig.addRelayedEngine("decode-3", "decode");
         await rig.deployment.waitForBackends(["decode-3"]);
-        const before = await rig.decodes();
+        const before = await rig.decodeCount();
         const load = new StreamLoad(rig);
         await until("a stream of decode-3", async () => {
             load.keepOpen(11);
-            const gives = Object.values(await backend.attemptRecords()).some(({ tokens }) => tokens > 0);
-            return gives && (await backend.activeAttempts()).length > 0;
+            const isStreaming = Object.values(await backend.attemptRecords()).some(({ tokens }) => tokens > 0);
+            return isStreaming && (await backend.activeAttempts()).length > 0;
         });
         relay.stallAll();
         const answers = await load.answers();
         answers.forEach(({ modelCall, answer }) => expectCompleteAnswer(answer, modelCall));
         // The interrupted streams were decoded again on another engine.
-        expect(await rig.decodes() - before).to.be.greaterThan(answers.length);
+        expect(await rig.decodeCount() - before).to.be.greaterThan(answers.length);
         relay.heal();
-        await until("decode-3 to hold nothing", async () => (await backend.activeAttempts()).length === 0);
+        await until("decode-3 to have no active attempt", async () => (await backend.activeAttempts()).length === 0);
         backend.signal("SIGTERM");
         expect(await backend.end()).to.deep.equal({ code: 0, signal: undefined });
     });
@@ -133,7 +133,7 @@
             const key = at % 2 === 0 ? `kept-${at}` : undefined;
             return call(`kept ${at}`, { stream: true, maxTokens: 90, ...(key === undefined ? {} : { key }) });
         });
-        const before = await rig.decodes();
+        const before = await rig.decodeCount();
         const running = await openStreams(calls);
         leader.signal("SIGTERM");
         const later = Array.from({ length: 6 }, (_, at) => call(`after ${at}`, { key: `after-${at}` }));
@@ -142,7 +142,7 @@
         );
         answers.forEach((answer, at) => expectCompleteAnswer(answer, later[at]!));
         (await Promise.all(running)).forEach((answer, at) => expectCompleteAnswer(answer, calls[at]!));
-        expect(await rig.decodes() - before).to.equal(calls.length + later.length);
+        expect(await rig.decodeCount() - before).to.equal(calls.length + later.length);
         expect(await leader.end()).to.deep.equal({ code: 0, signal: undefined });
         const rest = rig.deployment.controls.filter(control => control !== leader);
         expect(await rig.deployment.leader(rest)).not.to.equal(leader);
--- a/playground/__tests__/orders.spec.ts
+++ b/playground/__tests__/orders.spec.ts
@@ -57,10 +57,10 @@
             async () => (await receivedOrders()).flat().some(order => order.fence === next.fence),
         );
         rig.entry(frozen).signal("SIGCONT");
-        await until("all engines to carry only the new version", async () => {
+        await until("all engines to serve only the new version", async () => {
             const { view } = await rig.deployment.status(rig.entry(entryIndex));
-            const carried = engines().map(({ id }) => view.backends[id]?.announcement.models ?? []);
-            return carried.every(models => models.length === 1 && models[0]!.version === "2");
+            const servedModels = engines().map(({ id }) => view.backends[id]?.announcement.models ?? []);
+            return servedModels.every(models => models.length === 1 && models[0]!.version === "2");
         });
         expectCompleteAnswer(await rig.caller(frozen).requestCompletionWithRetries(served), served);
         for (const received of await receivedOrders()) {
--- a/playground/__tests__/processes.spec.ts
+++ b/playground/__tests__/processes.spec.ts
@@ -55,13 +55,13 @@
         // Once the view lease has expired, no daemon may start work on a view without the drain mark. The engine itself
         // still accepts work, so that a wrong placement on it shows up.
         await pause(timing.viewLease);
-        const had = Object.keys(await extra.attemptRecords()).length;
+        const attemptCount = Object.keys(await extra.attemptRecords()).length;
         const more = Array.from({ length: 9 }, (_, index) => call(`after leaving ${index}`));
         const answers = await Promise.all(
             more.map((modelCall, index) => rig.caller(index % 3).requestCompletionWithRetries(modelCall)),
         );
         answers.forEach((answer, index) => expectCompleteAnswer(answer, more[index]!));
-        expect(Object.keys(await extra.attemptRecords()).length).to.equal(had);
+        expect(Object.keys(await extra.attemptRecords()).length).to.equal(attemptCount);
         extra.signal("SIGTERM");
         for (const { modelCall, answer } of await load.answers()) {
             expectCompleteAnswer(answer, modelCall);
@@ -76,7 +76,7 @@
             stream: true,
             maxTokens: 60,
         });
-        const before = await rig.decodes();
+        const before = await rig.decodeCount();
         const firstToken = new Promise<void>(resolve => {
             void rig.caller(0).requestCompletion(nonIdempotentCall, () => resolve()).then(() => resolve());
         });
@@ -86,10 +86,12 @@
         expect(again.error?.outcome, JSON.stringify(again)).to.equal("unknown");
         const third = await rig.caller(2).requestCompletion(nonIdempotentCall);
         expect(third.error?.outcome).to.equal("unknown");
-        expect(await rig.decodes() - before).to.equal(1);
+        expect(await rig.decodeCount() - before).to.equal(1);
         await until("the engines to release the request", async () => {
             const engines = ["decode-1", "decode-2"].map(id => rig.deployment.backends.get(id)!);
-            return (await Promise.all(engines.map(engine => engine.activeAttempts()))).every(held => held.length === 0);
+            return (await Promise.all(engines.map(engine => engine.activeAttempts()))).every(attempts =>
+                attempts.length === 0
+            );
         });
     });
 
@@ -99,7 +101,7 @@
         const frozen = rig.entry(2);
         // Their connections stay open, so that the requests below are buffered in them when the daemon resumes.
         await Promise.all([1, 2, 3].map(index => expectServed(2, `before the freeze ${index}`)));
-        const before = await rig.decodes();
+        const before = await rig.decodeCount();
         frozen.signal("SIGSTOP");
         const revision = await rig.apply(0, [model], "withdraws the second model");
         const waiting = [1, 2, 3].map(index =>
@@ -111,7 +113,7 @@
             expect(answer.error?.outcome, JSON.stringify(answer)).to.equal("not_run");
             expect(answer.error?.code).to.be.oneOf(["viewExpired", "unknownModel"]);
         }
-        expect(await rig.decodes()).to.equal(before);
+        expect(await rig.decodeCount()).to.equal(before);
         await until("the resumed daemon to apply the change", async () => {
             const { sessions } = await rig.deployment.status(rig.entry(0));
             return sessions.some(session => session.daemon === frozen.name && session.revision === revision);
@@ -228,11 +230,11 @@
             return found.leading ? found : undefined;
         });
         expect(status.revision).to.equal(revision);
-        const before = await rig.decodes();
+        const before = await rig.decodeCount();
         const again = await rig.caller(1).requestCompletionWithRetries(nonIdempotentCall);
         expectCompleteAnswer(again, nonIdempotentCall);
         expect(again.replayed).to.equal(true);
-        expect(await rig.decodes()).to.equal(before);
+        expect(await rig.decodeCount()).to.equal(before);
         await expectServed(2, "after the loss of power");
     });
 });
--- a/playground/__tests__/rig.ts
+++ b/playground/__tests__/rig.ts
@@ -114,26 +114,26 @@
     }
 
     /** Number of attempts that started decoding, over all running decode engines. */
-    async decodes(): Promise<number> {
+    async decodeCount(): Promise<number> {
         const engines = [...this.deployment.backends.values()].filter(backend => backend.id.startsWith("decode"));
         const ran = await Promise.all(engines.map(engine => engine.attemptRecords().catch(() => ({}))));
         return ran.flatMap(attempts => Object.values(attempts)).filter(attempt => attempt.decodes > 0).length;
     }
 
-    /** Metrics of all entry daemons and attempts held by all engines. Printed on failure: logs alone don't show what waits. */
+    /** Metrics of all entry daemons and active attempts of all engines. Printed on failure: logs alone don't show what waits. */
     async diagnostics(): Promise<string> {
         const entries = this.deployment.entries.map(async entry => {
             const answer = await fetch(`http://${entry.operators}/metrics`, { signal: AbortSignal.timeout(2_000) });
-            const counted = (await answer.text()).split("\n").filter(line => diagnosticMetrics.test(line));
-            return `${entry.name}:\n${counted.join("\n")}\n`;
+            const metricLines = (await answer.text()).split("\n").filter(line => diagnosticMetrics.test(line));
+            return `${entry.name}:\n${metricLines.join("\n")}\n`;
         });
-        const holding = [...this.deployment.backends.values()].filter(({ id }) => /^(prefill|decode)/.test(id));
-        const engines = holding.map(async backend =>
-            `${backend.id} holds ${(await backend.activeAttempts()).join(" ")}\n`
+        const engineBackends = [...this.deployment.backends.values()].filter(({ id }) => /^(prefill|decode)/.test(id));
+        const engines = engineBackends.map(async backend =>
+            `${backend.id} has the active attempts ${(await backend.activeAttempts()).join(" ")}\n`
         );
         const { view } = await this.deployment.status(this.entry(0)).catch(() => ({ view: undefined }));
         const known = Object.values(view?.backends ?? {}).map(({ announcement, state }) =>
-            `${announcement.id} is ${state}, ${announcement.role}, carries ${JSON.stringify(announcement.models)}\n`
+            `${announcement.id} is ${state}, ${announcement.role}, serves ${JSON.stringify(announcement.models)}\n`
         );
         const parts = await Promise.allSettled([...entries, ...engines]);
         return [...parts.map(part => part.status === "fulfilled" ? part.value : `${part.reason}\n`), ...known].join("");
--- a/playground/celeste/run.ts
+++ b/playground/celeste/run.ts
@@ -18,8 +18,8 @@
         const scenarios = await runScenarios(deployment);
         printScenarios(scenarios);
         print((await deployment.command("status", "--at", deployment.entries[0]!.operators)).output);
-        const ended = await shutDown(deployment);
-        const passed = scenarios.every(scenario => scenario.passed) && ended;
+        const exitedCleanly = await shutDown(deployment);
+        const passed = scenarios.every(scenario => scenario.passed) && exitedCleanly;
         print(`${passed ? "all checks passed" : "NOT ALL CHECKS PASSED"}, after ${seconds(started)}`);
         return passed;
     }
--- a/playground/celeste/scenarios.ts
+++ b/playground/celeste/scenarios.ts
@@ -80,9 +80,9 @@
 
 async function runServiceRequests(deployment: Deployment, callers: readonly Caller[]): Promise<ScenarioResult[]> {
     const lookup = await callers[3]!.requestService("GET", "/policy/status/certificate-9");
-    const order = () => callers[1]!.requestService("POST", "/policy/issue", "issue-9");
-    const first = await order();
-    const second = await order();
+    const issueCertificate = () => callers[1]!.requestService("POST", "/policy/issue", "issue-9");
+    const first = await issueCertificate();
+    const second = await issueCertificate();
     const runs = await countRuns(deployment, "issue-9");
     return [
         serviceResult("policy status lookup", lookup, lookup.status === 200),
--- a/playground/harness/backend.ts
+++ b/playground/harness/backend.ts
@@ -30,7 +30,7 @@
         return await this.read("/engine/v1/test/ran") as Record<string, AttemptRecord>;
     }
 
-    /** Attempts that hold a slot or memory at the engine. */
+    /** Attempts that occupy a slot or memory of the engine. */
     async activeAttempts(): Promise<readonly string[]> {
         return (await this.read("/engine/v1/test/held") as { active: string[]; }).active;
     }
--- a/playground/harness/deployment.ts
+++ b/playground/harness/deployment.ts
@@ -86,7 +86,7 @@
         const announcedUrl = `http://${formatAddress(relay.address)}`;
         const backend = await this.addBackend(kind, { ...settings, announcedUrl } as { readonly id: string; });
         const { hostname: host, port } = new URL(backend.url);
-        relay.to({ host, port: Number(port) });
+        relay.setTarget({ host, port: Number(port) });
         return { backend, relay };
     }
 
@@ -182,7 +182,7 @@
         this.relays.set(entry, relaysByControl);
         return Promise.all(controls.map(async control => {
             const relay = await Relay.create(host);
-            relay.to(control);
+            relay.setTarget(control);
             relaysByControl.set(control.name, relay);
             return { name: control.name, ...relay.address };
         }));
--- a/playground/harness/relay.ts
+++ b/playground/harness/relay.ts
@@ -136,7 +136,7 @@
     }
 
     /** Sets the address to which new connections are relayed. */
-    to(target: Address): void {
+    setTarget(target: Address): void {
         this.target = target;
     }
 
--- a/playground/harness/wait.ts
+++ b/playground/harness/wait.ts
@@ -13,20 +13,24 @@
  * Polls until the result is neither `undefined` nor `false`, also after errors of a poll. Fails after `limit` milliseconds
  * with the name of the condition and the last error as its cause.
  */
-export async function until<T>(what: string, ask: () => Promise<T | undefined | false>, limit = 30_000): Promise<T> {
-    const end = performance.now() + limit;
-    let last: unknown;
-    while (performance.now() < end) {
+export async function until<T>(
+    condition: string,
+    poll: () => Promise<T | undefined | false>,
+    limit = 30_000,
+): Promise<T> {
+    const deadline = performance.now() + limit;
+    let lastError: unknown;
+    while (performance.now() < deadline) {
         try {
-            const answer = await ask();
+            const answer = await poll();
             if (answer !== undefined && answer !== false) {
                 return answer;
             }
         }
         catch (error) {
-            last = error;
+            lastError = error;
         }
         await pause(25);
     }
-    throw new Error(`timed out waiting for ${what} after ${limit} ms`, { cause: last });
+    throw new Error(`timed out waiting for ${condition} after ${limit} ms`, { cause: lastError });
 }
--- a/soak/backend.ts
+++ b/soak/backend.ts
@@ -83,7 +83,7 @@
         const relay = await Relay.create(options.host);
         const { port } = server.address() as AddressInfo;
         const backend = new Backend(options, server, relay);
-        relay.to({ host: options.host, port });
+        relay.setTarget({ host: options.host, port });
         void backend.sendHeartbeats();
         return backend;
     }
--- a/soak/member.ts
+++ b/soak/member.ts
@@ -47,7 +47,7 @@
         const relays = new Map<string, Relay>();
         for (const [name, port] of Object.entries(ports)) {
             const relay = await Relay.create(settings.host, port);
-            relay.to({ host: settings.bindHost, port });
+            relay.setTarget({ host: settings.bindHost, port });
             relays.set(name, relay);
         }
         const member = new Member(settings, folder, relays);
