--- a/scripts/ci/knownRed.ts
+++ b/scripts/ci/knownRed.ts
@@ -1,37 +1,37 @@
 import { z } from "zod";
 
-/** What became of one test, or of a hook that failed. */
+/** Schema of the result of one test, or of a hook that failed. */
 export const testResultSchema = z.object({
-    /** Path from the root of the repository. */
+    /** Path relative to the root of the repository. */
     file: z.string(),
     title: z.string(),
-    /** Message and stack; left out where it passed. */
+    /** Message and stack; absent if the test passed. */
     failure: z.string().optional(),
 });
 
-/** What became of one test. */
+/** Result of one test, or of a hook that failed. */
 export type TestResult = z.infer<typeof testResultSchema>;
 
-/** A test that is known to fail, and the text by which its known failure is told from any other. */
-export type KnownRed = { readonly file: string; readonly title: string; readonly failsWith: string | undefined; };
+/** A test that is known to fail. `failsWith` is a part of the known failure's text, which distinguishes it from other failures. */
+export type KnownFailure = { readonly file: string; readonly title: string; readonly failsWith: string | undefined; };
 
-/** What a run is worth, given what was known to fail. */
-export type Judgement = {
-    /** Failures that nobody knew, and failures of known tests over something else. */
-    readonly unknown: readonly TestResult[];
-    readonly passedOver: readonly TestResult[];
-    /** Tests of the list that passed. */
-    readonly nowGreen: readonly KnownRed[];
-    /** Tests of the list that didn't run. */
-    readonly missing: readonly KnownRed[];
+/** Results of a test run, compared with the list of known failures. */
+export type ClassifiedResults = {
+    /** Failures of tests that aren't listed, and failures of listed tests with another text than the listed one. */
+    readonly unexpected: readonly TestResult[];
+    readonly known: readonly TestResult[];
+    /** Listed tests that passed. */
+    readonly nowPassing: readonly KnownFailure[];
+    /** Listed tests that didn't run. */
+    readonly notRun: readonly KnownFailure[];
 };
 
 const entryLine = /^(\S+) "(.+)"$/;
 const failureLine = /^\s+fails with: (.+)$/;
 
-/** Reads the list: an entry begins with a file and a title; its line `fails with:` names a part of the failure. */
-export function readKnownRed(text: string): readonly KnownRed[] {
-    const entries: KnownRed[] = [];
+/** Parses KNOWN-RED.txt. An entry begins with a file and a title; its line `fails with:` contains a part of the failure's text. */
+export function parseKnownFailures(text: string): readonly KnownFailure[] {
+    const entries: KnownFailure[] = [];
     for (const line of text.split("\n")) {
         const entry = entryLine.exec(line) ?? undefined;
         const failure = failureLine.exec(line) ?? undefined;
@@ -45,20 +45,20 @@
     return entries;
 }
 
-/** Tells the failures that are known from all others. */
-export function judge(results: readonly TestResult[], known: readonly KnownRed[]): Judgement {
+/** Separates known failures from unexpected ones, and finds listed tests that passed or didn't run. */
+export function classifyResults(results: readonly TestResult[], listed: readonly KnownFailure[]): ClassifiedResults {
     const isKnown = ({ file, title, failure = "" }: TestResult): boolean =>
-        known.some(entry =>
+        listed.some(entry =>
             entry.file === file && entry.title === title && entry.failsWith !== undefined
             && failure.includes(entry.failsWith)
         );
     const failed = results.filter(({ failure }) => failure !== undefined);
-    const resultOf = (entry: KnownRed): TestResult | undefined =>
+    const resultOf = (entry: KnownFailure): TestResult | undefined =>
         results.find(({ file, title }) => file === entry.file && title === entry.title);
     return {
-        unknown: failed.filter(result => !isKnown(result)),
-        passedOver: failed.filter(isKnown),
-        nowGreen: known.filter(entry => resultOf(entry) !== undefined && resultOf(entry)?.failure === undefined),
-        missing: known.filter(entry => resultOf(entry) === undefined),
+        unexpected: failed.filter(result => !isKnown(result)),
+        known: failed.filter(isKnown),
+        nowPassing: listed.filter(entry => resultOf(entry) !== undefined && resultOf(entry)?.failure === undefined),
+        notRun: listed.filter(entry => resultOf(entry) === undefined),
     };
 }
