--- a/scripts/rig/cluster.ts
+++ b/scripts/rig/cluster.ts
@@ -8,23 +8,23 @@
 import { DecodeEngine, PrefillEngine } from "./engines.js";
 import type { Simulation } from "./simulation.js";
 
-/** Milliseconds one way within a failure domain and between two. */
-const wireWithin = 0.2;
-const wireAcross = 1.5;
+/** One-way network delay in milliseconds within a failure domain and between two. */
+const delayWithinDomain = 0.2;
+const delayAcrossDomains = 1.5;
 
-/** Engines and entry daemons of one run, and what the view says of them. */
+/** Engines and entry daemons of one run, and their state in the view. */
 export class Cluster {
     readonly prefills: readonly PrefillEngine[];
     readonly decodes: readonly DecodeEngine[];
-    /** Entry daemons that live, and whose session is open. */
+    /** For each entry daemon: whether its process runs, and whether its session is open. */
     readonly entryAlive: boolean[];
     readonly sessionOpen: boolean[];
-    /** Entry daemons that can't be reached by others. */
-    readonly entryCut: boolean[];
-    /** Engines that the view calls gone. */
-    readonly gone = new Set<string>();
-    /** Engines whose link carries nothing. */
-    readonly stalled = new Set<string>();
+    /** For each entry daemon: whether it is partitioned from the others. */
+    readonly entryPartitioned: boolean[];
+    /** Engines that the view shows as gone. */
+    readonly unavailable = new Set<string>();
+    /** Decode engines to which KV cache transfers stall. */
+    readonly stalledEngines = new Set<string>();
     reportsStopped = false;
 
     private constructor(
@@ -43,7 +43,7 @@
         );
         this.entryAlive = Array.from({ length: deployment.entries }, () => true);
         this.sessionOpen = Array.from({ length: deployment.entries }, () => true);
-        this.entryCut = Array.from({ length: deployment.entries }, () => false);
+        this.entryPartitioned = Array.from({ length: deployment.entries }, () => false);
     }
 
     static create(simulation: Simulation, deployment: Deployment, randomness: Randomness): Cluster {
@@ -62,20 +62,20 @@
         return this.deployment.domains[entry % this.deployment.domains.length]!;
     }
 
-    /** Milliseconds one way between two failure domains. */
-    wire(from: string, to: string): number {
-        return from === to ? wireWithin : wireAcross;
+    /** One-way network delay in milliseconds between two failure domains. */
+    networkDelay(from: string, to: string): number {
+        return from === to ? delayWithinDomain : delayAcrossDomains;
     }
 
     /** The engines as the view shows them. */
     view(): readonly EngineEntry[] {
         return [...this.prefills, ...this.decodes].map(engine => ({
             announcement: engine.announcement,
-            state: this.gone.has(engine.id) ? "gone" : "ready",
+            state: this.unavailable.has(engine.id) ? "gone" : "ready",
         }));
     }
 
-    /** Open sessions. */
+    /** Sessions that are open in the view. */
     sessions(): { readonly daemon: string; readonly incarnation: string; }[] {
         return this.sessionOpen.flatMap((open, entry) => open ? [{ daemon: `entry-${entry}`, incarnation: "1" }] : []);
     }
--- a/scripts/rig/cost.ts
+++ b/scripts/rig/cost.ts
@@ -9,10 +9,10 @@
     SeededRandomness,
 } from "../../packages/basilpaddle/src/node/index.js";
 
-const measured = 2_000;
-const warmUp = 500;
+const measuredRequests = 2_000;
+const warmUpRequests = 500;
 const slots = 20;
-const prefillPart = 0.4;
+const prefillShare = 0.4;
 
 function engines(workers: number): readonly EngineEntry[] {
     return Array.from({ length: workers }, (_, position) => ({
@@ -21,7 +21,7 @@
             incarnation: 1,
             url: `http://127.0.0.1:1/${position}`,
             failureDomain: `domain-${position % 7}`,
-            role: position < workers * prefillPart ? "prefill" : "decode",
+            role: position < workers * prefillShare ? "prefill" : "decode",
             pool: "drafts",
             models: [{ name: "draft", version: "v1" }],
             slots,
@@ -30,7 +30,7 @@
     }));
 }
 
-function demand(serial: number): SchedulingRequest {
+function createRequest(serial: number): SchedulingRequest {
     return {
         attempt: `entry-1/incarnation-1/${serial}`,
         owner: { daemon: "entry-1", incarnation: "incarnation-1" },
@@ -52,7 +52,7 @@
     };
 }
 
-/** A pool whose slots are all taken, with so many demands waiting. */
+/** A pool whose slots are all allocated, with a queue of waiting requests. */
 class FullPool {
     readonly scheduler = PoolScheduler.create({ fence: 1, warm: true });
     readonly running: string[] = [];
@@ -68,19 +68,19 @@
         const rules = { pool, organisations: {}, anyOrganisation: { share: 1, openRequests: 1_000_000 } };
         this.step({ kind: "rules", rules });
         this.step({ kind: "engines", engines: engines(workers) });
-        const wanted = (1 - prefillPart) * workers * slots + queue;
-        while (this.serial < wanted || this.scheduler.status().waiting < queue) {
-            this.ask();
+        const requestCount = (1 - prefillShare) * workers * slots + queue;
+        while (this.serial < requestCount || this.scheduler.status().waiting < queue) {
+            this.addRequest();
             this.now += 1;
         }
     }
 
-    ask(): void {
-        this.step({ kind: "demand", demand: demand(this.serial++) });
+    addRequest(): void {
+        this.step({ kind: "demand", demand: createRequest(this.serial++) });
     }
 
-    /** The demand that began first ends. */
-    end(): void {
+    /** Finishes the request that was assigned first. */
+    finishOldest(): void {
         const attempt = this.running.shift();
         if (attempt !== undefined) {
             this.step({ kind: "progress", progress: { attempt, stage: "finished", tokens: 300 } });
@@ -105,43 +105,45 @@
 function measure(workers: number, queue: number): string {
     const pool = new FullPool(workers, queue);
     const randomness = SeededRandomness.create(1);
-    const whole = hdr.build({
+    const requestTimes = hdr.build({
         lowestDiscernibleValue: 1,
         highestTrackableValue: 1e9,
         numberOfSignificantValueDigits: 3,
     });
-    const ticks = hdr.build({
+    const tickTimes = hdr.build({
         lowestDiscernibleValue: 1,
         highestTrackableValue: 1e9,
         numberOfSignificantValueDigits: 3,
     });
-    for (let count = 0; count < warmUp + measured; count++) {
+    for (let count = 0; count < warmUpRequests + measuredRequests; count++) {
         pool.now += randomness.integer(1, 4);
         const before = process.hrtime.bigint();
-        pool.ask();
-        pool.end();
+        pool.addRequest();
+        pool.finishOldest();
         const middle = process.hrtime.bigint();
         pool.step({ kind: "tick" });
         const after = process.hrtime.bigint();
-        if (count >= warmUp) {
-            whole.recordValue(Number(middle - before));
-            ticks.recordValue(Number(after - middle));
+        if (count >= warmUpRequests) {
+            requestTimes.recordValue(Number(middle - before));
+            tickTimes.recordValue(Number(after - middle));
         }
     }
     const microseconds = (value: number): string => (value / 1_000).toFixed(1).padStart(9);
     return [
         String(workers).padStart(7),
         String(queue).padStart(6),
-        microseconds(whole.mean),
-        microseconds(whole.getValueAtPercentile(50)),
-        microseconds(whole.getValueAtPercentile(99)),
-        microseconds(ticks.mean),
+        microseconds(requestTimes.mean),
+        microseconds(requestTimes.getValueAtPercentile(50)),
+        microseconds(requestTimes.getValueAtPercentile(99)),
+        microseconds(tickTimes.mean),
     ].join(" ");
 }
 
 function heap(): number {
     if (globalThis.gc === undefined) {
-        throw new Error("run with --expose-gc, as npm run rig:cost does: without it heap figures are noise");
+        throw new Error(
+            "run with --expose-gc, as npm run rig:cost does: heap sizes without a garbage collection are meaningless",
+        );
     }
     globalThis.gc();
     return process.memoryUsage().heapUsed;
@@ -161,9 +163,9 @@
     const bytes = heap() - before;
     const organisations = Math.min(queue, 24_000);
     console.log(
-        `${queue} waiting demands of ${organisations} organisations: ${bytes} bytes, ${
+        `${queue} waiting requests of ${organisations} organisations: ${bytes} bytes, ${
             (bytes / queue).toFixed(0)
         } each`,
     );
-    pool.end();
+    pool.finishOldest();
 }
--- a/scripts/rig/deployments.ts
+++ b/scripts/rig/deployments.ts
@@ -3,14 +3,14 @@
 /** One kind of request. Lengths are in tokens. */
 export type RequestKind = {
     readonly name: string;
-    /** Part of all requests. */
-    readonly part: number;
-    readonly prompt: { readonly least: number; readonly most: number; };
-    readonly output: { readonly least: number; readonly most: number; };
+    /** Share of all requests, between 0 and 1. */
+    readonly share: number;
+    readonly prompt: { readonly min: number; readonly max: number; };
+    readonly output: { readonly min: number; readonly max: number; };
     readonly idempotent: boolean;
 };
 
-/** A pool with its load, in the shape of one of the two users. */
+/** A pool and its workload, modelled on one of the two users. Times are in milliseconds. */
 export type Deployment = {
     readonly name: string;
     readonly domains: readonly string[];
@@ -18,39 +18,39 @@
     readonly prefillEngines: number;
     readonly decodeEngines: number;
     readonly kinds: readonly RequestKind[];
-    /** Organisations with their part of the requests. */
-    readonly organisations: readonly { readonly name: string; readonly part: number; }[];
-    /** Tokens at the start of each prompt that all organisations, and that one organisation, have in common. */
-    readonly preamble: { readonly house: number; readonly own: number; };
-    /** Every so many milliseconds a burst of so many requests of one organisation. */
-    readonly bursts: { readonly every: number; readonly size: number; } | undefined;
+    /** Organisations and their shares of the requests. */
+    readonly organisations: readonly { readonly name: string; readonly share: number; }[];
+    /** Length of the prefix that all prompts share, and of the prefix after it that the prompts of one organisation share. */
+    readonly preamble: { readonly shared: number; readonly perOrganisation: number; };
+    /** Bursts of requests from one organisation: milliseconds between two bursts, and requests in each. */
+    readonly bursts: { readonly interval: number; readonly size: number; } | undefined;
     readonly targets: { readonly firstToken: number; readonly perToken: number; };
     readonly weighting: "goodput" | "prefill";
     readonly deadline: number;
 };
 
-/** The engines of the rig: figures in milliseconds, tokens and bytes. */
+/** Performance model of the simulated engines, in milliseconds, tokens and bytes. */
 export const engineModel = {
     slots: 20,
     prefillTokenTime: 0.1,
     prefillOverhead: 8,
-    /** A decode step takes longer with more requests in the batch. */
-    stepBase: 20,
-    stepPerRequest: 0.7,
-    /** A prefill's result is kept so long. */
-    resultKept: 800,
+    /** Time of a decode step without requests, and what each request in the batch adds. */
+    stepBaseTime: 20,
+    stepTimePerRequest: 0.7,
+    /** How long a prefill engine keeps a result. */
+    resultLifetime: 800,
     kvBytesPerToken: 120_000,
     linkBytesPerMillisecond: 8_000_000,
-    /** Part of the link's rate between failure domains. */
-    acrossDomains: 0.6,
+    /** Ratio of the link rate that is available between failure domains. */
+    crossDomainLinkFactor: 0.6,
     cacheBlocks: 1_200,
     blockTokens: 256,
 } as const;
 
-const tail = (count: number, part: number): { readonly name: string; readonly part: number; }[] =>
-    Array.from({ length: count }, (_, position) => ({ name: `agency-${position}`, part: part / count }));
+const agencies = (count: number, share: number): { readonly name: string; readonly share: number; }[] =>
+    Array.from({ length: count }, (_, position) => ({ name: `agency-${position}`, share: share / count }));
 
-/** The two deployments. Plain lookups go to the policy and notice services, which this decision has no part in. */
+/** The two deployments. Plain lookups go to the policy and notice services, whose requests these policies don't schedule. */
 export const deployments: Readonly<Record<string, Deployment>> = {
     celeste: {
         name: "celeste",
@@ -61,39 +61,39 @@
         kinds: [
             {
                 name: "lookup",
-                part: 0.15,
-                prompt: { least: 150, most: 400 },
-                output: { least: 10, most: 40 },
+                share: 0.15,
+                prompt: { min: 150, max: 400 },
+                output: { min: 10, max: 40 },
                 idempotent: true,
             },
             {
                 name: "check",
-                part: 0.35,
-                prompt: { least: 400, most: 1_200 },
-                output: { least: 20, most: 80 },
+                share: 0.35,
+                prompt: { min: 400, max: 1_200 },
+                output: { min: 20, max: 80 },
                 idempotent: true,
             },
             {
                 name: "dossier",
-                part: 0.3,
-                prompt: { least: 4_000, most: 9_000 },
-                output: { least: 200, most: 450 },
+                share: 0.3,
+                prompt: { min: 4_000, max: 9_000 },
+                output: { min: 200, max: 450 },
                 idempotent: true,
             },
             {
                 name: "draft",
-                part: 0.2,
-                prompt: { least: 1_500, most: 3_500 },
-                output: { least: 500, most: 1_200 },
+                share: 0.2,
+                prompt: { min: 1_500, max: 3_500 },
+                output: { min: 500, max: 1_200 },
                 idempotent: false,
             },
         ],
         organisations: [
-            { name: "manager", part: 0.45 },
-            ...tail(5, 0.35),
-            ...tail(25, 0.2).map(one => ({ ...one, name: `small-${one.name}` })),
+            { name: "manager", share: 0.45 },
+            ...agencies(5, 0.35),
+            ...agencies(25, 0.2).map(one => ({ ...one, name: `small-${one.name}` })),
         ],
-        preamble: { house: 256, own: 256 },
+        preamble: { shared: 256, perOrganisation: 256 },
         bursts: undefined,
         targets: { firstToken: 1_500, perToken: 37 },
         weighting: "goodput",
@@ -108,116 +108,132 @@
         kinds: [
             {
                 name: "notice",
-                part: 0.8,
-                prompt: { least: 6_000, most: 14_000 },
-                output: { least: 80, most: 240 },
+                share: 0.8,
+                prompt: { min: 6_000, max: 14_000 },
+                output: { min: 80, max: 240 },
                 idempotent: false,
             },
             {
                 name: "query",
-                part: 0.2,
-                prompt: { least: 3_500, most: 5_000 },
-                output: { least: 20, most: 80 },
+                share: 0.2,
+                prompt: { min: 3_500, max: 5_000 },
+                output: { min: 20, max: 80 },
                 idempotent: true,
             },
         ],
-        organisations: [{ name: "book-1", part: 0.45 }, { name: "book-2", part: 0.35 }, { name: "book-3", part: 0.2 }],
-        preamble: { house: 2_048, own: 1_024 },
-        bursts: { every: 6_000, size: 12 },
+        organisations: [{ name: "book-1", share: 0.45 }, { name: "book-2", share: 0.35 }, {
+            name: "book-3",
+            share: 0.2,
+        }],
+        preamble: { shared: 2_048, perOrganisation: 1_024 },
+        bursts: { interval: 6_000, size: 12 },
         targets: { firstToken: 4_000, perToken: 37 },
         weighting: "prefill",
         deadline: 60_000,
     },
 };
 
-/** Milliseconds of a decode step with so many requests. */
+/** Milliseconds of a decode step with a batch of the given size. */
 export function stepTime(batch: number): number {
-    return engineModel.stepBase + engineModel.stepPerRequest * batch;
+    return engineModel.stepBaseTime + engineModel.stepTimePerRequest * batch;
 }
 
-/** Requests a second that the pool can carry: the least of what prefill engines, decode slots and links can, with shared preambles cached. */
+/** Capacity of the pool in requests per second: the minimum over prefill engines, decode slots and links, with shared prefixes cached. */
 export function capacity(deployment: Deployment): number {
-    let prefill = 0;
-    let slot = 0;
-    const cached = deployment.preamble.house + deployment.preamble.own;
+    let prefillTime = 0;
+    let slotTime = 0;
+    const cachedTokens = deployment.preamble.shared + deployment.preamble.perOrganisation;
     for (const kind of deployment.kinds) {
-        const prompt = (kind.prompt.least + kind.prompt.most) / 2;
-        const output = (kind.output.least + kind.output.most) / 2;
-        const computed = Math.max(engineModel.blockTokens, prompt - cached);
-        prefill += kind.part * (computed * engineModel.prefillTokenTime + engineModel.prefillOverhead);
+        const prompt = (kind.prompt.min + kind.prompt.max) / 2;
+        const output = (kind.output.min + kind.output.max) / 2;
+        const computedTokens = Math.max(engineModel.blockTokens, prompt - cachedTokens);
+        prefillTime += kind.share * (computedTokens * engineModel.prefillTokenTime + engineModel.prefillOverhead);
         const transfer = prompt * engineModel.kvBytesPerToken / engineModel.linkBytesPerMillisecond;
-        slot += kind.part * (transfer + output * stepTime(engineModel.slots));
+        slotTime += kind.share * (transfer + output * stepTime(engineModel.slots));
     }
     const prompt = deployment.kinds.reduce(
-        (sum, kind) => sum + kind.part * (kind.prompt.least + kind.prompt.most) / 2,
+        (sum, kind) => sum + kind.share * (kind.prompt.min + kind.prompt.max) / 2,
         0,
     );
     const transfer = prompt * engineModel.kvBytesPerToken
-        / (engineModel.linkBytesPerMillisecond * engineModel.acrossDomains);
-    const byLink = 1_000 * Math.min(deployment.decodeEngines, deployment.prefillEngines) / transfer;
-    const byPrefill = 1_000 * deployment.prefillEngines / prefill;
-    const bySlots = 1_000 * deployment.decodeEngines * engineModel.slots / slot;
-    return Math.min(byPrefill, bySlots, byLink);
+        / (engineModel.linkBytesPerMillisecond * engineModel.crossDomainLinkFactor);
+    const linkCapacity = 1_000 * Math.min(deployment.decodeEngines, deployment.prefillEngines) / transfer;
+    const prefillCapacity = 1_000 * deployment.prefillEngines / prefillTime;
+    const slotCapacity = 1_000 * deployment.decodeEngines * engineModel.slots / slotTime;
+    return Math.min(prefillCapacity, slotCapacity, linkCapacity);
 }
 
-/** A request as its caller makes it, with what only the rig knows. */
-export type Load = {
+/** A generated request, with properties that only the simulation knows. */
+export type Arrival = {
     readonly at: number;
     readonly entry: number;
     readonly kind: RequestKind;
     readonly organisation: string;
     readonly promptTokens: number;
     readonly expectedTokens: number;
-    /** What the answer will really have. */
+    /** Actual length of the answer. */
     readonly outputTokens: number;
-    /** When the caller goes, if it does. */
-    readonly leavesAt: number | undefined;
+    /** Time at which the caller cancels the request, if it does. */
+    readonly cancelsAt: number | undefined;
     readonly prefixes: readonly string[];
 };
 
-/** Makes the load of one run. */
-export function makeLoad(
+/** Generates the requests of one run, sorted by arrival time. `load` is the offered load as a ratio of the pool's capacity. */
+export function generateArrivals(
     deployment: Deployment,
-    options: { readonly load: number; readonly until: number; readonly cancelling: number; },
+    options: { readonly load: number; readonly until: number; readonly cancelledShare: number; },
     randomness: Randomness,
-): readonly Load[] {
+): readonly Arrival[] {
     const rate = options.load * capacity(deployment) / 1_000;
-    const burstRate = deployment.bursts === undefined ? 0 : deployment.bursts.size / deployment.bursts.every;
-    const load: Load[] = [];
+    const burstRate = deployment.bursts === undefined ? 0 : deployment.bursts.size / deployment.bursts.interval;
+    const arrivals: Arrival[] = [];
     let serial = 0;
-    const steady = Math.max(rate / 4, rate - burstRate);
+    const steadyRate = Math.max(rate / 4, rate - burstRate);
     for (let at = 0; at < options.until;) {
-        at += -Math.log(1 - randomness.fraction()) / steady;
-        load.push(makeOne(deployment, at, serial++, options.cancelling, undefined, randomness));
+        at += -Math.log(1 - randomness.fraction()) / steadyRate;
+        arrivals.push(generateArrival(deployment, at, serial++, options.cancelledShare, undefined, randomness));
     }
-    // Bursts take their part of the load, so that load 1.0 means the same with and without them.
-    const { every, size } = deployment.bursts ?? { every: Infinity, size: 0 };
-    const sized = Math.round(size * Math.min(1, (rate - steady) / Math.max(burstRate, 1e-9)));
-    for (let at = every; at < options.until; at += every) {
-        const organisation = draw(deployment.organisations, randomness).name;
-        for (let count = 0; count < sized; count++) {
-            load.push(makeOne(deployment, at + 20 * count, serial++, options.cancelling, organisation, randomness));
+    // Bursts are a part of the offered load, so that load 1.0 means the same with and without them.
+    const { interval, size } = deployment.bursts ?? { interval: Infinity, size: 0 };
+    const burstSize = Math.round(size * Math.min(1, (rate - steadyRate) / Math.max(burstRate, 1e-9)));
+    for (let at = interval; at < options.until; at += interval) {
+        const organisation = pickWeighted(deployment.organisations, randomness).name;
+        for (let count = 0; count < burstSize; count++) {
+            arrivals.push(
+                generateArrival(
+                    deployment,
+                    at + 20 * count,
+                    serial++,
+                    options.cancelledShare,
+                    organisation,
+                    randomness,
+                ),
+            );
         }
     }
-    return load.sort((one, other) => one.at - other.at);
+    return arrivals.sort((one, other) => one.at - other.at);
 }
 
-function makeOne(
+function generateArrival(
     deployment: Deployment,
     at: number,
     serial: number,
-    cancelling: number,
+    cancelledShare: number,
     organisation: string | undefined,
     randomness: Randomness,
-): Load {
-    const kind = draw(deployment.kinds, randomness);
-    const name = organisation ?? draw(deployment.organisations, randomness).name;
-    const promptTokens = randomness.integer(kind.prompt.least, kind.prompt.most);
-    const expectedTokens = randomness.integer(kind.output.least, kind.output.most);
-    const gauss = Math.sqrt(-2 * Math.log(1 - randomness.fraction())) * Math.cos(2 * Math.PI * randomness.fraction());
-    const outputTokens = Math.max(2, Math.min(2 * expectedTokens, Math.round(expectedTokens * Math.exp(0.3 * gauss))));
-    const leaves = randomness.fraction() < cancelling;
-    const stay = -Math.log(1 - randomness.fraction()) * 3_000;
+): Arrival {
+    const kind = pickWeighted(deployment.kinds, randomness);
+    const name = organisation ?? pickWeighted(deployment.organisations, randomness).name;
+    const promptTokens = randomness.integer(kind.prompt.min, kind.prompt.max);
+    const expectedTokens = randomness.integer(kind.output.min, kind.output.max);
+    const gaussian = Math.sqrt(-2 * Math.log(1 - randomness.fraction()))
+        * Math.cos(2 * Math.PI * randomness.fraction());
+    const outputTokens = Math.max(
+        2,
+        Math.min(2 * expectedTokens, Math.round(expectedTokens * Math.exp(0.3 * gaussian))),
+    );
+    const isCancelled = randomness.fraction() < cancelledShare;
+    const timeToCancel = -Math.log(1 - randomness.fraction()) * 3_000;
     return {
         at,
         entry: randomness.integer(0, deployment.entries - 1),
@@ -226,26 +242,26 @@
         promptTokens,
         expectedTokens,
         outputTokens,
-        leavesAt: leaves ? at + stay : undefined,
+        cancelsAt: isCancelled ? at + timeToCancel : undefined,
         prefixes: prefixes(deployment, name, promptTokens, serial),
     };
 }
 
 function prefixes(deployment: Deployment, organisation: string, promptTokens: number, serial: number): string[] {
-    const { house, own } = deployment.preamble;
+    const { shared, perOrganisation } = deployment.preamble;
     const blocks = Math.floor(promptTokens / engineModel.blockTokens);
     return Array.from({ length: blocks }, (_, block) => {
         const end = (block + 1) * engineModel.blockTokens;
-        const owner = end <= house ? "house" : end <= house + own ? organisation : `request-${serial}`;
+        const owner = end <= shared ? "house" : end <= shared + perOrganisation ? organisation : `request-${serial}`;
         return `${owner}:${block}`;
     });
 }
 
-function draw<T extends { readonly part: number; }>(choices: readonly T[], randomness: Randomness): T {
-    let left = randomness.fraction() * choices.reduce((sum, choice) => sum + choice.part, 0);
+function pickWeighted<T extends { readonly share: number; }>(choices: readonly T[], randomness: Randomness): T {
+    let remaining = randomness.fraction() * choices.reduce((sum, choice) => sum + choice.share, 0);
     for (const choice of choices) {
-        left -= choice.part;
-        if (left < 0) {
+        remaining -= choice.share;
+        if (remaining < 0) {
             return choice;
         }
     }
--- a/scripts/rig/engines.ts
+++ b/scripts/rig/engines.ts
@@ -3,10 +3,10 @@
 import { engineModel, stepTime } from "./deployments.js";
 import type { Simulation } from "./simulation.js";
 
-/** What both kinds of simulated engine have in common. */
+/** Common part of simulated prefill and decode engines. */
 export abstract class SimulatedEngine {
     alive = true;
-    /** When the link has carried all transfers that were begun. */
+    /** Simulated time at which the link has finished all transfers that were started. */
     linkFreeAt = 0;
     protected sequence = 0;
     readonly announcement: Announcement;
@@ -30,7 +30,7 @@
         });
     }
 
-    /** Its load report as of now. */
+    /** Creates a load report of the current state. */
     abstract report(): LoadReport;
 }
 
@@ -38,22 +38,22 @@
     readonly attempt: string;
     readonly promptTokens: number;
     readonly prefixes: readonly string[];
-    readonly done: (reusedTokens: number) => void;
+    readonly onDone: (reusedTokens: number) => void;
 };
 
-/** Computes one prompt after another, and keeps prefix blocks in limited memory. */
+/** Simulated prefill engine: processes prompts one at a time and keeps prefix blocks in an LRU cache of limited size. */
 export class PrefillEngine extends SimulatedEngine {
-    /** Milliseconds of engine time used. */
-    busy = 0;
+    /** Milliseconds for which the engine was busy. */
+    busyTime = 0;
     private readonly queue: PrefillJob[] = [];
     private running: { readonly job: PrefillJob; readonly startedAt: number; } | undefined;
-    private events: NonNullable<LoadReport["cache"]>["events"] = [];
+    private cacheEvents: NonNullable<LoadReport["cache"]>["events"] = [];
     private eventSequence = 0;
     private readonly cache = new LRUCache<string, true>({
         max: engineModel.cacheBlocks,
         dispose: (_, prefix, reason) => {
             if (reason === "evict") {
-                this.events.push({ kind: "evicted", prefix });
+                this.cacheEvents.push({ kind: "evicted", prefix });
             }
         },
     });
@@ -62,7 +62,7 @@
         return new PrefillEngine(simulation, id, domain, "prefill");
     }
 
-    /** Prompt tokens that wait or run. */
+    /** Prompt tokens of queued and running jobs. */
     get queuedTokens(): number {
         const running = this.running?.job.promptTokens ?? 0;
         return this.queue.reduce((sum, job) => sum + job.promptTokens, running);
@@ -70,10 +70,10 @@
 
     submit(job: PrefillJob): void {
         this.queue.push(job);
-        this.next();
+        this.startNext();
     }
 
-    /** Drops a job. Gives the milliseconds spent on it. */
+    /** Cancels a job. Returns the milliseconds spent on it. */
     cancel(attempt: string): number {
         const position = this.queue.findIndex(job => job.attempt === attempt);
         if (position >= 0) {
@@ -84,16 +84,16 @@
             return 0;
         }
         const spent = this.simulation.now - this.running.startedAt;
-        this.busy += spent;
+        this.busyTime += spent;
         this.running = undefined;
-        this.next();
+        this.startNext();
         return spent;
     }
 
     override report(): LoadReport {
-        const cache = { firstSequence: this.eventSequence, events: this.events };
-        this.eventSequence += this.events.length;
-        this.events = [];
+        const cache = { firstSequence: this.eventSequence, events: this.cacheEvents };
+        this.eventSequence += this.cacheEvents.length;
+        this.cacheEvents = [];
         const running = this.running === undefined ? [] : [this.running.job.attempt];
         return {
             id: this.id,
@@ -106,28 +106,28 @@
         };
     }
 
-    private next(): void {
+    private startNext(): void {
         const job = this.running === undefined && this.alive ? this.queue.shift() : undefined;
         if (job === undefined) {
             return;
         }
-        const reused = this.reuse(job.prefixes);
+        const reusedTokens = this.countReusedTokens(job.prefixes);
         const running = { job, startedAt: this.simulation.now };
         this.running = running;
-        const time = engineModel.prefillOverhead + (job.promptTokens - reused) * engineModel.prefillTokenTime;
+        const time = engineModel.prefillOverhead + (job.promptTokens - reusedTokens) * engineModel.prefillTokenTime;
         this.simulation.after(time, () => {
             if (this.running !== running || !this.alive) {
                 return;
             }
-            this.busy += time;
+            this.busyTime += time;
             this.running = undefined;
-            this.store(job.prefixes);
-            job.done(reused);
-            this.next();
+            this.storeBlocks(job.prefixes);
+            job.onDone(reusedTokens);
+            this.startNext();
         });
     }
 
-    private reuse(prefixes: readonly string[]): number {
+    private countReusedTokens(prefixes: readonly string[]): number {
         let blocks = 0;
         while (blocks < prefixes.length && this.cache.get(prefixes[blocks]!) !== undefined) {
             blocks++;
@@ -135,10 +135,10 @@
         return blocks * engineModel.blockTokens;
     }
 
-    private store(prefixes: readonly string[]): void {
+    private storeBlocks(prefixes: readonly string[]): void {
         for (const prefix of prefixes) {
             if (!this.cache.has(prefix)) {
-                this.events.push({ kind: "stored", prefix });
+                this.cacheEvents.push({ kind: "stored", prefix });
             }
             this.cache.set(prefix, true);
         }
@@ -148,50 +148,50 @@
 type DecodeJob = {
     readonly attempt: string;
     readonly tokens: number;
-    readonly first: () => void;
-    readonly done: () => void;
+    readonly onFirstToken: () => void;
+    readonly onDone: () => void;
     readonly startStep: number;
-    firstTold: boolean;
+    firstTokenReported: boolean;
 };
 
-/** Decodes a batch: one token for each request a step, and a step takes longer with more requests. */
+/** Simulated decode engine with continuous batching: each step generates one token per request and takes longer with more requests. */
 export class DecodeEngine extends SimulatedEngine {
-    /** Slot milliseconds used. */
-    busy = 0;
-    /** Attempts that hold a slot, decoding or not yet. */
+    /** Milliseconds for which slots were allocated, summed over all slots. */
+    busyTime = 0;
+    /** Attempts that have a slot allocated, also before they decode. */
     readonly slots = new Set<string>();
     private readonly batch = new Map<string, DecodeJob>();
     private steps = 0;
-    private changedAt = 0;
+    private updatedAt = 0;
     private version = 0;
 
     static create(simulation: Simulation, id: string, domain: string): DecodeEngine {
         return new DecodeEngine(simulation, id, domain, "decode");
     }
 
-    /** Takes a slot, if one is free. */
-    hold(attempt: string): boolean {
+    /** Allocates a slot. Returns false if none is free or the engine isn't running. */
+    allocate(attempt: string): boolean {
         if (!this.alive || this.slots.size >= engineModel.slots) {
             return false;
         }
-        this.account();
+        this.updateCounters();
         this.slots.add(attempt);
         return true;
     }
 
-    start(job: Pick<DecodeJob, "attempt" | "tokens" | "first" | "done">): void {
-        this.account();
-        this.batch.set(job.attempt, { ...job, startStep: this.steps, firstTold: false });
-        this.plan();
+    start(job: Pick<DecodeJob, "attempt" | "tokens" | "onFirstToken" | "onDone">): void {
+        this.updateCounters();
+        this.batch.set(job.attempt, { ...job, startStep: this.steps, firstTokenReported: false });
+        this.scheduleNext();
     }
 
-    /** Frees the slot. Gives the tokens that were made. */
+    /** Frees the slot. Returns the number of tokens that were generated. */
     free(attempt: string): number {
-        this.account();
+        this.updateCounters();
         const job = this.batch.get(attempt);
         this.batch.delete(attempt);
         this.slots.delete(attempt);
-        this.plan();
+        this.scheduleNext();
         return job === undefined ? 0 : Math.floor(this.steps - job.startStep);
     }
 
@@ -206,19 +206,19 @@
         };
     }
 
-    /** Brings the steps and the time used up to now. */
-    account(): void {
-        const passed = this.simulation.now - this.changedAt;
-        this.changedAt = this.simulation.now;
-        this.busy += passed * this.slots.size;
-        this.steps += this.batch.size === 0 ? 0 : passed / stepTime(this.batch.size);
+    /** Updates the step counter and the busy time to the current time. */
+    updateCounters(): void {
+        const elapsed = this.simulation.now - this.updatedAt;
+        this.updatedAt = this.simulation.now;
+        this.busyTime += elapsed * this.slots.size;
+        this.steps += this.batch.size === 0 ? 0 : elapsed / stepTime(this.batch.size);
     }
 
-    private plan(): void {
+    private scheduleNext(): void {
         const version = ++this.version;
         let next = Infinity;
         for (const job of this.batch.values()) {
-            next = Math.min(next, job.startStep + (job.firstTold ? job.tokens : 1));
+            next = Math.min(next, job.startStep + (job.firstTokenReported ? job.tokens : 1));
         }
         if (next === Infinity || !this.alive) {
             return;
@@ -231,19 +231,19 @@
     }
 
     private advance(): void {
-        this.account();
+        this.updateCounters();
         for (const job of [...this.batch.values()]) {
-            const made = this.steps - job.startStep + 1e-6;
-            if (!job.firstTold && made >= 1) {
-                job.firstTold = true;
-                job.first();
+            const generated = this.steps - job.startStep + 1e-6;
+            if (!job.firstTokenReported && generated >= 1) {
+                job.firstTokenReported = true;
+                job.onFirstToken();
             }
-            if (made >= job.tokens) {
+            if (generated >= job.tokens) {
                 this.batch.delete(job.attempt);
                 this.slots.delete(job.attempt);
-                job.done();
+                job.onDone();
             }
         }
-        this.plan();
+        this.scheduleNext();
     }
 }
--- a/scripts/rig/main.ts
+++ b/scripts/rig/main.ts
@@ -2,47 +2,52 @@
 import { hideBin } from "yargs/helpers";
 import { defaultTuning } from "../../packages/basilpaddle/src/node/index.js";
 import { capacity, deployments } from "./deployments.js";
-import { type Figures, spread } from "./measures.js";
+import { type RunMetrics, spread } from "./metrics.js";
 import { type Fault, faults, policies, type PolicyName, run } from "./run.js";
 
-const percent = (part: number): string => (100 * part).toFixed(1);
+const percent = (share: number): string => (100 * share).toFixed(1);
 
-function row(name: string, runs: readonly Figures[]): string {
-    const of = (pick: (figures: Figures) => number): ReturnType<typeof spread> => spread(runs.map(pick));
-    const goodput = of(figures => figures.goodput);
-    const wasted = of(figures => figures.wasted);
+function formatRow(name: string, runs: readonly RunMetrics[]): string {
+    const summarise = (pick: (metrics: RunMetrics) => number): ReturnType<typeof spread> => spread(runs.map(pick));
+    const goodput = summarise(metrics => metrics.goodput);
+    const wasted = summarise(metrics => metrics.wasted);
     const reasons = new Map<string, number>();
-    for (const figures of runs) {
-        for (const [reason, part] of Object.entries(figures.wasteReasons)) {
-            reasons.set(reason, (reasons.get(reason) ?? 0) + part / runs.length);
+    for (const metrics of runs) {
+        for (const [reason, share] of Object.entries(metrics.wasteReasons)) {
+            reasons.set(reason, (reasons.get(reason) ?? 0) + share / runs.length);
         }
     }
     return [
         name.padEnd(40),
-        `${percent(goodput.median)} (${percent(goodput.least)}-${percent(goodput.most)})`.padEnd(20),
-        `${percent(wasted.median)} (${percent(wasted.least)}-${percent(wasted.most)})`.padEnd(18),
-        of(figures => figures.goodTokens).median.toFixed(0).padStart(6),
-        percent(of(figures => figures.idlePrefill).median).padStart(6),
-        percent(of(figures => figures.idleSlots).median).padStart(6),
-        percent(of(figures => figures.refused / figures.requests).median).padStart(6),
-        percent(of(figures => figures.refusedLate / figures.requests).median).padStart(6),
-        percent(of(figures => figures.failed / figures.requests).median).padStart(6),
-        percent(of(figures => figures.fairness).median).padStart(6),
-        of(figures => figures.firstTokenP50).median.toFixed(0).padStart(6),
-        of(figures => figures.firstTokenP99).median.toFixed(0).padStart(6),
-        ` ${[...reasons].map(([reason, part]) => `${reason} ${percent(part)}`).join(", ")}`,
+        `${percent(goodput.median)} (${percent(goodput.min)}-${percent(goodput.max)})`.padEnd(20),
+        `${percent(wasted.median)} (${percent(wasted.min)}-${percent(wasted.max)})`.padEnd(18),
+        summarise(metrics => metrics.goodTokens).median.toFixed(0).padStart(6),
+        percent(summarise(metrics => metrics.idlePrefill).median).padStart(6),
+        percent(summarise(metrics => metrics.idleSlots).median).padStart(6),
+        percent(summarise(metrics => metrics.refused / metrics.requests).median).padStart(6),
+        percent(summarise(metrics => metrics.refusedLate / metrics.requests).median).padStart(6),
+        percent(summarise(metrics => metrics.failed / metrics.requests).median).padStart(6),
+        percent(summarise(metrics => metrics.fairness).median).padStart(6),
+        summarise(metrics => metrics.firstTokenP50).median.toFixed(0).padStart(6),
+        summarise(metrics => metrics.firstTokenP99).median.toFixed(0).padStart(6),
+        ` ${[...reasons].map(([reason, share]) => `${reason} ${percent(share)}`).join(", ")}`,
     ].join(" ");
 }
 
 const options = await yargs(hideBin(process.argv))
     .option("deployment", { type: "array", string: true, default: ["celeste"], choices: Object.keys(deployments) })
-    .option("load", { type: "array", number: true, default: [1], describe: "part of what the pool can carry" })
+    .option("load", {
+        type: "array",
+        number: true,
+        default: [1],
+        describe: "offered load as a ratio of the pool's capacity",
+    })
     .option("policy", { type: "array", string: true, default: ["pool"] as PolicyName[], choices: policies })
     .option("fault", { type: "array", string: true, default: ["none"] as Fault[], choices: faults })
     .option("import-again", {
         type: "boolean",
         default: true,
-        describe: "try an import again while the engine is full",
+        describe: "retry an import while the decode engine has no free slot",
     })
     .option("seeds", { type: "number", default: 5 })
     .option("first-seed", { type: "number", default: 1 })
@@ -58,7 +63,11 @@
     options.tuning.split(",").filter(part => part !== "").map(part => {
         const [name, value] = part.split("=");
         if (name === undefined || !(name in defaultTuning) || Number.isNaN(Number(value))) {
-            throw new Error(`--tuning: "${part}" is not one of ${Object.keys(defaultTuning).join(", ")} with a number`);
+            throw new Error(
+                `--tuning: "${part}" must be NAME=NUMBER with one of the names ${
+                    Object.keys(defaultTuning).join(", ")
+                }`,
+            );
         }
         return [name, Number(value)];
     }),
@@ -85,10 +94,10 @@
                             fault,
                             seed: options.firstSeed + offset,
                             tuning,
-                            importAgain: options.importAgain,
+                            retryImport: options.importAgain,
                         }),
                 );
-                console.log(row(`${name} ${load} ${fault} ${policy}`, runs));
+                console.log(formatRow(`${name} ${load} ${fault} ${policy}`, runs));
             }
         }
     }
--- a/scripts/rig/policy.ts
+++ b/scripts/rig/policy.ts
@@ -7,23 +7,27 @@
 } from "../../packages/basilpaddle/src/node/index.js";
 import type { Cluster } from "./cluster.js";
 
-/** How entry daemons come to a decision. Calls come at the time they are made; the policy adds what messages take. */
+/** Scheduling policy of the entry daemons. Calls arrive without delay; the policy simulates the network delay of its messages. */
 export abstract class Policy {
-    /** Whether what it hears is exact and at once, and it knows the lengths of answers. */
-    readonly seesEverything: boolean = false;
+    /** Whether its information is exact and immediate and includes the lengths of answers. */
+    readonly hasPerfectInformation: boolean = false;
 
-    abstract reserve(entry: number, demand: SchedulingRequest, decided: (decision: SchedulingDecision) => void): void;
+    abstract reserve(
+        entry: number,
+        request: SchedulingRequest,
+        onDecision: (decision: SchedulingDecision) => void,
+    ): void;
     abstract withdraw(entry: number, attempt: string): void;
     abstract progress(entry: number, progress: Progress): void;
     abstract load(report: LoadReport): void;
-    /** Engines or sessions changed in the view of every entry daemon. */
+    /** Called when engines or sessions have changed in the view of every entry daemon. */
     abstract viewChanged(): void;
 }
 
-/** What a policy gets to see of the rest of the rig. */
+/** What a policy can access in the simulation. */
 export type PolicyContext = {
     readonly cluster: Cluster;
-    /** What a live entry daemon holds at engines. */
-    readonly holdings: (entry: number) => readonly EngineHolding[];
+    /** Engine allocations of a running entry daemon. */
+    readonly allocations: (entry: number) => readonly EngineHolding[];
     readonly seed: number;
 };
--- a/scripts/rig/run.ts
+++ b/scripts/rig/run.ts
@@ -4,16 +4,16 @@
     type SchedulerTuning,
     SeededRandomness,
 } from "../../packages/basilpaddle/src/node/index.js";
+import { EngineSidePolicy, RandomPolicy } from "./baselinePolicies.js";
 import { Cluster } from "./cluster.js";
-import { type Deployment, engineModel, makeLoad } from "./deployments.js";
-import { type Figures, figures } from "./measures.js";
-import { EngineSidePolicy, RandomPolicy } from "./otherPolicies.js";
-import { AlonePolicy, PoolPolicy } from "./policies.js";
+import { type Deployment, engineModel, generateArrivals } from "./deployments.js";
+import { computeMetrics, type RunMetrics } from "./metrics.js";
 import type { Policy, PolicyContext } from "./policy.js";
 import { Requests } from "./requests.js";
+import { LocalPolicy, PoolPolicy } from "./schedulerPolicies.js";
 import { Simulation } from "./simulation.js";
 
-/** Faults that a run can have. */
+/** Faults that can be injected into a run. */
 export const faults = [
     "none",
     "engineDies",
@@ -23,31 +23,31 @@
     "schedulerCut",
     "reportsStop",
 ] as const;
-/** A fault that a run can have. */
+/** A fault that can be injected into a run. */
 export type Fault = (typeof faults)[number];
 
-/** Ways to decide. */
+/** Scheduling policies that can be compared. */
 export const policies = ["pool", "alone", "engineSide", "random", "bound"] as const;
-/** A way to decide. */
+/** A scheduling policy. */
 export type PolicyName = (typeof policies)[number];
 
-/** Milliseconds of a run: filled up until the first, measured until the second, and let run out to the last. */
-const measuredFrom = 40_000;
-const measuredTo = 100_000;
+/** Phases of a run in milliseconds: warm-up, then measurement while requests still arrive, then draining until the end. */
+const measurementStart = 40_000;
+const measurementEnd = 100_000;
 const faultAt = 60_000;
-const runsOutBy = 180_000;
-/** Milliseconds between load reports, and by how much they come late. */
-const reportEvery = 1_000;
-const reportLate = { least: 100, most: 500 };
-/** Part of the cache events that get lost. */
-const cacheLoss = 0.1;
-/** Milliseconds of silence after which the view calls an engine gone, and a session is closed. */
-const goneAfter = 5_000;
-const sessionAfter = 4_000;
-/** Milliseconds for which a fault that ends lasts. */
-const faultLasts = 10_000;
+const runEnd = 180_000;
+/** Milliseconds between load reports, and the range of their delivery delay. */
+const reportInterval = 1_000;
+const reportDelay = { min: 100, max: 500 };
+/** Ratio of load reports that lose their cache events. */
+const cacheEventLoss = 0.1;
+/** Milliseconds of silence after which the view marks an engine as gone, and after which a session is closed. */
+const silenceTimeout = 5_000;
+const sessionTimeout = 4_000;
+/** Duration of temporary faults in milliseconds. */
+const faultDuration = 10_000;
 
-/** One run of the rig. */
+/** Options of one run. */
 export type RunOptions = {
     readonly deployment: Deployment;
     readonly load: number;
@@ -55,68 +55,72 @@
     readonly fault: Fault;
     readonly seed: number;
     readonly tuning?: Partial<SchedulerTuning>;
-    /** Whether an import that finds the decode engine full is tried again while the result is kept. @default true */
-    readonly importAgain?: boolean;
+    /** Whether an import is retried while the decode engine has no free slot and the prefill result is kept. @default true */
+    readonly retryImport?: boolean;
 };
 
-/** What the bound tries, with everything seen: no one order is best for every load, so the best of these counts. */
+/** Tunings that the upper bound runs with perfect information; the best result counts, since no single tuning is best for every load. */
 const boundTunings: readonly Partial<SchedulerTuning>[] = [{}, { mostLag: 0 }, { admission: 1.05 }, {
     admission: 0.85,
     mostLag: 0,
 }];
 
-/** Runs the rig once. The same options give the same figures. */
-export function run(options: RunOptions): Figures {
+/** Runs the simulation once. The same options give the same metrics. */
+export function run(options: RunOptions): RunMetrics {
     if (options.policy !== "bound") {
         return runOnce(options);
     }
-    const tried = boundTunings.map(tuning => runOnce({ ...options, tuning: { ...options.tuning, ...tuning } }));
-    return tried.reduce((best, figures) => figures.good > best.good ? figures : best);
+    const results = boundTunings.map(tuning => runOnce({ ...options, tuning: { ...options.tuning, ...tuning } }));
+    return results.reduce((best, metrics) => metrics.good > best.good ? metrics : best);
 }
 
-function runOnce(options: RunOptions): Figures {
+function runOnce(options: RunOptions): RunMetrics {
     const { deployment, fault, seed } = options;
     const simulation = Simulation.create();
-    // The load has randomness of its own, so that every policy gets the same.
-    const cancelling = fault === "cancels" ? 0.15 : 0;
-    const load = makeLoad(
+    // Arrivals have their own random generator, so that every policy gets the same requests.
+    const cancelledShare = fault === "cancels" ? 0.15 : 0;
+    const arrivals = generateArrivals(
         deployment,
-        { load: options.load, until: measuredTo, cancelling },
+        { load: options.load, until: measurementEnd, cancelledShare },
         SeededRandomness.create(seed),
     );
     const cluster = Cluster.create(simulation, deployment, SeededRandomness.create(seed + 1_000_003));
-    const requests: Requests = new Requests(cluster, () => policy, options.importAgain ?? true);
+    const requests: Requests = new Requests(cluster, () => policy, options.retryImport ?? true);
     const policy: Policy = createPolicy(options, {
         cluster,
-        holdings: entry => requests.holdings(entry),
+        allocations: entry => requests.allocations(entry),
         seed,
     });
-    for (const one of load) {
-        simulation.after(one.at, () => requests.begin(one));
+    for (const arrival of arrivals) {
+        simulation.after(arrival.at, () => requests.start(arrival));
     }
-    startReports(cluster, policy);
-    simulation.after(faultAt, () => cause(fault, cluster, requests, policy));
-    simulation.runUntil(measuredFrom);
-    const before = used(cluster);
-    simulation.runUntil(measuredTo);
-    const after = used(cluster);
-    simulation.runUntil(runsOutBy);
+    scheduleReports(cluster, policy);
+    simulation.after(faultAt, () => injectFault(fault, cluster, requests, policy));
+    simulation.runUntil(measurementStart);
+    const before = readBusyTime(cluster);
+    simulation.runUntil(measurementEnd);
+    const after = readBusyTime(cluster);
+    simulation.runUntil(runEnd);
     requests.finish();
-    const milliseconds = measuredTo - measuredFrom;
-    return figures(requests.outcomes.filter(outcome => outcome.load.at >= measuredFrom), requests.wastes, {
-        targets: deployment.targets,
-        milliseconds,
-        prefillBusy: cluster.prefills.reduce((sum, engine) => sum + engine.busy, 0),
-        idlePrefill: 1 - (after.prefill - before.prefill) / (milliseconds * deployment.prefillEngines),
-        idleSlots: 1 - (after.slots - before.slots) / (milliseconds * deployment.decodeEngines * engineModel.slots),
-    });
+    const milliseconds = measurementEnd - measurementStart;
+    return computeMetrics(
+        requests.outcomes.filter(outcome => outcome.arrival.at >= measurementStart),
+        requests.wastedPrefills,
+        {
+            targets: deployment.targets,
+            milliseconds,
+            prefillBusy: cluster.prefills.reduce((sum, engine) => sum + engine.busyTime, 0),
+            idlePrefill: 1 - (after.prefill - before.prefill) / (milliseconds * deployment.prefillEngines),
+            idleSlots: 1 - (after.slots - before.slots) / (milliseconds * deployment.decodeEngines * engineModel.slots),
+        },
+    );
 }
 
-function used(cluster: Cluster): { readonly prefill: number; readonly slots: number; } {
-    cluster.decodes.forEach(engine => engine.account());
+function readBusyTime(cluster: Cluster): { readonly prefill: number; readonly slots: number; } {
+    cluster.decodes.forEach(engine => engine.updateCounters());
     return {
-        prefill: cluster.prefills.reduce((sum, engine) => sum + engine.busy, 0),
-        slots: cluster.decodes.reduce((sum, engine) => sum + engine.busy, 0),
+        prefill: cluster.prefills.reduce((sum, engine) => sum + engine.busyTime, 0),
+        slots: cluster.decodes.reduce((sum, engine) => sum + engine.busyTime, 0),
     };
 }
 
@@ -128,7 +132,7 @@
         case "bound":
             return new PoolPolicy(context, tuning, true);
         case "alone":
-            return new AlonePolicy(
+            return new LocalPolicy(
                 context,
                 entry =>
                     LocalScheduler.create({
@@ -143,27 +147,30 @@
     }
 }
 
-function startReports(cluster: Cluster, policy: Policy): void {
+function scheduleReports(cluster: Cluster, policy: Policy): void {
     const { simulation, randomness } = cluster;
-    const every = policy.seesEverything ? 100 : reportEvery;
+    const interval = policy.hasPerfectInformation ? 100 : reportInterval;
     for (const engine of [...cluster.prefills, ...cluster.decodes]) {
         const report = (): void => {
-            simulation.after(every, report);
-            if (!engine.alive || (cluster.reportsStopped && !policy.seesEverything)) {
+            simulation.after(interval, report);
+            if (!engine.alive || (cluster.reportsStopped && !policy.hasPerfectInformation)) {
                 return;
             }
-            const told = engine.report();
-            const late = policy.seesEverything ? 0 : randomness.integer(reportLate.least, reportLate.most);
-            const lost = !policy.seesEverything && randomness.fraction() < cacheLoss;
-            simulation.after(late, () => policy.load(lost ? { ...told, cache: undefined } : told));
+            const loadReport = engine.report();
+            const delay = policy.hasPerfectInformation ? 0 : randomness.integer(reportDelay.min, reportDelay.max);
+            const cacheEventsLost = !policy.hasPerfectInformation && randomness.fraction() < cacheEventLoss;
+            simulation.after(
+                delay,
+                () => policy.load(cacheEventsLost ? { ...loadReport, cache: undefined } : loadReport),
+            );
         };
-        simulation.after(randomness.integer(0, every), report);
+        simulation.after(randomness.integer(0, interval), report);
     }
 }
 
-function cause(fault: Fault, cluster: Cluster, requests: Requests, policy: Policy): void {
+function injectFault(fault: Fault, cluster: Cluster, requests: Requests, policy: Policy): void {
     const { simulation } = cluster;
-    const exact = policy.seesEverything;
+    const hasPerfectInformation = policy.hasPerfectInformation;
     switch (fault) {
         case "none":
         case "cancels":
@@ -172,21 +179,21 @@
             const engine = cluster.decodes[0]!;
             engine.alive = false;
             requests.engineDied(engine.id);
-            simulation.after(exact ? 0 : goneAfter, () => {
-                cluster.gone.add(engine.id);
+            simulation.after(hasPerfectInformation ? 0 : silenceTimeout, () => {
+                cluster.unavailable.add(engine.id);
                 policy.viewChanged();
             });
             return;
         }
         case "transferStalls": {
             const engine = cluster.decodes[0]!;
-            cluster.stalled.add(engine.id);
-            simulation.after(faultLasts, () => cluster.stalled.delete(engine.id));
-            if (exact) {
-                cluster.gone.add(engine.id);
+            cluster.stalledEngines.add(engine.id);
+            simulation.after(faultDuration, () => cluster.stalledEngines.delete(engine.id));
+            if (hasPerfectInformation) {
+                cluster.unavailable.add(engine.id);
                 policy.viewChanged();
-                simulation.after(faultLasts, () => {
-                    cluster.gone.delete(engine.id);
+                simulation.after(faultDuration, () => {
+                    cluster.unavailable.delete(engine.id);
                     policy.viewChanged();
                 });
             }
@@ -195,22 +202,22 @@
         case "entryDies": {
             const entry = cluster.entryAlive.length - 1;
             cluster.entryAlive[entry] = false;
-            requests.entryDied(entry, exact ? 0 : sessionAfter + 1_000);
-            simulation.after(exact ? 0 : sessionAfter, () => {
+            requests.entryDied(entry, hasPerfectInformation ? 0 : sessionTimeout + 1_000);
+            simulation.after(hasPerfectInformation ? 0 : sessionTimeout, () => {
                 cluster.sessionOpen[entry] = false;
                 policy.viewChanged();
             });
             return;
         }
         case "schedulerCut":
-            cluster.entryCut[0] = !exact;
-            simulation.after(faultLasts, () => {
-                cluster.entryCut[0] = false;
+            cluster.entryPartitioned[0] = !hasPerfectInformation;
+            simulation.after(faultDuration, () => {
+                cluster.entryPartitioned[0] = false;
             });
             return;
         case "reportsStop":
             cluster.reportsStopped = true;
-            simulation.after(faultLasts, () => {
+            simulation.after(faultDuration, () => {
                 cluster.reportsStopped = false;
             });
             return;
