--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/fakes.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/fakes.ts
@@ -146,17 +146,21 @@
 }
 
 class TestNetwork extends Network {
-    constructor(private readonly daemons: TestDaemons, private readonly from: string) {
+    constructor(private readonly daemons: TestDaemons, private readonly sender: string) {
         super();
     }
 
     override link(address: { readonly host: string; }): Link {
-        return new TestLink(this.daemons, this.from, address.host);
+        return new TestLink(this.daemons, this.sender, address.host);
     }
 }
 
 class TestLink extends Link {
-    constructor(private readonly daemons: TestDaemons, private readonly from: string, private readonly to: string) {
+    constructor(
+        private readonly daemons: TestDaemons,
+        private readonly sender: string,
+        private readonly receiver: string,
+    ) {
         super();
     }
 
@@ -183,15 +187,15 @@
     override close(): void {}
 
     private isPartitioned(): boolean {
-        return this.daemons.partitioned.has(this.from) || this.daemons.partitioned.has(this.to);
+        return this.daemons.partitioned.has(this.sender) || this.daemons.partitioned.has(this.receiver);
     }
 
     private deliver(body: unknown): Promise<PeerAnswer | undefined> | undefined {
-        const target = this.daemons.placements.get(this.to);
+        const target = this.daemons.placements.get(this.receiver);
         if (target === undefined || this.isPartitioned()) {
             return undefined;
         }
-        return target.handlePeer(body as PeerRequest, { gone: this.daemons.connections.get(this.from)!.signal });
+        return target.handlePeer(body as PeerRequest, { gone: this.daemons.connections.get(this.sender)!.signal });
     }
 }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
@@ -20,7 +20,7 @@
         expect(bench.outcome("b")).to.equal("p1>d1");
     });
 
-    // Guards against queued requests never reaching an engine that was just announced.
+    // Guards against queued requests that are never assigned to an engine that was announced after them.
     it("assigns queued requests to an engine in the step that adds it to the view", () => {
         const prefills = ["p1", "p2", "p3"].map(id => engine(id, "prefill"));
         const before = [...prefills, engine("d1", "decode", { slots: 1 })];
@@ -57,7 +57,7 @@
         expect(long.outcome("long")).to.equal("p1>d1");
     });
 
-    // Guards against an organisation waiting behind the whole burst of another.
+    // Guards against an organisation's request that waits until another's whole burst is served.
     it("serves an organisation within its share before another's burst", () => {
         const bench = new SchedulerBench([engine("p1", "prefill"), engine("d1", "decode", { slots: 2 })], "prefill");
         for (let count = 0; count < 40; count++) {
@@ -72,7 +72,8 @@
         expect(bench.outcome("burst20")).to.equal("waits");
     });
 
-    // Guards against an organisation that used an idle pool waiting behind all others for minutes.
+    // Guards against an organisation whose requests wait behind all others for minutes because it used the pool while it
+    // was idle.
     it("doesn't count requests already served against an organisation", () => {
         const bench = new SchedulerBench([engine("p1", "prefill"), engine("d1", "decode", { slots: 1 })]);
         const short = { expectedTokens: 10, firstTokenWithin: 30_000 };
@@ -173,7 +174,7 @@
         fc.assert(schedulingProperty(), { seed: 20_261_202, numRuns: 200 });
     });
 
-    function holdingOf(attempt: string, decode: string): EngineHolding {
+    function allocationOf(attempt: string, decode: string): EngineHolding {
         return { demand: schedulingRequest(attempt), prefill: "p1", decode, stage: "prefilled", tokens: 0 };
     }
 
@@ -188,18 +189,18 @@
             engine("d1", "decode", { slots: 1 }),
             engine("d2", "decode", { slots: 1 }),
         ]);
-        const asked = ["a", "b", "queued"].map(name => schedulingRequest(name, { firstTokenWithin: 30_000 }));
-        asked.forEach(one => bench.submit(one));
+        const requests = ["a", "b", "queued"].map(name => schedulingRequest(name, { firstTokenWithin: 30_000 }));
+        requests.forEach(request => bench.submit(request));
         bench.advance(400);
         const [moving, other] = bench.outcome("a") === "p1>d1" ? ["a", "b"] as const : ["b", "a"] as const;
         bench.stages(other, "prefilled", "transferred");
         bench.stages(moving, "prefilled");
-        expect(bench.scheduler.move(holdingOf(moving, "d1"), bench.now)).to.equal(undefined);
+        expect(bench.scheduler.move(allocationOf(moving, "d1"), bench.now)).to.equal(undefined);
         bench.stages(other, "finished");
         expect(bench.outcome("queued")).to.equal("waits");
-        expect(bench.scheduler.move(holdingOf(moving, "d1"), bench.now)).to.equal("d2");
+        expect(bench.scheduler.move(allocationOf(moving, "d1"), bench.now)).to.equal("d2");
         expect([...bench.scheduler.status().held]).to.deep.include.members([["d1", 0], ["d2", 1]]);
-        expect(bench.scheduler.move(holdingOf(moving, "d1"), bench.now), "asked again").to.equal("d2");
+        expect(bench.scheduler.move(allocationOf(moving, "d1"), bench.now), "asked again").to.equal("d2");
         // The engine that rejected the attempt counts as full until three later reports have shown otherwise.
         bench.advance(100);
         expect(bench.outcome("queued")).to.equal("waits");
@@ -208,13 +209,13 @@
         expect(bench.outcome("queued")).to.equal("p1>d1");
     });
 
-    // Guards against a queue blocked by an attempt that has ended.
+    // Guards against a slot that stays reserved for an attempt that has ended, which would block the queue.
     it("reserves no slot for an attempt that doesn't ask again", () => {
         const bench = new SchedulerBench([engine("p1", "prefill", { slots: 9 }), engine("d1", "decode", { slots: 1 })]);
         bench.submit(schedulingRequest("a", { firstTokenWithin: 30_000 }));
         bench.stages("a", "prefilled");
         bench.submit(schedulingRequest("queued", { firstTokenWithin: 30_000 }));
-        expect(bench.scheduler.move(holdingOf("a", "d1"), bench.now)).to.equal(undefined);
+        expect(bench.scheduler.move(allocationOf("a", "d1"), bench.now)).to.equal(undefined);
         [1, 2, 3].forEach(sequence => report(bench, sequence, []));
         bench.step({ kind: "withdraw", attempt: "a" });
         bench.advance(1_000);
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
@@ -6,12 +6,16 @@
 
 const neverAborted = new AbortController().signal;
 
-function demandOf(daemon: string, name: string, more: Parameters<typeof schedulingRequest>[1] = {}) {
-    return schedulingRequest(`${daemon}/i1/${name}`, { owner: incarnation(daemon), firstTokenWithin: 20_000, ...more });
+function requestOf(daemon: string, name: string, overrides: Parameters<typeof schedulingRequest>[1] = {}) {
+    return schedulingRequest(`${daemon}/i1/${name}`, {
+        owner: incarnation(daemon),
+        firstTokenWithin: 20_000,
+        ...overrides,
+    });
 }
 
-function holdingOf(daemon: string, name: string, stage: EngineHolding["stage"]): EngineHolding {
-    return { demand: demandOf(daemon, name), prefill: "p1", decode: "d1", stage, tokens: 0 };
+function allocationOf(daemon: string, name: string, stage: EngineHolding["stage"]): EngineHolding {
+    return { demand: requestOf(daemon, name), prefill: "p1", decode: "d1", stage, tokens: 0 };
 }
 
 describe("ScheduledPlacement", () => {
@@ -32,9 +36,9 @@
         daemon: string,
         name: string,
         signal: AbortSignal = neverAborted,
-        more: Parameters<typeof schedulingRequest>[1] = {},
+        overrides: Parameters<typeof schedulingRequest>[1] = {},
     ): void {
-        void daemons.placement(daemon).reserve(demandOf(daemon, name, more), signal).then(decision =>
+        void daemons.placement(daemon).reserve(requestOf(daemon, name, overrides), signal).then(decision =>
             decisions.set(name, decision)
         );
     }
@@ -51,7 +55,7 @@
         return decision.kind === "assigned" ? decision.fence : decision.refusal.code;
     }
 
-    async function ask(daemon: string, name: string): Promise<void> {
+    async function reserveAndPrefill(daemon: string, name: string): Promise<void> {
         reserve(daemon, name);
         await daemons.clock.pass(200);
         const attempt = `${daemon}/i1/${name}`;
@@ -60,53 +64,56 @@
     }
 
     it("asks the holder of the scheduler lease, and assigns each slot once", async () => {
-        await ask("b", "one");
-        await ask("c", "two");
-        await ask("b", "three");
+        await reserveAndPrefill("b", "one");
+        await reserveAndPrefill("c", "two");
+        await reserveAndPrefill("b", "three");
         expect([outcome("one"), outcome("two"), outcome("three")]).to.deep.equal([11, 11, "waits"]);
         end("c", "two");
         await daemons.clock.pass(100);
         expect(outcome("three")).to.equal(11);
     });
 
-    // Guards against queued requests never reaching an engine that was just announced.
+    // Guards against queued requests that are never assigned to an engine that was announced after them.
     it("assigns queued requests, of this and other daemons, to an engine added to the view", async () => {
-        await ask("b", "one");
-        await ask("c", "two");
+        await reserveAndPrefill("b", "one");
+        await reserveAndPrefill("c", "two");
         reserve("a", "three");
         reserve("b", "four");
         await daemons.clock.pass(300);
         expect([outcome("three"), outcome("four")]).to.deep.equal(["waits", "waits"]);
-        const gained = [engine("d2", "decode"), engine("p2", "prefill")];
+        const addedEngines = [engine("d2", "decode"), engine("p2", "prefill")];
         daemons.change(view => ({
             ...view,
-            backends: { ...view.backends, ...Object.fromEntries(gained.map(one => [one.announcement.id, one])) },
+            backends: {
+                ...view.backends,
+                ...Object.fromEntries(addedEngines.map(entry => [entry.announcement.id, entry])),
+            },
         }));
         await rest();
         expect([outcome("three"), outcome("four")]).to.deep.equal([11, 11]);
         expect(daemons.placement("a").status().get("drafts")!.held.get("d2")).to.equal(2);
     });
 
-    // Guards against a third request on two slots after the scheduler moved to another daemon.
+    // Guards against a third request assigned to two slots after another daemon became the scheduler.
     it("recovers the holdings of all open sessions before a new scheduler assigns slots", async () => {
-        await ask("b", "one");
-        await ask("c", "two");
+        await reserveAndPrefill("b", "one");
+        await reserveAndPrefill("c", "two");
         daemons.kill("a");
         daemons.closeSession("a");
         daemons.grantLease("drafts", "c");
         await daemons.clock.pass(100);
-        await ask("b", "three");
+        await reserveAndPrefill("b", "three");
         expect(outcome("three")).to.equal("waits");
         end("b", "one");
         await daemons.clock.pass(100);
         expect(outcome("three")).to.equal(13);
     });
 
-    // Guards against requests hanging until their deadline.
+    // Guards against requests that wait at an unreachable scheduler until their deadline.
     it("places requests locally, within its share, when the scheduler becomes unreachable while they are queued", async () => {
-        await ask("b", "one");
-        await ask("b", "two");
-        await ask("c", "three");
+        await reserveAndPrefill("b", "one");
+        await reserveAndPrefill("b", "two");
+        await reserveAndPrefill("c", "three");
         expect(outcome("three")).to.equal("waits");
         daemons.partitioned.add("a");
         await daemons.clock.pass(500);
@@ -116,10 +123,10 @@
         expect(daemons.placement("a").status().get("drafts")!.waiting).to.equal(0);
     });
 
-    // Guards against serving old requests before new ones that could still meet their targets.
+    // Guards against requests that are late already taking engines from new ones that can still meet their targets.
     it("counts the time spent in the scheduler's queue in local placement", async () => {
-        await ask("b", "one");
-        await ask("c", "two");
+        await reserveAndPrefill("b", "one");
+        await reserveAndPrefill("c", "two");
         reserve("c", "three");
         reserve("c", "four");
         await daemons.clock.pass(10_000);
@@ -131,7 +138,7 @@
         expect(outcome("four")).to.equal("poolFull");
     });
 
-    // Guards against a slot that stays held after its caller is gone.
+    // Guards against a slot that stays allocated after its caller disconnected.
     it("releases the engines of a caller that disconnects between the reservation and its use", async () => {
         const caller = new AbortController();
         reserve("b", "one", caller.signal);
@@ -143,9 +150,9 @@
 
     // Guards against a queue full of requests of a dead daemon.
     it("removes the requests of a broken connection from the queue, and releases slots when the session closes", async () => {
-        await ask("b", "one");
-        await ask("b", "two");
-        await ask("b", "three");
+        await reserveAndPrefill("b", "one");
+        await reserveAndPrefill("b", "two");
+        await reserveAndPrefill("b", "three");
         const poolStatus = () => daemons.placement("a").status().get("drafts")!;
         expect(poolStatus().waiting).to.equal(1);
         daemons.kill("b");
@@ -159,8 +166,8 @@
     // Guards against engines decoding the answer of a killed daemon to its last token.
     it("cancels the attempts of a dead daemon at their engines, and none of a live one", async () => {
         const report = { id: "d1", incarnation: 1, sequence: 5, active: ["b/i1/one", "c/i1/two"], queuedTokens: 0 };
-        await ask("b", "one");
-        await ask("c", "two");
+        await reserveAndPrefill("b", "one");
+        await reserveAndPrefill("c", "two");
         daemons.placement("c").load("drafts", report);
         daemons.kill("b");
         daemons.closeSession("b");
@@ -169,7 +176,7 @@
         expect([...new Set(daemons.cancelledAttempts)]).to.deep.equal(["b/i1/one"]);
     });
 
-    // Guards against streams being cut during a daemon's shutdown.
+    // Guards against cancelling streams that a daemon still serves while it shuts down.
     it("cancels nothing of a daemon that drains after its session closed, as long as it is reachable", async () => {
         const reportFor = async (seconds: number): Promise<void> => {
             for (const end = daemons.clock.monotonic() + 1_000 * seconds; daemons.clock.monotonic() < end;) {
@@ -193,7 +200,7 @@
         expect([...new Set(daemons.cancelledAttempts)]).to.deep.equal(["c/i1/one"]);
     });
 
-    // Guards against cancelling live requests after a daemon's start.
+    // Guards against cancelling requests of live daemons while the view of a daemon that just started is stale.
     it("treats an unknown owner as dead only after the view was confirmed", async () => {
         const report = { id: "d1", incarnation: 1, sequence: 5, active: ["new/i1/one"], queuedTokens: 0 };
         daemons.placement("a").load("drafts", report);
@@ -205,7 +212,7 @@
 
     it("doesn't schedule while its view isn't confirmed", async () => {
         daemons.controls.get("a")!.confirmed = false;
-        await ask("b", "one");
+        await reserveAndPrefill("b", "one");
         expect(outcome("one")).to.equal(0);
     });
 
@@ -215,13 +222,13 @@
             if (local) {
                 daemons.partitioned.add("a");
             }
-            await ask("b", "one");
+            await reserveAndPrefill("b", "one");
             await daemons.clock.pass(500);
             expect(outcome("one")).to.equal(local ? 0 : 11);
             daemons.partitioned.clear();
             await daemons.clock.pass(500);
             daemons.change(view => ({ ...view, backends: { ...view.backends, d2: engine("d2", "decode") } }));
-            const moved = daemons.placement("b").move(holdingOf("b", "one", "prefilled"));
+            const moved = daemons.placement("b").move(allocationOf("b", "one", "prefilled"));
             await daemons.clock.pass(300);
             expect(await moved).to.equal("d2");
             const { held } = daemons.placement("a").status().get("drafts")!;
@@ -234,16 +241,16 @@
 
     // Guards against discarding a finished prefill because the scheduler is unreachable.
     it("moves an attempt locally while the scheduler is unreachable", async () => {
-        await ask("b", "one");
+        await reserveAndPrefill("b", "one");
         daemons.change(view => ({ ...view, backends: { ...view.backends, d2: engine("d2", "decode") } }));
         daemons.partitioned.add("a");
-        const moved = daemons.placement("b").move(holdingOf("b", "one", "prefilled"));
+        const moved = daemons.placement("b").move(allocationOf("b", "one", "prefilled"));
         await daemons.clock.pass(500);
         expect(await moved).to.equal("d2");
     });
 
-    // Guards against refusing a request that can't be retried, or placing it on a used slot, although the scheduler
-    // is reachable again.
+    // Guards against refusing a request that can't be retried, or assigning it a slot in use, although the scheduler is
+    // reachable again.
     it("returns requests that wait for local placement to the scheduler once it answers again", async () => {
         daemons.partitioned.add("a");
         await daemons.clock.pass(500);
@@ -255,10 +262,10 @@
         expect(outcome("once")).to.equal(11);
     });
 
-    // Guards against a scheduler that was frozen and assigns slots that others took meanwhile.
+    // Guards against a scheduler that was frozen and then assigns slots that other daemons allocated in the meantime.
     it("assigns nothing after a stall until it has applied the local placements of other daemons", async () => {
         const localPlacements = ["one", "two"].map(name => {
-            return { kind: "taken", pool: "drafts", holding: holdingOf("b", name, "prefilling") } as const;
+            return { kind: "taken", pool: "drafts", holding: allocationOf("b", name, "prefilling") } as const;
         });
         daemons.clock.freeze(400);
         reserve("a", "later");
@@ -273,8 +280,9 @@
         expect(outcome("later")).to.equal(11);
     });
 
-    // Guards against the final failure of a request that can't be retried, because engines don't list the scheduler's
-    // last assignments yet.
+    // Guards against placing a request that can't be retried on a slot that the scheduler has just assigned and that
+    // isn't in
+    // the engines' reports yet: the request fails permanently when the engine rejects it.
     it("places a request that can't be retried locally only by load reports that include the scheduler's last assignments", async () => {
         daemons.change(view => ({ ...view, backends: { ...view.backends, d2: engine("d2", "decode", { slots: 8 }) } }));
         const reportLoads = (active: readonly string[]): void => {
--- a/packages/basilpaddle/src/node/coordination/scheduling/admissionForecast.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/admissionForecast.ts
@@ -3,25 +3,28 @@
 import type { TrackedEngine } from "./trackedEngine.js";
 import type { Assignment } from "./trackedPool.js";
 
-/** Weight of one finished attempt in the moving average of slot times. */
+/** Weight of one finished attempt in the moving average of the time for which attempts use a decode slot. */
 const slotTimeWeight = 0.02;
 
-/** The queued requests ahead of one request. */
+/** Number of queued requests that are served before a given request, and their total prefill time. */
 export type QueuedAhead = {
     readonly requests: number;
-    /** Prefill time in milliseconds. */
-    readonly work: number;
+    /** Total prefill time in milliseconds. */
+    readonly prefillTime: number;
 };
 
 /** Expected time in milliseconds of a request's own prefill and transfer. */
-export type PhaseTimes = { readonly work: number; readonly transfer: number; };
+export type PhaseTimes = { readonly prefillTime: number; readonly transferTime: number; };
 
-/** Load of a model's engines: assigned prefill work in milliseconds, and free decode slots. */
-export type ModelEnginesStatus = { readonly work: number; readonly freeSlots: number; };
+/** Load of a model's engines: assigned prefill time in milliseconds that isn't done yet, and free decode slots. */
+export type ModelEnginesLoad = { readonly pendingPrefillTime: number; readonly freeSlots: number; };
 
-/** Forecasts the time to a request's first token from the queue ahead of it and from how long attempts hold their slots. */
+/** Forecasts the time to a request's first token, from the queue ahead of it and from how long attempts use their slots. */
 export class AdmissionForecast {
-    /** Moving average of the time in milliseconds for which finished attempts held their slots. */
+    /**
+     * Moving average of the time in milliseconds for which finished attempts used their slots; undefined until one
+     * finished.
+     */
     private slotTime: number | undefined;
 
     static create(): AdmissionForecast {
@@ -30,33 +33,38 @@
 
     /** Updates the average slot time with a finished attempt. */
     recordEnd(assignment: Assignment, now: number): void {
-        const held = now - assignment.assignedAt;
-        this.slotTime = this.slotTime === undefined ? held : this.slotTime + slotTimeWeight * (held - this.slotTime);
+        const slotDuration = now - assignment.assignedAt;
+        this.slotTime = this.slotTime === undefined
+            ? slotDuration
+            : this.slotTime + slotTimeWeight * (slotDuration - this.slotTime);
     }
 
     /** The current load of a model's engines; computed once for all requests that are reviewed together. */
-    status(modelEngines: ModelEngines, now: number): ModelEnginesStatus {
-        return { work: pendingPrefillWork(modelEngines.prefill, now), freeSlots: freeSlots(modelEngines.decode) };
+    currentLoad(modelEngines: ModelEngines, now: number): ModelEnginesLoad {
+        return {
+            pendingPrefillTime: pendingPrefillTimeOf(modelEngines.prefill, now),
+            freeSlots: freeSlots(modelEngines.decode),
+        };
     }
 
     /** Expected time in milliseconds until the first token. */
-    firstTokenIn(
+    firstTokenDelay(
         request: SchedulingRequest,
         modelEngines: ModelEngines,
-        currentLoad: ModelEnginesStatus,
+        currentLoad: ModelEnginesLoad,
         ahead: QueuedAhead,
         times: PhaseTimes,
     ): number {
-        const prefillWait = (ahead.work + currentLoad.work) / modelEngines.prefill.length;
-        const slotsMissing = ahead.requests + 1 - currentLoad.freeSlots;
+        const prefillWait = (ahead.prefillTime + currentLoad.pendingPrefillTime) / modelEngines.prefill.length;
+        const missingSlots = ahead.requests + 1 - currentLoad.freeSlots;
         const tokenTime = modelEngines.decode[0]!.tokenTime;
         const expectedSlotTime = this.slotTime ?? request.expectedTokens * tokenTime;
-        const slotWait = Math.max(0, slotsMissing) * expectedSlotTime / modelEngines.slots;
-        return Math.max(prefillWait + times.work, slotWait) + times.transfer + tokenTime;
+        const slotWait = Math.max(0, missingSlots) * expectedSlotTime / modelEngines.slots;
+        return Math.max(prefillWait + times.prefillTime, slotWait) + times.transferTime + tokenTime;
     }
 }
 
-function pendingPrefillWork(engines: readonly TrackedEngine[], now: number): number {
+function pendingPrefillTimeOf(engines: readonly TrackedEngine[], now: number): number {
     let total = 0;
     for (const engine of engines) {
         total += engine.readyAt(now) - now;
--- a/packages/basilpaddle/src/node/coordination/scheduling/counter.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/counter.ts
@@ -16,9 +16,9 @@
     }
 
     remove(name: string): void {
-        const left = this.of(name) - 1;
-        if (left > 0) {
-            this.counts.set(name, left);
+        const remaining = this.of(name) - 1;
+        if (remaining > 0) {
+            this.counts.set(name, remaining);
         }
         else {
             this.counts.delete(name);
--- a/packages/basilpaddle/src/node/coordination/scheduling/engineChoice.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/engineChoice.ts
@@ -4,9 +4,9 @@
 import type { TransferTimes } from "./transferTimes.js";
 import type { SchedulerTuning } from "./tuning.js";
 
-/** How long a prefill's result may wait for its link; engines evict it in under a second. */
-const maximumLinkWaitMilliseconds = 400;
-/** Penalty of a full decode engine against an empty one when decode engines are compared. */
+/** Maximum time for which a prefill's result may wait for a free link; engines evict it in under a second. */
+const maxLinkWaitMilliseconds = 400;
+/** Penalty in the score of a decode engine whose slots are all used; lower in proportion to the slots that are free. */
 const fullnessPenaltyMilliseconds = 40;
 
 /** The engines chosen for a request, with their expected times. */
@@ -22,7 +22,7 @@
     readonly firstTokenAt: number;
 };
 
-/** The prefill part of the choice, which is made first. */
+/** The prefill part of an engine choice, which is made first. */
 export type PrefillChoice = Pick<EngineChoice, "prefill" | "work" | "expectedReuse" | "prefillAt">;
 
 /** Chooses engines of one pool. */
@@ -59,47 +59,48 @@
                     request.promptTokens,
                     this.prefixes.reusableTokens(prefill.id, request.prefixes, request.blockTokens),
                 );
-            const work = (request.promptTokens - expectedReuse * this.tuning.affinity) * prefill.tokenTime;
+            const prefillTime = (request.promptTokens - expectedReuse * this.tuning.affinity) * prefill.tokenTime;
             const prefillAt = Math.max(prefill.readyAt(now), now);
-            if (prefillAt + work < bestEnd) {
-                best = { prefill, work, expectedReuse, prefillAt };
-                bestEnd = prefillAt + work;
+            if (prefillAt + prefillTime < bestEnd) {
+                best = { prefill, work: prefillTime, expectedReuse, prefillAt };
+                bestEnd = prefillAt + prefillTime;
             }
         }
         return best;
     }
 
     /**
-     * The decode engine for a chosen prefill: one with a free slot, by the time of the first token and the engine's load.
-     * `cautious` leaves out engines that have not reported their load yet.
+     * The decode engine with a free slot that has the lowest score: the expected time of the first token plus a penalty for
+     * its load. `requiresReport` excludes engines that have not reported their load yet.
      */
     chooseDecode(
         request: SchedulingRequest,
-        chosen: PrefillChoice,
+        prefillChoice: PrefillChoice,
         engines: readonly TrackedEngine[],
-        cautious: boolean,
+        requiresReport: boolean,
         now: number,
     ): EngineChoice | undefined {
-        const prefilledAt = chosen.prefillAt + chosen.work;
+        const prefilledAt = prefillChoice.prefillAt + prefillChoice.work;
         let best: EngineChoice | undefined;
         let bestScore = Infinity;
         for (const decode of engines) {
             if (decode.usedSlots >= decode.slots || !decode.acceptsWork(request.avoid, now)) {
                 continue;
             }
-            const linkAt = Math.max(prefilledAt, chosen.prefill.linkFreeAt, decode.linkFreeAt);
-            const transferredAt = linkAt + this.transfers.expected(chosen.prefill, decode, request.promptTokens);
+            const transferStartAt = Math.max(prefilledAt, prefillChoice.prefill.linkFreeAt, decode.linkFreeAt);
+            const transferredAt = transferStartAt
+                + this.transfers.expected(prefillChoice.prefill, decode, request.promptTokens);
             const score = transferredAt + decode.tokenTime
                 + fullnessPenaltyMilliseconds * decode.usedSlots / decode.slots;
-            if (score >= bestScore || linkAt - prefilledAt > maximumLinkWaitMilliseconds) {
+            if (score >= bestScore || transferStartAt - prefilledAt > maxLinkWaitMilliseconds) {
                 continue;
             }
-            // Until all daemons have been asked for their holdings, only the engine's own report shows which slots are used.
-            if (cautious && decode.report === undefined) {
+            // Until all daemons have reported their allocations, only the engine's own report shows which slots are used.
+            if (requiresReport && decode.report === undefined) {
                 continue;
             }
             bestScore = score;
-            best = { ...chosen, decode, transferredAt, firstTokenAt: transferredAt + decode.tokenTime };
+            best = { ...prefillChoice, decode, transferredAt, firstTokenAt: transferredAt + decode.tokenTime };
         }
         return best;
     }
--- a/packages/basilpaddle/src/node/coordination/scheduling/engineSurvey.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/engineSurvey.ts
@@ -5,11 +5,11 @@
 /** Timeout of an engine's load report to a new scheduler. */
 const surveyTimeoutMilliseconds = 500;
 /** Number of decode engines queried for their load before a local decision, and the timeout of each query. */
-const maximumDecodeQueries = 8;
+const maxDecodeQueries = 8;
 const queryTimeoutMilliseconds = 250;
 
-/** Dependencies of an engine survey. */
-export type EngineSurveyParts = {
+/** Options of an engine survey. */
+export type EngineSurveyOptions = {
     readonly view: () => View;
     /** Creates a client for an engine; the survey closes it. */
     readonly engineAt: (url: string) => Engine;
@@ -18,12 +18,12 @@
     readonly onReport: (pool: string, report: LoadReport) => void;
 };
 
-/** Queries engines for their load, for cases in which the reports that they send by themselves aren't enough. */
+/** Queries engines for their load when the reports that they send periodically are missing or too old. */
 export class EngineSurvey {
-    private constructor(private readonly parts: EngineSurveyParts) {}
+    private constructor(private readonly options: EngineSurveyOptions) {}
 
-    static create(parts: EngineSurveyParts): EngineSurvey {
-        return new EngineSurvey(parts);
+    static create(options: EngineSurveyOptions): EngineSurvey {
+        return new EngineSurvey(options);
     }
 
     /** Queries all engines of a pool. */
@@ -40,8 +40,8 @@
     async queryDecodeEngines(pool: string): Promise<readonly LoadReport[]> {
         const ready = this.enginesOf(pool)
             .filter(({ announcement, state }) => announcement.role === "decode" && state === "ready");
-        const first = ready.length === 0 ? 0 : this.parts.randomness.integer(0, ready.length - 1);
-        const queried = [...ready.slice(first), ...ready.slice(0, first)].slice(0, maximumDecodeQueries);
+        const first = ready.length === 0 ? 0 : this.options.randomness.integer(0, ready.length - 1);
+        const queried = [...ready.slice(first), ...ready.slice(0, first)].slice(0, maxDecodeQueries);
         const reports = await Promise.all(
             queried.map(({ announcement }) => this.query(announcement, queryTimeoutMilliseconds)),
         );
@@ -49,16 +49,16 @@
     }
 
     private enginesOf(pool: string) {
-        return Object.values(this.parts.view().backends)
+        return Object.values(this.options.view().backends)
             .filter(({ announcement }) => announcement.pool === pool && announcement.role !== "service");
     }
 
     private async query({ url, pool }: Announcement, timeout: number): Promise<LoadReport | undefined> {
-        const engine = this.parts.engineAt(url);
+        const engine = this.options.engineAt(url);
         try {
             const report = (await engine.load(timeout)).toMaybe().extract();
             if (report !== undefined && pool !== undefined) {
-                this.parts.onReport(pool, report);
+                this.options.onReport(pool, report);
             }
             return report;
         }
--- a/packages/basilpaddle/src/node/coordination/scheduling/localHoldings.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localAllocations.ts
@@ -1,11 +1,11 @@
 import type { EngineHolding, Progress, SchedulingRequest } from "../../protocol/index.js";
 
-/** Engines held by this daemon's attempts, for schedulers that ask for them. */
-export class LocalHoldings {
+/** Engines allocated to this daemon's attempts. A new scheduler queries them to learn which slots are in use. */
+export class LocalAllocations {
     private readonly byAttempt = new Map<string, EngineHolding>();
 
-    static create(): LocalHoldings {
-        return new LocalHoldings();
+    static create(): LocalAllocations {
+        return new LocalAllocations();
     }
 
     /** Records the engines assigned to an attempt. */
@@ -15,28 +15,28 @@
 
     /** Records that an attempt was moved to another decode engine. */
     move(attempt: string, decode: string): void {
-        const holding = this.byAttempt.get(attempt);
-        if (holding !== undefined) {
-            this.byAttempt.set(attempt, { ...holding, decode });
+        const allocation = this.byAttempt.get(attempt);
+        if (allocation !== undefined) {
+            this.byAttempt.set(attempt, { ...allocation, decode });
         }
     }
 
-    /** Updates an attempt's holding with its progress; final stages remove it. */
+    /** Updates an attempt's allocation with its progress; final stages remove it. */
     progress(progress: Progress): void {
-        const holding = this.byAttempt.get(progress.attempt);
-        if (holding === undefined) {
+        const allocation = this.byAttempt.get(progress.attempt);
+        if (allocation === undefined) {
             return;
         }
         if (progress.stage === "finished" || progress.stage === "cancelled" || progress.stage === "failed") {
             this.byAttempt.delete(progress.attempt);
             return;
         }
-        const tokens = Math.max(holding.tokens, progress.tokens);
-        this.byAttempt.set(progress.attempt, { ...holding, stage: progress.stage, tokens });
+        const tokens = Math.max(allocation.tokens, progress.tokens);
+        this.byAttempt.set(progress.attempt, { ...allocation, stage: progress.stage, tokens });
     }
 
-    /** The holdings in a pool. */
+    /** The allocations in a pool. */
     ofPool(pool: string): EngineHolding[] {
-        return [...this.byAttempt.values()].filter(holding => holding.demand.pool === pool);
+        return [...this.byAttempt.values()].filter(allocation => allocation.demand.pool === pool);
     }
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
@@ -13,7 +13,7 @@
 import { refuse } from "./refusals.js";
 import { SchedulerHost } from "./schedulerHost.js";
 
-/** Reserves engines without the pool's scheduler, from what this daemon knows itself and within its share of the slots. */
+/** Reserves engines without the pool's scheduler, based on what this daemon knows and within its share of the slots. */
 export class LocalPlacement extends Placement {
     private readonly pools = new Map<string, SchedulerHost>();
     private readonly stopFollowing: () => void;
@@ -40,13 +40,13 @@
         const decision = await this.pools.get(request.pool)?.reserve(request, signal);
         if (signal.aborted) {
             this.pools.get(request.pool)?.withdraw(request.attempt);
-            return refuse(request, "callerGone", "the caller has gone", undefined);
+            return refuse(request, "callerGone", "the caller disconnected", undefined);
         }
         return decision ?? refuse(request, "noBackend", `no pool ${request.pool} is declared`, undefined);
     }
 
-    override async move(holding: EngineHolding): Promise<string | undefined> {
-        return this.pools.get(holding.demand.pool)?.move(holding);
+    override async move(allocation: EngineHolding): Promise<string | undefined> {
+        return this.pools.get(allocation.demand.pool)?.move(allocation);
     }
 
     override progress(pool: string, progress: Progress): void {
--- a/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
@@ -8,14 +8,14 @@
 /** Retry delays given to callers when no engine is available, and when all are full. */
 const noEngineRetryMilliseconds = 1_000;
 const fullRetryMilliseconds = 500;
-/** Maximum age of a load report used to place a request that can't be retried after a wrong decision. */
+/** Maximum age of a load report on which the placement of a request is based that may not be retried. */
 const freshReportMilliseconds = 500;
 /** Fraction of the time to the first token's target for which a request may wait for a slot. */
 const waitingFraction = 0.5;
 /** Fraction of the time to the first token's target for which a daemon may keep its share of the prefill engines busy. */
 const prefillFraction = 0.35;
 
-type WaitingRequest = { readonly demand: SchedulingRequest; readonly until: number; };
+type WaitingRequest = { readonly schedulingRequest: SchedulingRequest; readonly expiresAt: number; };
 
 /**
  * Scheduler of one entry daemon's own attempts. Picks the less loaded of two random engines, counting its own
@@ -40,7 +40,7 @@
 
     override step(event: SchedulerEvent, now: number): readonly SchedulingDecision[] {
         const decisions = this.applyEvent(event, now);
-        for (const { demand: request } of this.waiting.values()) {
+        for (const { schedulingRequest: request } of this.waiting.values()) {
             const choice = this.choose(request, now);
             if (choice === "full") {
                 break;
@@ -51,14 +51,14 @@
         return decisions;
     }
 
-    override move(holding: EngineHolding, now: number): string | undefined {
-        const { demand: request } = holding;
-        this.trackedPool.restore(holding, now);
+    override move(allocation: EngineHolding, now: number): string | undefined {
+        const { demand: request } = allocation;
+        this.trackedPool.restore(allocation, now);
         const assignment = this.trackedPool.assignments.get(request.attempt);
         if (assignment === undefined) {
             return undefined;
         }
-        this.trackedPool.engines.get(holding.decode)?.recordFull(request.attempt);
+        this.trackedPool.engines.get(allocation.decode)?.recordFull(request.attempt);
         const free = this.enginesFor(request, "decode", now).filter(engine => engine.usedSlots < engine.slots);
         const decode = this.lessLoadedOfTwo(free, engine => engine.usedSlots / engine.slots);
         if (decode !== undefined) {
@@ -68,18 +68,18 @@
     }
 
     override nextTickAt(): number | undefined {
-        let first = Infinity;
+        let earliest = Infinity;
         for (const assignment of this.trackedPool.assignments.values()) {
-            first = Math.min(first, assignment.endsBy);
+            earliest = Math.min(earliest, assignment.deadlineAt);
         }
-        for (const { until } of this.waiting.values()) {
-            first = Math.min(first, until);
+        for (const { expiresAt } of this.waiting.values()) {
+            earliest = Math.min(earliest, expiresAt);
         }
-        return first === Infinity ? undefined : first;
+        return earliest === Infinity ? undefined : earliest;
     }
 
     override status(): ReturnType<Scheduler["status"]> {
-        return { held: this.trackedPool.heldByEngine(), waiting: this.waiting.size };
+        return { held: this.trackedPool.allocatedSlotsByEngine(), waiting: this.waiting.size };
     }
 
     private applyEvent(event: SchedulerEvent, now: number): SchedulingDecision[] {
@@ -106,7 +106,7 @@
                 this.trackedPool.restore(event.holding, now);
                 return [];
             case "tick":
-                this.trackedPool.releaseWhere(assignment => assignment.endsBy <= now, now);
+                this.trackedPool.releaseWhere(assignment => assignment.deadlineAt <= now, now);
                 return this.expire(now);
             case "rules":
             case "warm":
@@ -123,14 +123,17 @@
         if (this.waiting.size >= this.queueLimit(request, now)) {
             return [fullRefusal(request)];
         }
-        this.waiting.set(request.attempt, { demand: request, until: now + waitingFraction * request.firstTokenWithin });
+        this.waiting.set(request.attempt, {
+            schedulingRequest: request,
+            expiresAt: now + waitingFraction * request.firstTokenWithin,
+        });
         return [];
     }
 
     private expire(now: number): SchedulingDecision[] {
-        const expired = [...this.waiting.values()].filter(({ until }) => until <= now);
-        expired.forEach(({ demand: request }) => this.waiting.delete(request.attempt));
-        return expired.map(({ demand: request }) => fullRefusal(request));
+        const expired = [...this.waiting.values()].filter(({ expiresAt }) => expiresAt <= now);
+        expired.forEach(({ schedulingRequest: request }) => this.waiting.delete(request.attempt));
+        return expired.map(({ schedulingRequest: request }) => fullRefusal(request));
     }
 
     private choose(request: SchedulingRequest, now: number): SchedulingDecision | "full" {
@@ -145,7 +148,7 @@
             ? decodes.filter(engine => now - engine.reportedAt <= freshReportMilliseconds)
             : decodes;
         const free = reporting.filter(engine =>
-            engine.usedSlots < engine.slots && engine.heldAttempts.size < this.slotShare(engine)
+            engine.usedSlots < engine.slots && engine.assignedAttempts.size < this.slotShare(engine)
         );
         if (request.once && this.mayBeContended(reporting, decodes.length)) {
             return "full";
@@ -158,37 +161,41 @@
         if (decode === undefined || prefill === undefined) {
             return "full";
         }
-        this.trackedPool.assign(request, { prefill, decode, work: request.promptTokens * prefill.tokenTime }, now);
+        this.trackedPool.assign(
+            request,
+            { prefill, decode, work: request.promptTokens * prefill.tokenTime },
+            now,
+        );
         const { attempt } = request;
         return { kind: "assigned", attempt, prefill: prefill.id, decode: decode.id, fence: 0, expectedReuse: 0 };
     }
 
     /**
-     * Whether the other daemons could take all slots that the reporting engines show as free, if each of them placed one
-     * request somewhere among all engines.
+     * Whether all slots that are free according to recent reports may be used up by other daemons. Assumes that each daemon
+     * places one request on an engine chosen from all engines.
      */
-    private mayBeContended(known: readonly TrackedEngine[], engines: number): boolean {
-        const free = known.reduce((sum, engine) => sum + Math.max(0, engine.slots - engine.usedSlots), 0);
-        return this.divided && free < this.sessionCount * known.length / engines;
+    private mayBeContended(candidates: readonly TrackedEngine[], engineCount: number): boolean {
+        const free = candidates.reduce((sum, engine) => sum + Math.max(0, engine.slots - engine.usedSlots), 0);
+        return this.divided && free < this.sessionCount * candidates.length / engineCount;
     }
 
     /**
-     * When the pool's scheduler is lost, its whole queue returns to the daemons at once, and their slots together admit
-     * dozens of prompts. Without this limit the prefill engines are busy for longer than the target, and every first token
-     * is late for a while.
+     * Whether the request's prefill would exceed this daemon's share of the prefill engines' time. When the pool's scheduler
+     * is lost, its whole queue returns to the daemons at once, whose slots together admit dozens of prompts. Without this
+     * limit the prefill engines would be busy for longer than the target, and every first token would be late for a while.
      */
     private exceedsPrefillShare(request: SchedulingRequest, prefills: readonly TrackedEngine[], now: number): boolean {
-        const assignedWork = prefills.reduce((sum, engine) => sum + engine.readyAt(now) - now, 0);
-        if (!this.divided || assignedWork === 0) {
+        const pendingPrefillTime = prefills.reduce((sum, engine) => sum + engine.readyAt(now) - now, 0);
+        if (!this.divided || pendingPrefillTime === 0) {
             return false;
         }
-        const work = request.promptTokens * prefills[0]!.tokenTime;
+        const prefillTime = request.promptTokens * prefills[0]!.tokenTime;
         const share = prefillFraction * request.firstTokenWithin * prefills.length / this.sessionCount;
-        return assignedWork + work > share;
+        return pendingPrefillTime + prefillTime > share;
     }
 
     private queueLimit(request: SchedulingRequest, now: number): number {
-        // As many requests may wait as this daemon has slots: each slot becomes free within the time of one answer.
+        // At most one queued request for each of this daemon's slots: a slot becomes free within the time of one answer.
         return this.enginesFor(request, "decode", now).reduce((sum, engine) => sum + this.slotShare(engine), 0);
     }
 
@@ -211,9 +218,9 @@
         if (engines.length === 0) {
             return undefined;
         }
-        const one = engines[this.randomness.integer(0, engines.length - 1)]!;
-        const other = engines[this.randomness.integer(0, engines.length - 1)]!;
-        return load(one) <= load(other) ? one : other;
+        const first = engines[this.randomness.integer(0, engines.length - 1)]!;
+        const second = engines[this.randomness.integer(0, engines.length - 1)]!;
+        return load(first) <= load(second) ? first : second;
     }
 }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/modelEngineIndex.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/modelEngineIndex.ts
@@ -10,7 +10,9 @@
     readonly slots: number;
 };
 
-/** Index of the ready engines by model, adapter and version; computed on first use after each change of engines. */
+/**
+ * Index of the ready engines by model, adapter and version. Entries are computed on first use after a change of engines.
+ */
 export class ModelEngineIndex {
     private readonly cache = new Map<string, ModelEngines>();
 
@@ -33,17 +35,17 @@
         if (known !== undefined) {
             return known;
         }
-        const carrying = [...this.trackedPool.engines.values()].filter(engine =>
+        const serving = [...this.trackedPool.engines.values()].filter(engine =>
             engine.state === "ready" && engine.serves(model, adapter, version)
         );
-        const decode = carrying.filter(engine => engine.announcement.role === "decode");
+        const decode = serving.filter(engine => engine.announcement.role === "decode");
         const modelEngines: ModelEngines = {
-            prefill: carrying.filter(engine => engine.announcement.role === "prefill"),
+            prefill: serving.filter(engine => engine.announcement.role === "prefill"),
             decode,
             slots: decode.reduce((sum, engine) => sum + engine.slots, 0),
         };
-        // Models that no engine serves aren't cached: callers could send any number of made-up names.
-        if (carrying.length > 0) {
+        // Models that no engine serves aren't cached: callers could fill the cache with any number of invented names.
+        if (serving.length > 0) {
             this.cache.set(key, modelEngines);
         }
         return modelEngines;
--- a/packages/basilpaddle/src/node/coordination/scheduling/organisationShares.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/organisationShares.ts
@@ -1,31 +1,36 @@
 import { LRUCache } from "lru-cache";
 import type { Organisation } from "../../protocol/index.js";
 
-/** Upper bound of the accounts kept; more organisations than have requests queued at one pool at once. */
-const accountLimit = 24_000;
+/**
+ * Maximum number of accounts; larger than the number of organisations with requests queued in one pool at the same time.
+ */
+const maxAccounts = 24_000;
 
 /**
- * How far each organisation's queued requests are ahead of its share, by start-time fair queueing: virtual time is the
- * start of the last request served, and each request advances its organisation's account by its cost divided by the share.
- * An organisation that uses less than its share is never ahead; one that uses more is ahead by its queued requests.
+ * Tracks how far each organisation's queued requests are ahead of its share, by start-time fair queueing. Virtual time is the
+ * virtual start time of the last request served; each request advances its organisation's account by its cost divided by the
+ * share. An organisation that uses less than its share is never ahead; one that uses more is ahead by its queued requests.
  */
 export class OrganisationShares {
     /** Virtual start time of each organisation's next request. */
-    private readonly accounts = new LRUCache<string, number>({ max: accountLimit });
+    private readonly accounts = new LRUCache<string, number>({ max: maxAccounts });
     private virtualTime = 0;
 
-    private constructor(private readonly mostLag: number) {}
+    private constructor(private readonly maxLag: number) {}
 
-    static create(mostLag: number): OrganisationShares {
-        return new OrganisationShares(mostLag);
+    static create(maxLag: number): OrganisationShares {
+        return new OrganisationShares(maxLag);
     }
 
     /** Time in milliseconds by which the organisation's next request would be ahead of its share, up to the limit. */
     lag(organisation: string): number {
-        return Math.min(this.mostLag, this.nextStart(organisation) - this.virtualTime);
+        return Math.min(this.maxLag, this.nextStart(organisation) - this.virtualTime);
     }
 
-    /** Charges a request that would occupy the whole pool for this many milliseconds. Returns its virtual start time. */
+    /**
+     * Charges the organisation for a request that would occupy the whole pool for `poolMilliseconds`. Returns its virtual
+     * start time.
+     */
     charge(organisation: string, rules: Organisation, poolMilliseconds: number): number {
         const start = this.nextStart(organisation);
         this.accounts.set(organisation, start + poolMilliseconds / rules.share);
@@ -37,7 +42,7 @@
         this.virtualTime = Math.max(this.virtualTime, start);
     }
 
-    /** Clears all accounts. Used when the queue is empty, as no organisation is ahead of another then. */
+    /** Clears all accounts. Called when the queue is empty, because no organisation is ahead of another then. */
     reset(): void {
         this.accounts.clear();
         this.virtualTime = 0;
--- a/packages/basilpaddle/src/node/coordination/scheduling/orphanSweep.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/orphanSweep.ts
@@ -5,15 +5,15 @@
 
 /** Time between two sweeps. */
 const sweepIntervalMilliseconds = 1_000;
-/** Timeout of a cancel call to an engine; an unconfirmed cancel is retried by the next sweep. */
+/** Timeout of a cancel call to an engine; the next sweep retries a cancel that wasn't confirmed. */
 const cancelTimeoutMilliseconds = 2_000;
-/** Upper bound of the session addresses, and of the attempts without a known session, that are kept. */
-const cacheLimit = 4_096;
+/** Maximum number of cached session addresses, and of cached attempts whose owner has no known session. */
+const maxCacheEntries = 4_096;
 
 type Address = { readonly host: string; readonly port: number; };
 
-/** Dependencies of an orphan sweep. */
-export type OrphanSweepParts = {
+/** Options of an orphan sweep. */
+export type OrphanSweepOptions = {
     readonly clock: Clock;
     readonly logger: Logger;
     readonly view: () => View;
@@ -25,29 +25,29 @@
     readonly isScheduler: (pool: string) => boolean;
     /** Creates a client for an engine; the sweep closes it. */
     readonly engineAt: (url: string) => Engine;
-    /** Attempts that the daemon at the address reports as its own in the pool; undefined if it doesn't answer. */
+    /** Queries the daemon at the address for its active attempts in the pool; undefined if it doesn't answer. */
     readonly attemptsAt: (address: Address, pool: string) => Promise<ReadonlySet<string> | undefined>;
 };
 
 /**
- * Cancels attempts of dead daemons at their engines. Without it the engine would decode an attempt of a killed daemon to
- * the last token although nobody reads it. Once the daemon's session is closed, cancellation takes at most one load report,
- * one sweep and one query to the daemon's address.
+ * Periodically cancels attempts of dead daemons at their engines. Without it an engine would decode an attempt of a killed
+ * daemon to the last token although no process reads it. After the daemon's session is closed, an attempt is cancelled
+ * after at most one load report interval, one sweep interval and one query to the daemon's address.
  */
 export class OrphanSweep {
     private readonly reports = new Map<string, { readonly pool: string; readonly report: LoadReport; }>();
-    private readonly addresses = new LRUCache<string, Address>({ max: cacheLimit });
-    private readonly firstSeen = new LRUCache<string, number>({ max: cacheLimit });
+    private readonly addresses = new LRUCache<string, Address>({ max: maxCacheEntries });
+    private readonly firstSeen = new LRUCache<string, number>({ max: maxCacheEntries });
     private cancelTimer: (() => void) | undefined;
     private closed = false;
 
-    private constructor(private readonly parts: OrphanSweepParts) {
-        this.follow(parts.view());
+    private constructor(private readonly options: OrphanSweepOptions) {
+        this.follow(options.view());
         this.scheduleSweep();
     }
 
-    static create(parts: OrphanSweepParts): OrphanSweep {
-        return new OrphanSweep(parts);
+    static create(options: OrphanSweepOptions): OrphanSweep {
+        return new OrphanSweep(options);
     }
 
     /** Records the latest load report of an engine. */
@@ -73,17 +73,17 @@
     }
 
     private scheduleSweep(): void {
-        this.cancelTimer = this.parts.clock.after(sweepIntervalMilliseconds, () => void this.sweep());
+        this.cancelTimer = this.options.clock.after(sweepIntervalMilliseconds, () => void this.sweep());
     }
 
     private async sweep(): Promise<void> {
-        const { view, mayStart, isScheduler } = this.parts;
+        const { view, mayStart, isScheduler } = this.options;
         if (mayStart()) {
             const sessions = Object.values(view().sessions).map(open => open.session);
-            const open = new Set(sessions.map(session => `${session.daemon}/${session.incarnation}`));
+            const openSessions = new Set(sessions.map(session => `${session.daemon}/${session.incarnation}`));
             const sweeps = [...this.reports.values()]
                 .filter(({ pool }) => isScheduler(pool))
-                .map(({ pool, report }) => this.sweepEngine(pool, report, open));
+                .map(({ pool, report }) => this.sweepEngine(pool, report, openSessions));
             await Promise.allSettled(sweeps);
         }
         if (!this.closed) {
@@ -91,16 +91,16 @@
         }
     }
 
-    private async sweepEngine(pool: string, report: LoadReport, open: ReadonlySet<string>): Promise<void> {
-        const orphans = report.active.filter(attempt => this.isOrphan(attempt, open));
+    private async sweepEngine(pool: string, report: LoadReport, openSessions: ReadonlySet<string>): Promise<void> {
+        const orphans = report.active.filter(attempt => this.isOrphan(attempt, openSessions));
         if (orphans.length === 0) {
             return;
         }
-        const backend = this.parts.view().backends[report.id];
+        const backend = this.options.view().backends[report.id];
         if (backend === undefined || backend.state === "gone") {
             return;
         }
-        const engine = this.parts.engineAt(backend.announcement.url);
+        const engine = this.options.engineAt(backend.announcement.url);
         try {
             await Promise.all(orphans.map(attempt => this.cancel(engine, pool, attempt)));
         }
@@ -109,30 +109,31 @@
         }
     }
 
-    private isOrphan(attempt: string, open: ReadonlySet<string>): boolean {
+    private isOrphan(attempt: string, openSessions: ReadonlySet<string>): boolean {
         const owner = ownerOf(attempt);
-        if (owner === undefined || open.has(owner)) {
+        if (owner === undefined || openSessions.has(owner)) {
             return false;
         }
         if (this.addresses.has(owner)) {
             return true;
         }
-        // The owner's session may be missing only because this view is old. A view confirmed after the attempt was first
-        // seen contains every session that could have started it.
-        const { clock, viewLease } = this.parts;
-        const seenAt = this.firstSeen.get(attempt) ?? clock.monotonic();
-        this.firstSeen.set(attempt, seenAt);
-        return clock.monotonic() - seenAt > viewLease;
+        // The owner's session may be missing only because this daemon's view is stale. A view confirmed after the attempt
+        // was
+        // first seen contains every session that could have started it.
+        const { clock, viewLease } = this.options;
+        const firstSeenAt = this.firstSeen.get(attempt) ?? clock.monotonic();
+        this.firstSeen.set(attempt, firstSeenAt);
+        return clock.monotonic() - firstSeenAt > viewLease;
     }
 
     private async cancel(engine: Engine, pool: string, attempt: string): Promise<void> {
         const address = this.addresses.get(ownerOf(attempt)!);
-        const driven = address === undefined ? undefined : await this.parts.attemptsAt(address, pool);
-        if (driven?.has(attempt) === true) {
+        const activeAttempts = address === undefined ? undefined : await this.options.attemptsAt(address, pool);
+        if (activeAttempts?.has(attempt) === true) {
             return;
         }
         const cancelled = await engine.cancel(attempt, cancelTimeoutMilliseconds);
-        this.parts.logger.info("sent cancel for an orphaned attempt", {
+        this.options.logger.info("sent cancel for an orphaned attempt", {
             attempt,
             confirmed: cancelled.isRight(),
         });
@@ -141,6 +142,6 @@
 
 /** Daemon and incarnation from the prefix of an attempt's identifier; undefined if it has another form. */
 function ownerOf(attempt: string): string | undefined {
-    const [daemon, incarnation, rest] = attempt.split("/");
-    return rest === undefined ? undefined : `${daemon}/${incarnation}`;
+    const [daemon, incarnation, number] = attempt.split("/");
+    return number === undefined ? undefined : `${daemon}/${incarnation}`;
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
@@ -10,21 +10,21 @@
 import type { Link } from "../../transport/index.js";
 import type { Clock } from "../../utils/index.js";
 
-/** Time between two probes of a scheduler, sent to detect its loss while an answer or unsent progress is outstanding. */
+/** Time between two probes of a scheduler, sent to detect its loss while a decision is pending or progress is unsent. */
 const probeIntervalMilliseconds = 100;
 /** Timeout of a probe, a withdrawal or a move. */
 const probeTimeoutMilliseconds = 250;
 /** Time for which progress is batched before it is sent. */
 const batchDelayMilliseconds = 2;
 /**
- * Upper bound of the progress, and of the withdrawals, buffered for an unreachable scheduler. Older progress is dropped;
+ * Maximum number of progress messages, and of withdrawals, buffered for an unreachable scheduler. Older progress is dropped;
  * load reports correct the scheduler's state.
  */
-const unsentLimit = 10_000;
-/** Time beyond a request's deadline for which its decision is awaited. */
+const maxUnsent = 10_000;
+/** Added to a request's remaining time to its deadline to get the timeout of its decision. */
 const answerGraceMilliseconds = 1_000;
 
-/** Result of a scheduling request to another daemon. */
+/** Result of a scheduling request to another daemon: its decision, or why there is none. */
 export type RemoteDecision = SchedulingDecision | "unreachable" | "notScheduler";
 
 /** Result of a move at another daemon's scheduler: the new decode engine, undefined if none has a free slot. */
@@ -33,8 +33,8 @@
 type PoolProgress = { readonly pool: string; readonly progress: Progress; };
 
 /**
- * Client for the schedulers of one other daemon. Probes it, so that its loss is detected even while requests are queued
- * there for long.
+ * Client for the schedulers of one other daemon. Probes the daemon, so that its loss is detected even while requests are
+ * queued there for a long time.
  */
 export class PeerLink {
     private readonly pending = new Map<string, (decision: RemoteDecision) => void>();
@@ -65,13 +65,13 @@
             return "unreachable";
         }
         const { attempt } = schedulingRequest;
-        const given = new Promise<RemoteDecision>(resolve => this.pending.set(attempt, resolve));
-        const giveUp = (): void => this.pending.get(attempt)?.("unreachable");
-        signal.addEventListener("abort", giveUp);
+        const result = new Promise<RemoteDecision>(resolve => this.pending.set(attempt, resolve));
+        const abandon = (): void => this.pending.get(attempt)?.("unreachable");
+        signal.addEventListener("abort", abandon);
         void this.requestDecision(schedulingRequest);
         this.scheduleProbe(probeIntervalMilliseconds);
-        const decision = await given;
-        signal.removeEventListener("abort", giveUp);
+        const decision = await result;
+        signal.removeEventListener("abort", abandon);
         this.pending.delete(attempt);
         if (decision === "unreachable") {
             this.withdraw(attempt);
@@ -81,15 +81,15 @@
 
     /** Withdraws a request, queued or assigned; retries until the scheduler answers. */
     withdraw(attempt: string): void {
-        if (this.unconfirmedWithdrawals.size < unsentLimit) {
+        if (this.unconfirmedWithdrawals.size < maxUnsent) {
             this.unconfirmedWithdrawals.add(attempt);
         }
         void this.sendWithdrawal(attempt);
     }
 
-    /** Requests another decode engine for a holding whose engine is full. */
-    async move(holding: EngineHolding): Promise<RemoteMove> {
-        const request: PeerRequest = { kind: "move", pool: holding.demand.pool, holding };
+    /** Requests another decode engine for an allocation whose decode engine is full. */
+    async move(allocation: EngineHolding): Promise<RemoteMove> {
+        const request: PeerRequest = { kind: "move", pool: allocation.demand.pool, holding: allocation };
         const answer = await this.link.request(request, probeTimeoutMilliseconds);
         const body = answer.extract() as PeerAnswer;
         return answer.isRight() && body.kind === "moved" ? { decode: body.decode } : "unreachable";
@@ -98,31 +98,31 @@
     /** Sends progress; retries until the scheduler answers. */
     progress(pool: string, progress: Progress): void {
         this.unsent.push({ pool, progress });
-        if (this.unsent.length > unsentLimit) {
+        if (this.unsent.length > maxUnsent) {
             this.unsent.shift();
         }
         this.scheduleProbe(batchDelayMilliseconds);
     }
 
-    /** Forwards a load report without confirmation; a lost one is superseded by the next. */
+    /** Forwards a load report without confirmation; if it is lost, the next one replaces it. */
     load(pool: string, report: LoadReport): void {
         this.link.send({ kind: "load", pool, reports: [report] } satisfies PeerRequest);
     }
 
     /** Reports a local placement to the scheduler without confirmation; if it is lost, load reports show the used slot. */
-    reportLocalHolding(holding: EngineHolding): void {
-        this.link.send({ kind: "taken", pool: holding.demand.pool, holding } satisfies PeerRequest);
+    reportLocalAllocation(allocation: EngineHolding): void {
+        this.link.send({ kind: "taken", pool: allocation.demand.pool, holding: allocation } satisfies PeerRequest);
     }
 
-    /** Calls back once after the next answered probe; the returned function unsubscribes. */
+    /** Calls the callback once, after the next answered probe; the returned function unsubscribes. */
     onReachable(callback: () => void): () => void {
         this.reachableCallbacks.add(callback);
         this.scheduleProbe(probeIntervalMilliseconds);
         return () => this.reachableCallbacks.delete(callback);
     }
 
-    /** The holdings of the daemon's attempts in a pool; undefined without an answer. */
-    async holdings(pool: string, fence: number, timeout: number) {
+    /** Queries the daemon for the allocations of its attempts in a pool; undefined if it doesn't answer. */
+    async queryAllocations(pool: string, fence: number, timeout: number) {
         const answer = await this.link.request({ kind: "holdings", pool, fence } satisfies PeerRequest, timeout);
         const body = answer.extract() as PeerAnswer;
         return answer.isRight() && body.kind === "held" ? body.holdings : undefined;
@@ -138,18 +138,19 @@
     private async requestDecision(schedulingRequest: SchedulingRequest): Promise<void> {
         const request: PeerRequest = { kind: "reserve", demand: schedulingRequest };
         const answer = await this.link.request(request, schedulingRequest.deadlineWithin + answerGraceMilliseconds);
-        const waiting = this.pending.get(schedulingRequest.attempt);
+        const settle = this.pending.get(schedulingRequest.attempt);
         const body = answer.extract() as PeerAnswer;
         const decision = answer.isRight() && body.kind === "decision" ? body.decision : undefined;
-        if (waiting === undefined) {
-            // The caller gave up; unless withdrawn, the assignment would hold its engines until this daemon's session ends.
+        if (settle === undefined) {
+            // The caller has abandoned the request; unless withdrawn, its engines would stay allocated until this
+            // daemon's session ends.
             if (decision?.kind === "assigned") {
                 this.withdraw(schedulingRequest.attempt);
             }
             return;
         }
-        const isElsewhere = answer.isRight() && body.kind === "notScheduler";
-        waiting(decision ?? (isElsewhere ? "notScheduler" : "unreachable"));
+        const isNotScheduler = answer.isRight() && body.kind === "notScheduler";
+        settle(decision ?? (isNotScheduler ? "notScheduler" : "unreachable"));
     }
 
     private scheduleProbe(milliseconds: number): void {
@@ -163,23 +164,23 @@
     }
 
     private async probe(): Promise<void> {
-        const sending = this.unsent;
+        const batch = this.unsent;
         this.unsent = [];
         this.probing = true;
-        const answered = await this.sendProgress(sending);
+        const answered = await this.sendProgress(batch);
         this.probing = false;
         if (this.closed) {
             return;
         }
         this.reachable = answered;
         if (answered) {
-            const waiting = [...this.reachableCallbacks];
+            const callbacks = [...this.reachableCallbacks];
             this.reachableCallbacks.clear();
-            waiting.forEach(callback => callback());
+            callbacks.forEach(callback => callback());
             [...this.unconfirmedWithdrawals].forEach(attempt => void this.sendWithdrawal(attempt));
         }
         else {
-            this.unsent = [...sending, ...this.unsent].slice(-unsentLimit);
+            this.unsent = [...batch, ...this.unsent].slice(-maxUnsent);
             this.failPending();
         }
         if (this.unsent.length > 0 && answered) {
@@ -203,13 +204,13 @@
         }
     }
 
-    private async sendProgress(sending: readonly PoolProgress[]): Promise<boolean> {
-        const pools = new Set(sending.map(({ pool }) => pool));
+    private async sendProgress(batch: readonly PoolProgress[]): Promise<boolean> {
+        const pools = new Set(batch.map(({ pool }) => pool));
         if (pools.size === 0) {
             return this.sendBatch("", []);
         }
         const answers = [...pools].map(pool =>
-            this.sendBatch(pool, sending.filter(one => one.pool === pool).map(one => one.progress))
+            this.sendBatch(pool, batch.filter(one => one.pool === pool).map(one => one.progress))
         );
         return (await Promise.all(answers)).every(answered => answered);
     }
@@ -220,8 +221,8 @@
     }
 
     private failPending(): void {
-        for (const giveUp of [...this.pending.values()]) {
-            giveUp("unreachable");
+        for (const settle of [...this.pending.values()]) {
+            settle("unreachable");
         }
     }
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
@@ -15,19 +15,22 @@
 
 /** Time between two ticks while requests are queued. */
 const tickIntervalMilliseconds = 20;
-/** Time between two ticks while the queue is empty and attempts hold engines. */
+/** Time between two ticks while the queue is empty and engines are assigned to attempts. */
 const idleTickIntervalMilliseconds = 1_000;
-/** Time after a stall without new assignments, so that messages about placements made during the stall are applied first. */
-const settlingMilliseconds = 30;
 /**
- * Number of queued requests examined per dispatch, so that one that can't start doesn't block those that can use other
- * engines.
+ * Time after a stall during which nothing is assigned, so that messages about placements made during the stall are
+ * applied first.
  */
-const lookahead = 32;
+const stallRecoveryMilliseconds = 30;
+/**
+ * Number of queued requests examined per dispatch. More than one, so that a request that can't start yet doesn't block those
+ * that can use other engines.
+ */
+const maxExamined = 32;
 
 /**
- * The scheduler of one pool. Reserves prefill, link and decode together, and starts a prefill only when a decode slot
- * is free for its result.
+ * The scheduler of one pool. Reserves a prefill engine, the link and a decode engine together, and starts a prefill only
+ * when a decode slot is free for its result.
  */
 export class PoolScheduler extends Scheduler {
     private readonly pool = TrackedPool.create();
@@ -42,7 +45,7 @@
     private readonly admission: Admission;
     private rules: PoolRules | undefined;
     private lastTick = 0;
-    private settledAt = -Infinity;
+    private recoveredAt = -Infinity;
 
     private constructor(
         private readonly fence: number,
@@ -51,10 +54,10 @@
     ) {
         super();
         this.shares = OrganisationShares.create(tuning.mostLag);
-        const { pool: tracked, prefixes, transfers } = this;
+        const { pool: trackedPool, prefixes, transfers } = this;
         this.chooser = EngineChooser.create({ prefixes, transfers, tuning });
         this.admission = Admission.create({
-            trackedPool: tracked,
+            trackedPool,
             queue: this.queue,
             modelEngineIndex: this.engineIndex,
             forecast: this.forecast,
@@ -66,8 +69,8 @@
     }
 
     /**
-     * `warm`: whether nothing can have been assigned before; otherwise only decode engines that have reported their
-     * load are used until the event `warm`.
+     * `warm`: whether no earlier scheduler can have assigned anything. Otherwise only decode engines that have reported
+     * their load are used until the event `warm`.
      */
     static create(options: {
         readonly fence: number;
@@ -79,26 +82,26 @@
 
     override step(event: SchedulerEvent, now: number): readonly SchedulingDecision[] {
         const decisions = this.applyEvent(event, now);
-        if (mayFreeEngines(event) && now >= this.settledAt) {
+        if (mayFreeEngines(event) && now >= this.recoveredAt) {
             this.dispatch(decisions, now);
         }
         return decisions;
     }
 
-    override move(holding: EngineHolding, now: number): string | undefined {
-        const { demand: request } = holding;
+    override move(allocation: EngineHolding, now: number): string | undefined {
+        const { demand: request } = allocation;
         this.queue.remove(request.attempt);
-        this.pool.restore(holding, now);
+        this.pool.restore(allocation, now);
         const assignment = this.pool.assignments.get(request.attempt);
-        const prefill = this.pool.engines.get(holding.prefill);
+        const prefill = this.pool.engines.get(allocation.prefill);
         if (assignment === undefined || prefill === undefined) {
             return undefined;
         }
-        if (assignment.decode !== holding.decode) {
-            // A previous call moved it, and its answer was lost.
+        if (assignment.decode !== allocation.decode) {
+            // A previous call moved the attempt, but its answer was lost.
             return assignment.decode;
         }
-        this.pool.engines.get(holding.decode)?.recordFull(request.attempt);
+        this.pool.engines.get(allocation.decode)?.recordFull(request.attempt);
         const finishedPrefill = { prefill, work: 0, expectedReuse: 0, prefillAt: now };
         const choice = this.chooser.chooseDecode(
             request,
@@ -125,7 +128,7 @@
     }
 
     override status(): ReturnType<Scheduler["status"]> {
-        return { held: this.pool.heldByEngine(), waiting: this.queue.size };
+        return { held: this.pool.allocatedSlotsByEngine(), waiting: this.queue.size };
     }
 
     private applyEvent(event: SchedulerEvent, now: number): SchedulingDecision[] {
@@ -160,7 +163,7 @@
                 this.warm = true;
                 return [];
             case "stalled":
-                this.settledAt = now + settlingMilliseconds;
+                this.recoveredAt = now + stallRecoveryMilliseconds;
                 return [];
             case "tick":
                 return this.tick(now);
@@ -171,29 +174,29 @@
         if (this.queue.has(request.attempt)) {
             return [];
         }
-        const held = this.pool.assignments.get(request.attempt);
-        if (held !== undefined) {
-            return [this.assignedDecision(request, held.prefill, held.decode, 0)];
+        const assignment = this.pool.assignments.get(request.attempt);
+        if (assignment !== undefined) {
+            return [this.assignedDecision(request, assignment.prefill, assignment.decode, 0)];
         }
         const refusal = this.admission.admit(request, this.rules, now);
         return refusal === undefined ? [] : [refusal];
     }
 
     private progress(progress: Progress, now: number): void {
-        const before = this.pool.assignments.get(progress.attempt);
-        if (before === undefined) {
+        const assignment = this.pool.assignments.get(progress.attempt);
+        if (assignment === undefined) {
             return;
         }
         this.displaced.remove(progress.attempt);
-        this.learn(before, progress, now);
+        this.updateEstimates(assignment, progress, now);
         this.pool.progress(progress, now);
         if (progress.failedEngine !== undefined) {
             this.pool.engines.get(progress.failedEngine)?.recordFailure(now);
         }
     }
 
-    private learn(assignment: Assignment, progress: Progress, now: number): void {
-        const { demand: request } = assignment;
+    private updateEstimates(assignment: Assignment, progress: Progress, now: number): void {
+        const { schedulingRequest: request } = assignment;
         if (progress.stage === "finished") {
             this.forecast.recordEnd(assignment, now);
             return;
@@ -210,8 +213,8 @@
             const expectedTokens = assignment.expectedCachedBlocks * request.blockTokens;
             this.prefixes.recordReuse(prefill.id, expectedTokens, progress.reusedTokens);
         }
-        const hadLinkToItself = assignment.expectedLinkWait === 0 && assignment.stage === "prefilled";
-        if (progress.stage === "transferred" && hadLinkToItself && prefill !== undefined && decode !== undefined) {
+        const hadLinkAlone = assignment.expectedLinkWait === 0 && assignment.stage === "prefilled";
+        if (progress.stage === "transferred" && hadLinkAlone && prefill !== undefined && decode !== undefined) {
             this.transfers.recordTransfer(prefill, decode, request.promptTokens, now - assignment.stageAt);
         }
     }
@@ -237,20 +240,20 @@
     }
 
     private releaseClosedSessions(open: Extract<SchedulerEvent, { kind: "sessions"; }>["open"], now: number): void {
-        const names = new Set(open.map(session => `${session.daemon}/${session.incarnation}`));
-        const closed = (request: SchedulingRequest): boolean =>
-            !names.has(`${request.owner.daemon}/${request.owner.incarnation}`);
-        for (const { demand: request } of this.queue.all()) {
-            if (closed(request)) {
+        const openSessions = new Set(open.map(session => `${session.daemon}/${session.incarnation}`));
+        const isClosed = (request: SchedulingRequest): boolean =>
+            !openSessions.has(`${request.owner.daemon}/${request.owner.incarnation}`);
+        for (const { schedulingRequest: request } of this.queue.all()) {
+            if (isClosed(request)) {
                 this.queue.remove(request.attempt);
             }
         }
-        this.pool.releaseWhere(assignment => closed(assignment.demand), now);
+        this.pool.releaseWhere(assignment => isClosed(assignment.schedulingRequest), now);
     }
 
     private tick(now: number): SchedulingDecision[] {
         this.lastTick = now;
-        this.pool.releaseWhere(assignment => assignment.endsBy <= now, now);
+        this.pool.releaseWhere(assignment => assignment.deadlineAt <= now, now);
         if (this.queue.size === 0) {
             this.shares.reset();
         }
@@ -258,26 +261,26 @@
     }
 
     private dispatch(decisions: SchedulingDecision[], now: number): void {
-        const full = new Set<string>();
+        const fullModels = new Set<string>();
         let position = 0;
-        for (let looked = 0; looked < lookahead; looked++) {
-            const waiting = this.queue.at(position);
-            if (waiting === undefined) {
+        for (let examined = 0; examined < maxExamined; examined++) {
+            const queuedRequest = this.queue.at(position);
+            if (queuedRequest === undefined) {
                 return;
             }
-            const { demand: request } = waiting;
-            const kind = `${request.model}\n${request.adapter ?? ""}\n${request.version ?? ""}`;
-            const choice = full.has(kind) ? undefined : this.choose(request, now);
+            const { schedulingRequest: request } = queuedRequest;
+            const modelKey = `${request.model}\n${request.adapter ?? ""}\n${request.version ?? ""}`;
+            const choice = fullModels.has(modelKey) ? undefined : this.choose(request, now);
             if (choice === "full") {
                 if (request.avoid.length === 0) {
-                    full.add(kind);
+                    fullModels.add(modelKey);
                 }
             }
             if (choice === undefined || choice === "full" || choice === "wait") {
                 position++;
                 continue;
             }
-            decisions.push(this.assign(waiting, choice, now));
+            decisions.push(this.assign(queuedRequest, choice, now));
         }
     }
 
@@ -294,22 +297,22 @@
     }
 
     /**
-     * Whether all free slots are reserved for displaced attempts, whose prefill is done and whose decode engine was
-     * full.
+     * Whether all free slots are reserved for displaced attempts: their prefill is done, and their decode engine rejected
+     * them because it was full.
      */
     private areFreeSlotsReserved(decodes: readonly TrackedEngine[], now: number): boolean {
-        const owed = this.displaced.count(now);
-        return owed > 0
-            && owed >= decodes.reduce((sum, engine) => sum + Math.max(0, engine.slots - engine.usedSlots), 0);
+        const displacedCount = this.displaced.count(now);
+        return displacedCount > 0
+            && displacedCount >= decodes.reduce((sum, engine) => sum + Math.max(0, engine.slots - engine.usedSlots), 0);
     }
 
-    private assign(waiting: QueuedRequest, choice: EngineChoice, now: number): SchedulingDecision {
-        const { demand: request } = waiting;
+    private assign(queuedRequest: QueuedRequest, choice: EngineChoice, now: number): SchedulingDecision {
+        const { schedulingRequest: request } = queuedRequest;
         const { prefill, decode } = choice;
         this.queue.remove(request.attempt);
-        this.shares.recordServed(waiting.shareStart);
+        this.shares.recordServed(queuedRequest.virtualStart);
         const assignment = this.pool.assign(request, choice, now);
-        assignment.expectedCachedBlocks = this.prefixes.matched(prefill.id, request.prefixes);
+        assignment.expectedCachedBlocks = this.prefixes.matchedBlocks(prefill.id, request.prefixes);
         assignment.expectedLinkWait = Math.max(
             0,
             Math.max(prefill.linkFreeAt, decode.linkFreeAt) - choice.prefillAt - choice.work,
--- a/packages/basilpaddle/src/node/coordination/scheduling/prefixIndex.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/prefixIndex.ts
@@ -1,17 +1,17 @@
 import { LRUCache } from "lru-cache";
 import type { LoadReport } from "../../protocol/index.js";
 
-/** Upper bound of the prefix blocks kept for one engine. */
-const blockLimitPerEngine = 8_192;
+/** Maximum number of prefix blocks tracked for one engine. */
+const maxBlocksPerEngine = 8_192;
 /** Factor applied to the trust in a tracked cache when some of its events were lost. */
 const gapTrustFactor = 0.5;
-/** Weight of one reuse report in the trust. */
+/** Weight of one reuse report in the moving average of the trust. */
 const trustWeight = 0.2;
 
 type TrackedCache = {
     readonly blocks: LRUCache<string, true>;
     nextSequence: number | undefined;
-    /** From 0 to 1: the recent ratio of reported to expected reuse. */
+    /** Moving average, from 0 to 1, of the ratio of reported to expected reuse. */
     trust: number;
 };
 
@@ -26,31 +26,32 @@
         return new PrefixIndex();
     }
 
-    /** Number of leading blocks of the chain that the engine is likely to have cached. */
-    matched(engine: string, prefixes: readonly string[]): number {
+    /** Number of leading blocks of the prompt that the engine is likely to have cached. */
+    matchedBlocks(engine: string, prefixes: readonly string[]): number {
         const cache = this.caches.get(engine);
         if (cache === undefined || prefixes.length === 0 || !cache.blocks.has(prefixes[0]!)) {
             return 0;
         }
-        // A block is usable only together with all blocks before it, so the cached part is a prefix of the chain.
-        let held = 1;
+        // A block is usable only together with all blocks before it, so the usable part is a prefix, found by binary
+        // search.
+        let cached = 1;
         let missing = prefixes.length + 1;
-        while (missing - held > 1) {
-            const middle = (held + missing) >> 1;
+        while (missing - cached > 1) {
+            const middle = (cached + missing) >> 1;
             if (cache.blocks.has(prefixes[middle - 1]!)) {
-                held = middle;
+                cached = middle;
             }
             else {
                 missing = middle;
             }
         }
-        return held;
+        return cached;
     }
 
     /** Number of prompt tokens that the engine is expected to find in its cache. */
     reusableTokens(engine: string, prefixes: readonly string[], blockTokens: number): number {
         const trust = this.caches.get(engine)?.trust ?? 0;
-        return Math.floor(this.matched(engine, prefixes) * blockTokens * trust);
+        return Math.floor(this.matchedBlocks(engine, prefixes) * blockTokens * trust);
     }
 
     /** Adds the blocks of a prompt sent to the engine, before its cache events arrive. */
@@ -64,7 +65,8 @@
     /** Applies the cache events of a load report. */
     applyEvents(engine: string, events: NonNullable<LoadReport["cache"]>): void {
         const cache = this.trackedCache(engine);
-        // Lost events are most likely evictions of blocks that still count as cached; each makes a prefill slower than planned.
+        // Lost events are most likely evictions of blocks that still count as cached; each makes a prefill slower than
+        // expected.
         if (cache.nextSequence !== undefined && events.firstSequence > cache.nextSequence) {
             cache.trust *= gapTrustFactor;
         }
@@ -88,12 +90,12 @@
     recordReuse(engine: string, expectedTokens: number, reusedTokens: number): void {
         if (expectedTokens > 0) {
             const cache = this.trackedCache(engine);
-            const kept = Math.min(1, reusedTokens / expectedTokens);
-            cache.trust += trustWeight * (kept - cache.trust);
+            const reuseRatio = Math.min(1, reusedTokens / expectedTokens);
+            cache.trust += trustWeight * (reuseRatio - cache.trust);
         }
     }
 
-    /** Removes an engine that restarted or left. */
+    /** Removes the cache of an engine that restarted or was removed from the view. */
     removeEngine(engine: string): void {
         this.caches.delete(engine);
     }
@@ -104,7 +106,7 @@
             return known;
         }
         const created: TrackedCache = {
-            blocks: new LRUCache({ max: blockLimitPerEngine }),
+            blocks: new LRUCache({ max: maxBlocksPerEngine }),
             nextSequence: undefined,
             trust: 1,
         };
--- a/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
@@ -16,7 +16,7 @@
 import { Placement } from "../placement.js";
 import { pause } from "../request/scope.js";
 import { EngineSurvey } from "./engineSurvey.js";
-import { LocalHoldings } from "./localHoldings.js";
+import { LocalAllocations } from "./localAllocations.js";
 import { LocalPlacement } from "./localPlacement.js";
 import { OrphanSweep } from "./orphanSweep.js";
 import { PeerLink, type RemoteDecision } from "./peerLink.js";
@@ -24,15 +24,15 @@
 import { refuse } from "./refusals.js";
 import { SchedulerHost } from "./schedulerHost.js";
 
-/** Timeout of a daemon's answer when it is asked for its holdings. */
+/** Timeout of a query for a daemon's allocations. */
 const surveyTimeoutMilliseconds = 500;
-/** Time after which load reports include everything that a scheduler assigned before it became unreachable. */
+/** Delay after which load reports include everything that a scheduler assigned before it became unreachable. */
 const reportLagMilliseconds = 300;
-/** Number of times that a request follows its pool's scheduler to another daemon before it is placed locally. */
-const moveLimit = 3;
+/** Number of changes of the pool's scheduler after which a request is placed locally. */
+const maxSchedulerChanges = 3;
 
-/** Dependencies of a placement. */
-export type ScheduledPlacementParts = {
+/** Options of a scheduled placement. */
+export type ScheduledPlacementOptions = {
     readonly control: ControlClient;
     readonly network: Network;
     /** Creates a client for an engine; the caller closes it. */
@@ -44,27 +44,27 @@
     readonly logger: Logger;
 };
 
-type SchedulerLeaseHolder = { readonly here: boolean; readonly name: string; readonly fence: number; };
+type SchedulerLeaseHolder = { readonly isLocal: boolean; readonly name: string; readonly fence: number; };
 
 /**
- * Reserves engines through the pool's scheduler, here or on the daemon that holds its lease; falls back to local
- * placement if it is unreachable.
+ * Reserves engines through the pool's scheduler, which runs on the daemon that holds the scheduler lease: this one or
+ * another. Falls back to local placement if the scheduler is unreachable.
  */
 export class ScheduledPlacement extends Placement {
     private readonly store = DisposableStore.create();
     private readonly localPlacement: LocalPlacement;
-    private readonly localHoldings = LocalHoldings.create();
+    private readonly localAllocations = LocalAllocations.create();
     private readonly hosts = new Map<string, SchedulerHost>();
     private readonly links = new Map<string, PeerLink>();
-    /** Highest fence with which a scheduler of each pool has asked for holdings. */
+    /** Highest fence with which a scheduler of each pool has queried this daemon's allocations. */
     private readonly highestFences = new Map<string, number>();
     private readonly orphanSweep: OrphanSweep;
     private readonly engineSurvey: EngineSurvey;
 
-    private constructor(private readonly parts: ScheduledPlacementParts) {
+    private constructor(private readonly options: ScheduledPlacementOptions) {
         super();
-        const { control, clock, logger, viewLease, engineAt } = parts;
-        this.localPlacement = LocalPlacement.create(parts);
+        const { control, clock, logger, viewLease, engineAt } = options;
+        this.localPlacement = LocalPlacement.create(options);
         this.orphanSweep = OrphanSweep.create({
             clock,
             logger,
@@ -78,7 +78,7 @@
         this.engineSurvey = EngineSurvey.create({
             view: () => control.view(),
             engineAt,
-            randomness: parts.randomness,
+            randomness: options.randomness,
             onReport: (pool, report) => this.orphanSweep.recordReport(pool, report),
         });
         this.store.add(() => this.localPlacement.close());
@@ -87,64 +87,64 @@
         this.follow(control.view());
     }
 
-    static create(parts: ScheduledPlacementParts): ScheduledPlacement {
-        return new ScheduledPlacement(parts);
+    static create(options: ScheduledPlacementOptions): ScheduledPlacement {
+        return new ScheduledPlacement(options);
     }
 
     override async reserve(request: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision> {
-        const since = this.parts.clock.monotonic();
-        for (let move = 0; move < moveLimit && !signal.aborted; move++) {
-            let current = this.withRemainingTime(request, since);
+        const startedAt = this.options.clock.monotonic();
+        for (let schedulerChanges = 0; schedulerChanges < maxSchedulerChanges && !signal.aborted; schedulerChanges++) {
+            let current = this.withRemainingTime(request, startedAt);
             let decision = await this.requestDecision(current, signal);
             if (decision === "alone") {
-                current = this.withRemainingTime(request, since);
+                current = this.withRemainingTime(request, startedAt);
                 decision = await this.placeLocally(current, signal);
             }
             if (decision !== "moved") {
-                return this.recordDecision(current, decision, since, signal);
+                return this.recordDecision(current, decision, startedAt, signal);
             }
         }
-        const current = this.withRemainingTime(request, since);
-        return this.recordDecision(current, await this.localPlacement.reserve(current, signal), since, signal);
+        const current = this.withRemainingTime(request, startedAt);
+        return this.recordDecision(current, await this.localPlacement.reserve(current, signal), startedAt, signal);
     }
 
     /**
-     * Places a request locally within its remaining time: treated as new, a request that has waited long would take engines
-     * from those that can still meet their targets. The request returns to the scheduler as soon as that answers again.
+     * Places a request locally within its remaining time: treated as new, one that has waited for long would take engines
+     * from those that can still meet their targets. Returns `moved` if the scheduler is reachable before it is placed.
      */
     private async placeLocally(request: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision | "moved"> {
-        const back = new AbortController();
+        const reachable = new AbortController();
         const link = this.remoteLink(request.pool);
-        const forget = link?.onReachable(() => back.abort());
+        const unsubscribe = link?.onReachable(() => reachable.abort());
         if (request.once) {
-            await pause(this.parts.clock, reportLagMilliseconds, AbortSignal.any([signal, back.signal]));
+            await pause(this.options.clock, reportLagMilliseconds, AbortSignal.any([signal, reachable.signal]));
             const reports = await this.engineSurvey.queryDecodeEngines(request.pool);
             reports.forEach(report => this.localPlacement.load(request.pool, report));
         }
-        const decision = await this.localPlacement.reserve(request, AbortSignal.any([signal, back.signal]));
-        forget?.();
-        if (back.signal.aborted && !signal.aborted && decision.kind === "refused") {
+        const decision = await this.localPlacement.reserve(request, AbortSignal.any([signal, reachable.signal]));
+        unsubscribe?.();
+        if (reachable.signal.aborted && !signal.aborted && decision.kind === "refused") {
             return "moved";
         }
         if (decision.kind === "assigned") {
             const { prefill, decode } = decision;
-            link?.reportLocalHolding({ demand: request, prefill, decode, stage: "prefilling", tokens: 0 });
+            link?.reportLocalAllocation({ demand: request, prefill, decode, stage: "prefilling", tokens: 0 });
         }
         return decision;
     }
 
-    override async move(holding: EngineHolding): Promise<string | undefined> {
-        const { demand: { attempt, pool }, prefill, decode: full } = holding;
-        const decode = await this.requestMove(holding);
-        this.parts.logger.info("decode engine is full", { pool, attempt, prefill, full, movedTo: decode });
+    override async move(allocation: EngineHolding): Promise<string | undefined> {
+        const { demand: { attempt, pool }, prefill, decode: full } = allocation;
+        const decode = await this.requestMove(allocation);
+        this.options.logger.info("decode engine is full", { pool, attempt, prefill, full, movedTo: decode });
         if (decode !== undefined) {
-            this.localHoldings.move(attempt, decode);
+            this.localAllocations.move(attempt, decode);
         }
         return decode;
     }
 
     override progress(pool: string, progress: Progress): void {
-        this.localHoldings.progress(progress);
+        this.localAllocations.progress(progress);
         this.localPlacement.progress(pool, progress);
         const host = this.hosts.get(pool);
         if (host !== undefined) {
@@ -171,7 +171,7 @@
             case "reserve":
                 return this.serveReserve(request.demand, context);
             case "taken":
-                this.hosts.get(request.pool)?.applyHolding(request.holding);
+                this.hosts.get(request.pool)?.applyAllocation(request.holding);
                 return { kind: "received" };
             case "move":
                 return this.serveMove(request.pool, request.holding);
@@ -192,13 +192,13 @@
                     request.pool,
                     Math.max(request.fence, this.highestFences.get(request.pool) ?? 0),
                 );
-                return { kind: "held", holdings: this.localHoldings.ofPool(request.pool) };
+                return { kind: "held", holdings: this.localAllocations.ofPool(request.pool) };
             default:
                 return undefined;
         }
     }
 
-    /** Slots held and requests queued at the schedulers of this daemon, by pool. */
+    /** Number of allocated slots and of queued requests at the schedulers of this daemon, by pool. */
     status(): ReadonlyMap<string, ReturnType<SchedulerHost["schedulerStatus"]>> {
         return new Map([...this.hosts].map(([pool, host]) => [pool, host.schedulerStatus()]));
     }
@@ -211,13 +211,13 @@
         await this.store.dispose();
     }
 
-    /** The request with the time already spent subtracted from its limits. */
-    private withRemainingTime(request: SchedulingRequest, since: number): SchedulingRequest {
-        const passed = this.parts.clock.monotonic() - since;
+    /** The request with the elapsed time subtracted from its time limits. */
+    private withRemainingTime(request: SchedulingRequest, startedAt: number): SchedulingRequest {
+        const elapsed = this.options.clock.monotonic() - startedAt;
         return {
             ...request,
-            firstTokenWithin: request.firstTokenWithin - passed,
-            deadlineWithin: Math.max(1, request.deadlineWithin - passed),
+            firstTokenWithin: request.firstTokenWithin - elapsed,
+            deadlineWithin: Math.max(1, request.deadlineWithin - elapsed),
         };
     }
 
@@ -230,17 +230,17 @@
         if (host !== undefined) {
             return await host.reserve(request, signal) ?? "moved";
         }
-        const before = this.leaseHolder(pool);
+        const previousHolder = this.leaseHolder(pool);
         const link = this.remoteLink(pool);
         if (link === undefined) {
             return "alone";
         }
         const decision: RemoteDecision = await link.reserve(request, signal);
         if (decision === "unreachable" || decision === "notScheduler") {
-            return this.leaseHolder(pool)?.fence === before?.fence ? "alone" : "moved";
+            return this.leaseHolder(pool)?.fence === previousHolder?.fence ? "alone" : "moved";
         }
         if (decision.kind === "assigned" && decision.fence < (this.highestFences.get(pool) ?? 0)) {
-            // A newer scheduler has asked for holdings before this one existed, and could assign the slot a second time.
+            // A newer scheduler queried the allocations before this one was added, and could assign the slot a second time.
             link.withdraw(request.attempt);
             return "moved";
         }
@@ -250,20 +250,20 @@
     private recordDecision(
         request: SchedulingRequest,
         decision: SchedulingDecision,
-        since: number,
+        startedAt: number,
         signal: AbortSignal,
     ): SchedulingDecision {
         if (signal.aborted) {
             if (decision.kind === "assigned") {
                 this.progress(request.pool, { attempt: request.attempt, stage: "cancelled", tokens: 0 });
             }
-            return refuse(request, "callerGone", "the caller has gone", undefined);
+            return refuse(request, "callerGone", "the caller disconnected", undefined);
         }
         if (decision.kind === "assigned") {
-            this.localHoldings.add(request, decision.prefill, decision.decode);
+            this.localAllocations.add(request, decision.prefill, decision.decode);
             const { attempt, prefill, decode, fence } = decision;
-            const waited = Math.round(this.parts.clock.monotonic() - since);
-            this.parts.logger.info("engines assigned", {
+            const waited = Math.round(this.options.clock.monotonic() - startedAt);
+            this.options.logger.info("engines assigned", {
                 attempt,
                 prefill,
                 decode,
@@ -277,48 +277,48 @@
 
     private async serveReserve(request: SchedulingRequest, context: LinkContext): Promise<PeerAnswer> {
         const host = this.hosts.get(request.pool);
-        // After a freeze another daemon may hold the lease; the view doesn't show it until it is confirmed again.
-        const decision = host === undefined || !this.parts.control.mayStart()
+        // After a process freeze another daemon may hold the lease; the view shows that only once it is confirmed again.
+        const decision = host === undefined || !this.options.control.mayStart()
             ? undefined
             : await host.reserve(request, context.gone);
         return decision === undefined
-            ? { kind: "notScheduler", holder: this.parts.control.view().leases[schedulerLease(request.pool)]?.holder }
+            ? { kind: "notScheduler", holder: this.options.control.view().leases[schedulerLease(request.pool)]?.holder }
             : { kind: "decision", decision };
     }
 
-    /** Asks the pool's scheduler also for local placements, which it may not know yet. */
-    private async requestMove(holding: EngineHolding): Promise<string | undefined> {
-        const { pool } = holding.demand;
+    /** Asks the pool's scheduler even about a local placement, which the scheduler may not know yet. */
+    private async requestMove(allocation: EngineHolding): Promise<string | undefined> {
+        const { pool } = allocation.demand;
         const host = this.hosts.get(pool);
         if (host !== undefined) {
-            return host.move(holding);
+            return host.move(allocation);
         }
-        const answer = await this.remoteLink(pool)?.move(holding) ?? "unreachable";
-        return answer === "unreachable" ? this.localPlacement.move(holding) : answer.decode;
+        const answer = await this.remoteLink(pool)?.move(allocation) ?? "unreachable";
+        return answer === "unreachable" ? this.localPlacement.move(allocation) : answer.decode;
     }
 
-    private serveMove(pool: string, holding: EngineHolding): PeerAnswer {
+    private serveMove(pool: string, allocation: EngineHolding): PeerAnswer {
         const host = this.hosts.get(pool);
-        return host === undefined || !this.parts.control.mayStart()
-            ? { kind: "notScheduler", holder: this.parts.control.view().leases[schedulerLease(pool)]?.holder }
-            : { kind: "moved", decode: host.move(holding) };
+        return host === undefined || !this.options.control.mayStart()
+            ? { kind: "notScheduler", holder: this.options.control.view().leases[schedulerLease(pool)]?.holder }
+            : { kind: "moved", decode: host.move(allocation) };
     }
 
     private leaseHolder(pool: string): SchedulerLeaseHolder | undefined {
-        const { control } = this.parts;
+        const { control } = this.options;
         const view = control.view();
         const lease = view.leases[schedulerLease(pool)];
         if (lease === undefined) {
             return undefined;
         }
         const own = control.session();
-        const here = lease.holder.daemon === own.daemon && lease.holder.incarnation === own.incarnation;
-        return { here, name: `${lease.holder.daemon}/${lease.holder.incarnation}`, fence: lease.fence };
+        const isLocal = lease.holder.daemon === own.daemon && lease.holder.incarnation === own.incarnation;
+        return { isLocal, name: `${lease.holder.daemon}/${lease.holder.incarnation}`, fence: lease.fence };
     }
 
     private remoteLink(pool: string): PeerLink | undefined {
         const holder = this.leaseHolder(pool);
-        return holder === undefined || holder.here ? undefined : this.links.get(holder.name);
+        return holder === undefined || holder.isLocal ? undefined : this.links.get(holder.name);
     }
 
     private follow(view: View): void {
@@ -336,13 +336,13 @@
     }
 
     private followSessions(view: View): void {
-        const own = this.parts.control.session();
+        const own = this.options.control.session();
         const open = new Set<string>();
         for (const { session, peers } of Object.values(view.sessions)) {
             const name = `${session.daemon}/${session.incarnation}`;
             open.add(name);
             if (session.daemon !== own.daemon && !this.links.has(name)) {
-                this.links.set(name, PeerLink.create(this.parts.network.link(peers), this.parts.clock));
+                this.links.set(name, PeerLink.create(this.options.network.link(peers), this.options.clock));
             }
         }
         for (const [name, link] of this.links) {
@@ -355,12 +355,12 @@
 
     private followPool(view: View, pool: string): void {
         const holder = this.leaseHolder(pool);
-        const known = this.hosts.get(pool);
-        if (known !== undefined && (holder?.here !== true || holder.fence !== known.fence)) {
-            known.close();
+        const previousHost = this.hosts.get(pool);
+        if (previousHost !== undefined && (holder?.isLocal !== true || holder.fence !== previousHost.fence)) {
+            previousHost.close();
             this.hosts.delete(pool);
         }
-        if (holder?.here !== true) {
+        if (holder?.isLocal !== true) {
             return;
         }
         const host = this.hosts.get(pool);
@@ -368,29 +368,29 @@
             host.follow(view);
             return;
         }
-        this.parts.logger.info("scheduler of the pool started", { pool, fence: holder.fence });
+        this.options.logger.info("scheduler of the pool started", { pool, fence: holder.fence });
         const survey = {
-            holdings: () => this.requestHoldings(pool, holder.fence),
+            allocations: () => this.queryAllocations(pool, holder.fence),
             reports: () => this.engineSurvey.queryPool(pool),
         };
-        const { clock, logger } = this.parts;
+        const { clock, logger } = this.options;
         const { fence } = holder;
         const scheduler = PoolScheduler.create({ fence, warm: false });
         this.hosts.set(pool, SchedulerHost.create({ pool, fence, view, clock, scheduler, survey, logger }));
     }
 
-    private requestHoldings(pool: string, fence: number) {
+    private queryAllocations(pool: string, fence: number) {
         const others = [...this.links.values()].map(async link =>
-            await link.holdings(pool, fence, surveyTimeoutMilliseconds) ?? []
+            await link.queryAllocations(pool, fence, surveyTimeoutMilliseconds) ?? []
         );
-        return [Promise.resolve(this.localHoldings.ofPool(pool)), ...others];
+        return [Promise.resolve(this.localAllocations.ofPool(pool)), ...others];
     }
 
     private async queryAttemptsAt(address: { readonly host: string; readonly port: number; }, pool: string) {
-        const link = PeerLink.create(this.parts.network.link(address), this.parts.clock);
+        const link = PeerLink.create(this.options.network.link(address), this.options.clock);
         try {
-            const holdings = await link.holdings(pool, 0, surveyTimeoutMilliseconds);
-            return holdings === undefined ? undefined : new Set(holdings.map(holding => holding.demand.attempt));
+            const allocations = await link.queryAllocations(pool, 0, surveyTimeoutMilliseconds);
+            return allocations === undefined ? undefined : new Set(allocations.map(each => each.demand.attempt));
         }
         finally {
             link.close();
--- a/packages/basilpaddle/src/node/coordination/scheduling/scheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/scheduler.ts
@@ -25,7 +25,7 @@
 /** Input of a scheduler. */
 export type SchedulerEvent =
     | { readonly kind: "demand"; readonly demand: SchedulingRequest; }
-    /** The caller or its daemon is gone: the request leaves the queue, or what was reserved for it is released. */
+    /** The caller disconnected or its daemon ended: the request is removed from the queue, or its engines are released. */
     | { readonly kind: "withdraw"; readonly attempt: string; }
     | { readonly kind: "progress"; readonly progress: Progress; }
     | { readonly kind: "load"; readonly report: LoadReport; }
@@ -36,13 +36,13 @@
         readonly kind: "sessions";
         readonly open: readonly { readonly daemon: string; readonly incarnation: string; }[];
     }
-    /** Engines that an attempt holds without an assignment by this scheduler: from before it started, or placed locally. */
+    /** Engines allocated to an attempt, but not by this scheduler: by an earlier scheduler or by a local placement. */
     | { readonly kind: "holding"; readonly holding: EngineHolding; }
-    /** All that could be recovered about assignments made before this scheduler started has been applied. */
+    /** All available information about assignments made before this scheduler started has been applied. */
     | { readonly kind: "warm"; }
     /**
-     * No event was processed for so long that other daemons may have placed requests locally; their messages are still
-     * to be applied.
+     * No event was processed for so long that other daemons may have placed requests locally. Their messages about it may
+     * not be applied yet.
      */
     | { readonly kind: "stalled"; }
     | { readonly kind: "tick"; };
@@ -52,18 +52,18 @@
  * methods.
  */
 export abstract class Scheduler {
-    /** Applies one event and returns the resulting decisions, for its own request or for queued ones. */
+    /** Applies one event and returns the resulting decisions, for the event's request or for queued ones. */
     abstract step(event: SchedulerEvent, now: number): readonly SchedulingDecision[];
 
     /**
-     * Called after the decode engine of a holding rejected the attempt as full. Returns another decode engine, which the
-     * attempt holds from now on, or undefined if none has a free slot.
+     * Called after the decode engine of an allocation rejected the attempt because it was full. Allocates and returns another
+     * decode engine, or returns undefined if none has a free slot.
      */
-    abstract move(holding: EngineHolding, now: number): string | undefined;
+    abstract move(allocation: EngineHolding, now: number): string | undefined;
 
     /** Time of the next tick in monotonic milliseconds; undefined while none is needed. */
     abstract nextTickAt(): number | undefined;
 
-    /** Slots held by engine identifier, and the number of queued requests. */
+    /** Number of allocated slots by engine identifier, and number of queued requests. */
     abstract status(): { readonly held: ReadonlyMap<string, number>; readonly waiting: number; };
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/schedulerHost.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/schedulerHost.ts
@@ -10,10 +10,13 @@
 import { enginesOf, rulesOf } from "./poolView.js";
 import type { Scheduler, SchedulerEvent } from "./scheduler.js";
 
-/** Time after which a new scheduler counts as warm, even if some daemons or engines haven't answered. */
+/** Time after which the warm-up of a new scheduler ends even if some daemons or engines haven't answered. */
 const warmUpTimeoutMilliseconds = 1_500;
 
-/** Interval of the stall check, and the delay beyond it after which other daemons have begun to place requests locally. */
+/**
+ * Interval of the stall check, and the delay beyond it after which other daemons may have begun to place requests
+ * locally.
+ */
 const stallCheckIntervalMilliseconds = 100;
 const stallLimitMilliseconds = 150;
 
@@ -21,9 +24,9 @@
     readonly settle: (decision: SchedulingDecision | undefined) => void;
 };
 
-/** Queries daemons for their holdings in the pool, and engines for their load. */
+/** Queries daemons for their allocations in the pool, and engines for their load. */
 export type PoolSurvey = {
-    readonly holdings: () => Promise<readonly EngineHolding[]>[];
+    readonly allocations: () => Promise<readonly EngineHolding[]>[];
     readonly reports: () => Promise<LoadReport | undefined>[];
 };
 
@@ -53,7 +56,7 @@
         readonly view: View;
         readonly clock: Clock;
         readonly scheduler: Scheduler;
-        /** Omitted if no earlier assignments have to be recovered. */
+        /** Omitted if there are no earlier assignments to recover. */
         readonly survey?: PoolSurvey;
         readonly logger?: Logger;
     }): SchedulerHost {
@@ -66,7 +69,7 @@
         return host;
     }
 
-    /** Waits for the decision; resolves to undefined when this host closes first or the signal aborts. */
+    /** Waits for the scheduler's decision; resolves to undefined if this host closes or the signal aborts before. */
     reserve(request: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision | undefined> {
         const { attempt } = request;
         if (this.closed || signal.aborted) {
@@ -92,19 +95,19 @@
         this.pending.get(attempt)?.settle(undefined);
     }
 
-    /** Applies a holding that a daemon placed locally. */
-    applyHolding(holding: EngineHolding): void {
-        this.step({ kind: "holding", holding });
+    /** Applies an allocation made by a daemon's local placement. */
+    applyAllocation(allocation: EngineHolding): void {
+        this.step({ kind: "holding", holding: allocation });
     }
 
-    /** Finds another decode engine for an attempt that its engine rejected as full. */
-    move(holding: EngineHolding): string | undefined {
-        return this.closed ? undefined : this.scheduler.move(holding, this.clock.monotonic());
+    /** Allocates another decode engine to an attempt whose engine rejected it because it was full. */
+    move(allocation: EngineHolding): string | undefined {
+        return this.closed ? undefined : this.scheduler.move(allocation, this.clock.monotonic());
     }
 
     progress(progress: readonly Progress[]): void {
-        for (const one of progress) {
-            this.step({ kind: "progress", progress: one });
+        for (const report of progress) {
+            this.step({ kind: "progress", progress: report });
         }
     }
 
@@ -124,7 +127,7 @@
         this.step({ kind: "sessions", open: Object.values(view.sessions).map(open => open.session) });
     }
 
-    /** Slots held and requests queued, as tracked by the scheduler. */
+    /** Number of allocated slots and of queued requests, as tracked by the scheduler. */
     schedulerStatus(): ReturnType<Scheduler["status"]> {
         return this.scheduler.status();
     }
@@ -134,37 +137,37 @@
         this.closed = true;
         this.cancelTick?.();
         this.cancelStallCheck?.();
-        for (const waiting of [...this.pending.values()]) {
-            waiting.settle(undefined);
+        for (const reservation of [...this.pending.values()]) {
+            reservation.settle(undefined);
         }
     }
 
     private async warmUp(survey: PoolSurvey): Promise<void> {
-        let cancelLimit = (): void => {};
-        const limit = new Promise<void>(resolve => {
-            cancelLimit = this.clock.after(warmUpTimeoutMilliseconds, resolve);
+        let cancelTimeout = (): void => {};
+        const timeout = new Promise<void>(resolve => {
+            cancelTimeout = this.clock.after(warmUpTimeoutMilliseconds, resolve);
         });
-        const since = this.clock.monotonic();
-        const known = { holdings: 0, reports: 0 };
-        const holdings = survey.holdings().map(async answer => {
-            for (const holding of await answer) {
-                known.holdings++;
-                this.step({ kind: "holding", holding });
+        const startedAt = this.clock.monotonic();
+        const counts = { holdings: 0, reports: 0 };
+        const allocations = survey.allocations().map(async answer => {
+            for (const allocation of await answer) {
+                counts.holdings++;
+                this.step({ kind: "holding", holding: allocation });
             }
         });
         const reports = survey.reports().map(async answer => {
             const report = await answer;
-            known.reports += report === undefined ? 0 : 1;
+            counts.reports += report === undefined ? 0 : 1;
             this.load(report === undefined ? [] : [report]);
         });
-        await Promise.race([Promise.allSettled([...holdings, ...reports]), limit]);
-        cancelLimit();
+        await Promise.race([Promise.allSettled([...allocations, ...reports]), timeout]);
+        cancelTimeout();
         this.step({ kind: "warm" });
-        this.logger?.info("scheduler of the pool is warm", {
+        this.logger?.info("warm-up of the pool's scheduler finished", {
             pool: this.pool,
             fence: this.fence,
-            ...known,
-            took: Math.round(this.clock.monotonic() - since),
+            ...counts,
+            took: Math.round(this.clock.monotonic() - startedAt),
         });
     }
 
@@ -177,8 +180,8 @@
     }
 
     /**
-     * A host that was frozen or overloaded continues as if no time had passed, and would assign slots that others took
-     * meanwhile.
+     * After a freeze or an overload the process continues as if no time had passed. Without this check the scheduler would
+     * assign slots that other daemons have allocated in the meantime.
      */
     private detectStall(): void {
         const now = this.clock.monotonic();
@@ -197,25 +200,26 @@
         }
         this.detectStall();
         for (const decision of this.scheduler.step(event, this.clock.monotonic())) {
-            const waiting = this.pending.get(decision.attempt);
-            if (waiting === undefined && decision.kind === "assigned") {
-                // No reservation is pending for it; unless withdrawn, its engines would stay reserved until the session ends.
+            const reservation = this.pending.get(decision.attempt);
+            if (reservation === undefined && decision.kind === "assigned") {
+                // No reservation is pending; unless withdrawn, the engines would stay allocated until the daemon's
+                // session ends.
                 this.step({ kind: "withdraw", attempt: decision.attempt });
                 continue;
             }
-            waiting?.settle(decision);
+            reservation?.settle(decision);
         }
         this.scheduleTick();
     }
 
     private scheduleTick(): void {
-        const wakeAt = this.scheduler.nextTickAt() ?? Infinity;
-        if (wakeAt >= this.tickAt || this.closed) {
+        const nextTickAt = this.scheduler.nextTickAt() ?? Infinity;
+        if (nextTickAt >= this.tickAt || this.closed) {
             return;
         }
         this.cancelTick?.();
-        this.tickAt = wakeAt;
-        this.cancelTick = this.clock.after(Math.max(1, wakeAt - this.clock.monotonic()), () => {
+        this.tickAt = nextTickAt;
+        this.cancelTick = this.clock.after(Math.max(1, nextTickAt - this.clock.monotonic()), () => {
             this.tickAt = Infinity;
             this.step({ kind: "tick" });
         });
--- a/packages/basilpaddle/src/node/coordination/scheduling/schedulingQueue.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/schedulingQueue.ts
@@ -3,21 +3,21 @@
 
 /** A scheduling request that waits for its engines. */
 export type QueuedRequest = {
-    readonly demand: SchedulingRequest;
+    readonly schedulingRequest: SchedulingRequest;
     readonly arrivedAt: number;
     /** Target time of the first token, in monotonic milliseconds. */
-    readonly firstTokenBy: number;
+    readonly firstTokenTargetAt: number;
     /** Deadline of the whole answer, in monotonic milliseconds. */
-    readonly endsBy: number;
-    /** Sort key; the lowest is served first. */
-    readonly key: number;
+    readonly deadlineAt: number;
+    /** Requests are served in ascending order of this key. */
+    readonly sortKey: number;
     /** Expected prefill time in milliseconds. */
-    readonly work: number;
+    readonly prefillTime: number;
     /** Expected transfer time in milliseconds. */
-    readonly transfer: number;
+    readonly transferTime: number;
     /** Virtual start time in the fair queueing of organisations. */
-    readonly shareStart: number;
-    /** Whether it can't meet its target for the first token any more; served only after those that still can. */
+    readonly virtualStart: number;
+    /** Whether the request can't meet its target for the first token any more; it is served after all that still can. */
     readonly late: boolean;
 };
 
@@ -27,7 +27,7 @@
     private readonly byAttempt = new Map<string, QueuedRequest>();
     private readonly openRequestsByOrganisation = Counter.create();
     /** Expected prefill time in milliseconds of all queued requests. */
-    work = 0;
+    totalPrefillTime = 0;
 
     static create(): SchedulingQueue {
         return new SchedulingQueue();
@@ -48,12 +48,12 @@
     }
 
     /** Position after all requests whose key is lower or equal; requests with equal keys stay in order of arrival. */
-    positionOf(key: number): number {
+    positionOf(sortKey: number): number {
         let low = 0;
         let high = this.ordered.length;
         while (low < high) {
             const middle = (low + high) >> 1;
-            if (this.ordered[middle]!.key <= key) {
+            if (this.ordered[middle]!.sortKey <= sortKey) {
                 low = middle + 1;
             }
             else {
@@ -63,11 +63,11 @@
         return low;
     }
 
-    add(waiting: QueuedRequest): void {
-        this.ordered.splice(this.positionOf(waiting.key), 0, waiting);
-        this.byAttempt.set(waiting.demand.attempt, waiting);
-        this.work += waiting.work;
-        this.openRequestsByOrganisation.add(waiting.demand.organisation);
+    add(queuedRequest: QueuedRequest): void {
+        this.ordered.splice(this.positionOf(queuedRequest.sortKey), 0, queuedRequest);
+        this.byAttempt.set(queuedRequest.schedulingRequest.attempt, queuedRequest);
+        this.totalPrefillTime += queuedRequest.prefillTime;
+        this.openRequestsByOrganisation.add(queuedRequest.schedulingRequest.organisation);
     }
 
     /** Number of queued requests of an organisation. */
@@ -77,19 +77,19 @@
 
     /** Removes and returns the attempt's request, if it is queued. */
     remove(attempt: string): QueuedRequest | undefined {
-        const waiting = this.byAttempt.get(attempt);
-        if (waiting === undefined) {
+        const queuedRequest = this.byAttempt.get(attempt);
+        if (queuedRequest === undefined) {
             return undefined;
         }
         this.byAttempt.delete(attempt);
-        this.openRequestsByOrganisation.remove(waiting.demand.organisation);
-        let position = this.positionOf(waiting.key) - 1;
-        while (this.ordered[position] !== waiting) {
+        this.openRequestsByOrganisation.remove(queuedRequest.schedulingRequest.organisation);
+        let position = this.positionOf(queuedRequest.sortKey) - 1;
+        while (this.ordered[position] !== queuedRequest) {
             position--;
         }
         this.ordered.splice(position, 1);
-        this.work = this.ordered.length === 0 ? 0 : this.work - waiting.work;
-        return waiting;
+        this.totalPrefillTime = this.ordered.length === 0 ? 0 : this.totalPrefillTime - queuedRequest.prefillTime;
+        return queuedRequest;
     }
 
     /** A copy of the queue in order. */
--- a/packages/basilpaddle/src/node/coordination/scheduling/trackedEngine.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedEngine.ts
@@ -6,13 +6,17 @@
 /** Time between two tokens of an answer, until an engine reports its own. */
 const defaultDecodeTokenMilliseconds = 30;
 
-/** Cooldown without new work after a first failure, and its upper bound; it doubles with each failure. */
+/** Time without new work after a first failure, and its maximum; it doubles with each failure. */
 const firstCooldownMilliseconds = 1_000;
-const maximumCooldownMilliseconds = 16_000;
-/** Time that a single trial attempt has to show that an engine works again. */
+const maxCooldownMilliseconds = 16_000;
+/**
+ * Time for which an engine that failed gets no further work after one trial attempt was sent, unless an attempt succeeds.
+ */
 const trialMilliseconds = 3_000;
 
-/** After an engine rejected an attempt as full, load reports before this many may still show the earlier state. */
+/**
+ * Number of load reports after an engine rejected an attempt as full that may still show the state before the rejection.
+ */
 const staleReportCount = 3;
 
 /** Estimated state of one engine: its entry in the view, its last load report, and what was assigned to it since. */
@@ -22,15 +26,15 @@
     report: LoadReport | undefined;
     reportedAt = -Infinity;
     /** Attempts to which this scheduler assigned a slot there. */
-    readonly heldAttempts = new Set<string>();
+    readonly assignedAttempts = new Set<string>();
     /** Number of attempts in the last report that this scheduler doesn't know. */
     foreignAttempts = 0;
     /**
-     * Slots that unknown attempts must have held when the engine last rejected an attempt as full, and reports received
-     * since.
+     * Minimum number of unknown attempts that must have used slots when the engine last rejected an attempt as full, and
+     * number of load reports received since.
      */
-    private provenForeignAttempts = 0;
-    private reportsSinceProof = 0;
+    private minForeignAttempts = 0;
+    private reportsSinceRejection = 0;
     /** Expected time at which its link has completed all transfers assigned so far. */
     linkFreeAt = 0;
     /** Failures since the last success, and the end of the resulting cooldown. */
@@ -67,24 +71,26 @@
         return this.announcement.role === "prefill" ? defaultPrefillTokenMilliseconds : defaultDecodeTokenMilliseconds;
     }
 
-    /** Slots in use by any attempt, as far as known. */
+    /** Estimated number of slots in use by any attempt. */
     get usedSlots(): number {
-        return this.heldAttempts.size + Math.max(this.foreignAttempts, this.provenForeignAttempts);
+        return this.assignedAttempts.size + Math.max(this.foreignAttempts, this.minForeignAttempts);
     }
 
-    /** Records that the engine rejected an attempt as full although this scheduler had assigned it a slot there. */
+    /**
+     * Records that the engine rejected an attempt as full although this scheduler had assigned the attempt a slot there.
+     */
     recordFull(attempt: string): void {
-        const ours = this.heldAttempts.size - (this.heldAttempts.has(attempt) ? 1 : 0);
-        this.provenForeignAttempts = Math.max(0, this.slots - ours);
-        this.reportsSinceProof = 0;
+        const otherAssignedAttempts = this.assignedAttempts.size - (this.assignedAttempts.has(attempt) ? 1 : 0);
+        this.minForeignAttempts = Math.max(0, this.slots - otherAssignedAttempts);
+        this.reportsSinceRejection = 0;
     }
 
     /** Whether it serves the model in this version, with the adapter. */
     serves(model: string, adapter: string | undefined, version: string | undefined): boolean {
-        return this.announcement.models.some(carried =>
-            carried.name === model
-            && (version === undefined || carried.version === version)
-            && (adapter === undefined || carried.adapters.includes(adapter))
+        return this.announcement.models.some(servedModel =>
+            servedModel.name === model
+            && (version === undefined || servedModel.version === version)
+            && (adapter === undefined || servedModel.adapters.includes(adapter))
         );
     }
 
@@ -94,18 +100,18 @@
     }
 
     /**
-     * Records that an attempt failed there. An engine whose link is stalled still reports a light load; without the
-     * cooldown it would be assigned, and waste, one prefill after another.
+     * Records that an attempt failed there, and starts a cooldown. An engine whose link is stalled still reports a light load;
+     * without the cooldown one prefill after another would be assigned to it and wasted.
      */
     recordFailure(now: number): void {
         if (now >= this.cooldownUntil) {
             this.cooldownUntil = now
-                + Math.min(maximumCooldownMilliseconds, firstCooldownMilliseconds * 2 ** this.failures);
+                + Math.min(maxCooldownMilliseconds, firstCooldownMilliseconds * 2 ** this.failures);
             this.failures++;
         }
     }
 
-    /** Records that an attempt is sent there. After a failure only one at a time is sent, until one succeeds. */
+    /** Records that an attempt is sent there. After a failure, attempts are sent one at a time until one succeeds. */
     recordDispatch(now: number): void {
         if (this.failures > 0) {
             this.cooldownUntil = now + trialMilliseconds;
@@ -131,9 +137,9 @@
         }
         this.report = report;
         this.reportedAt = now;
-        this.reportsSinceProof++;
-        if (this.reportsSinceProof >= staleReportCount) {
-            this.provenForeignAttempts = 0;
+        this.reportsSinceRejection++;
+        if (this.reportsSinceRejection >= staleReportCount) {
+            this.minForeignAttempts = 0;
         }
         return true;
     }
@@ -168,7 +174,7 @@
         return this.prefillWork.size === 0 ? now : Math.max(now, this.prefillWorkSince + this.prefillWorkTotal);
     }
 
-    /** Assigned prefill work, in milliseconds, of attempts that the last report doesn't list. */
+    /** Assigned prefill work in milliseconds of attempts that the last report doesn't list. */
     get unreportedPrefillWork(): number {
         const known = new Set(this.report?.active ?? []);
         let total = 0;
--- a/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
@@ -4,53 +4,53 @@
 import type { EngineEntry } from "./scheduler.js";
 import { TrackedEngine } from "./trackedEngine.js";
 
-/** Upper bound of the ended attempts kept, so that a late load report doesn't count them again. */
-const endedAttemptLimit = 4_096;
-/** Time for which reports may still list an ended attempt; one listed longer does hold its slot. */
+/** Maximum number of ended attempts remembered, so that a late load report doesn't count them as foreign. */
+const maxEndedAttempts = 4_096;
+/** Time for which reports may still list an ended attempt. One that is listed for longer still uses its slot. */
 const endedGraceMilliseconds = 3_000;
-/** Consecutive reports without a previously listed attempt after which the message of its end is assumed lost. */
-const missedReportLimit = 3;
+/** Number of consecutive reports without a previously listed attempt after which the message of its end is assumed lost. */
+const maxMissedReports = 3;
 
 /** Engines assigned to one attempt. */
 export type Assignment = {
-    readonly demand: SchedulingRequest;
+    readonly schedulingRequest: SchedulingRequest;
     readonly prefill: string;
     decode: string;
     readonly assignedAt: number;
-    /** Deadline of its answer, in monotonic milliseconds; its engines are released after it. */
-    readonly endsBy: number;
+    /** Deadline of the answer, in monotonic milliseconds; the engines are released after it. */
+    readonly deadlineAt: number;
     stage: Progress["stage"] | "assigned";
     stageAt: number;
     tokens: number;
     /** Blocks of the prompt expected in the prefill engine's cache. */
     expectedCachedBlocks: number;
-    /** Time in milliseconds that its transfer was expected to wait for the link. */
+    /** Expected time in milliseconds for which the transfer waits for the link. */
     expectedLinkWait: number;
     /** Whether the decode engine's reports have listed it, and the number of consecutive reports without it since. */
     listed: boolean;
     missedReports: number;
 };
 
-/** Estimated state of all engines of a pool and of the attempts that hold them. */
+/** Estimated state of all engines of a pool and of their assignments to attempts. */
 export class TrackedPool {
     readonly engines = new Map<string, TrackedEngine>();
     readonly assignments = new Map<string, Assignment>();
     private readonly openRequestsByOrganisation = Counter.create();
-    private readonly endedAttempts = new LRUCache<string, number>({ max: endedAttemptLimit });
+    private readonly endedAttempts = new LRUCache<string, number>({ max: maxEndedAttempts });
 
     static create(): TrackedPool {
         return new TrackedPool();
     }
 
-    /** Applies the engines of the view. What attempts held at a restarted or gone engine is released. */
+    /** Applies the engines of the view. Releases the assignments at engines that restarted or were removed. */
     setEngines(entries: readonly EngineEntry[], now: number): void {
-        const named = new Set<string>();
+        const listedIds = new Set<string>();
         for (const entry of entries) {
-            named.add(entry.announcement.id);
+            listedIds.add(entry.announcement.id);
             this.setEngine(entry, now);
         }
         for (const id of this.engines.keys()) {
-            if (!named.has(id)) {
+            if (!listedIds.has(id)) {
                 this.removeEngine(id, now);
             }
         }
@@ -67,19 +67,19 @@
         return assignment;
     }
 
-    /** Adds a holding that was assigned elsewhere, by an earlier scheduler or a local one. */
-    restore(holding: EngineHolding, now: number): void {
-        const { demand: request } = holding;
+    /** Adds an allocation that another scheduler made: an earlier one, or a daemon's local one. */
+    restore(allocation: EngineHolding, now: number): void {
+        const { demand: request } = allocation;
         if (
             this.assignments.has(request.attempt) || this.endedAttempts.has(request.attempt)
-            || isFinalStage(holding.stage)
+            || isFinalStage(allocation.stage)
         ) {
             return;
         }
-        const assignment = this.addAssignment(request, holding.prefill, holding.decode, holding.stage, now);
-        assignment.tokens = holding.tokens;
-        const prefill = this.engines.get(holding.prefill);
-        if (holding.stage === "prefilling" && prefill !== undefined) {
+        const assignment = this.addAssignment(request, allocation.prefill, allocation.decode, allocation.stage, now);
+        assignment.tokens = allocation.tokens;
+        const prefill = this.engines.get(allocation.prefill);
+        if (allocation.stage === "prefilling" && prefill !== undefined) {
             prefill.addPrefillWork(request.attempt, request.promptTokens * prefill.tokenTime, now);
         }
         this.recountForeignAttempts(now);
@@ -108,15 +108,15 @@
 
     /** Moves an attempt's slot to another decode engine. */
     move(assignment: Assignment, decode: TrackedEngine): void {
-        const { attempt } = assignment.demand;
-        this.engines.get(assignment.decode)?.heldAttempts.delete(attempt);
-        decode.heldAttempts.add(attempt);
+        const { attempt } = assignment.schedulingRequest;
+        this.engines.get(assignment.decode)?.assignedAttempts.delete(attempt);
+        decode.assignedAttempts.add(attempt);
         assignment.decode = decode.id;
         assignment.listed = false;
         assignment.missedReports = 0;
     }
 
-    /** Releases what an attempt holds. Returns whether the attempt was known. */
+    /** Releases the engines assigned to an attempt. Returns whether the attempt was known. */
     release(attempt: string, now: number): boolean {
         const known = this.removeAssignment(attempt, now);
         if (known) {
@@ -131,9 +131,9 @@
             return false;
         }
         this.assignments.delete(attempt);
-        this.openRequestsByOrganisation.remove(assignment.demand.organisation);
+        this.openRequestsByOrganisation.remove(assignment.schedulingRequest.organisation);
         this.engines.get(assignment.prefill)?.removePrefillWork(attempt, now);
-        this.engines.get(assignment.decode)?.heldAttempts.delete(attempt);
+        this.engines.get(assignment.decode)?.assignedAttempts.delete(attempt);
         return true;
     }
 
@@ -151,26 +151,29 @@
         return engine;
     }
 
-    /** Removes assignments whose end nobody can report any more. Those that engines still list count as foreign. */
-    releaseWhere(gone: (assignment: Assignment) => boolean, now: number): void {
-        let found = false;
+    /**
+     * Removes the matching assignments, whose end no daemon will report. Attempts that engines still list count as
+     * foreign.
+     */
+    releaseWhere(shouldRelease: (assignment: Assignment) => boolean, now: number): void {
+        let anyReleased = false;
         for (const [attempt, assignment] of this.assignments) {
-            if (gone(assignment)) {
+            if (shouldRelease(assignment)) {
                 this.removeAssignment(attempt, now);
-                found = true;
+                anyReleased = true;
             }
         }
-        if (found) {
+        if (anyReleased) {
             this.recountForeignAttempts(now);
         }
     }
 
-    /** Number of attempts that hold a slot, by engine identifier. */
-    heldByEngine(): ReadonlyMap<string, number> {
-        return new Map([...this.engines.values()].map(engine => [engine.id, engine.heldAttempts.size]));
+    /** Number of slots that this scheduler has allocated, by engine identifier. */
+    allocatedSlotsByEngine(): ReadonlyMap<string, number> {
+        return new Map([...this.engines.values()].map(engine => [engine.id, engine.assignedAttempts.size]));
     }
 
-    /** Number of attempts of an organisation that hold engines. */
+    /** Number of attempts of an organisation that have engines assigned. */
     openRequestsOf(organisation: string): number {
         return this.openRequestsByOrganisation.of(organisation);
     }
@@ -183,11 +186,11 @@
         now: number,
     ): Assignment {
         const assignment: Assignment = {
-            demand: request,
+            schedulingRequest: request,
             prefill,
             decode,
             assignedAt: now,
-            endsBy: now + request.deadlineWithin,
+            deadlineAt: now + request.deadlineWithin,
             stage,
             stageAt: now,
             tokens: 0,
@@ -198,7 +201,7 @@
         };
         this.assignments.set(request.attempt, assignment);
         this.openRequestsByOrganisation.add(request.organisation);
-        this.engines.get(decode)?.heldAttempts.add(request.attempt);
+        this.engines.get(decode)?.assignedAttempts.add(request.attempt);
         return assignment;
     }
 
@@ -233,27 +236,27 @@
         let foreign = 0;
         for (const attempt of engine.report?.active ?? []) {
             const endedAt = this.endedAttempts.get(attempt);
-            const ours = this.assignments.has(attempt)
+            const isKnown = this.assignments.has(attempt)
                 || (endedAt !== undefined && now - endedAt < endedGraceMilliseconds);
-            foreign += ours ? 0 : 1;
+            foreign += isKnown ? 0 : 1;
         }
         engine.foreignAttempts = foreign;
     }
 
     /**
-     * The message of an attempt's end may be lost. Without this its slot would stay held until the deadline, and an engine
-     * that reports itself idle would get no work.
+     * Releases attempts that the engine no longer lists, because the message of an attempt's end may be lost. Without this the
+     * slot would stay allocated until the deadline, and an engine that reports no attempts would get no work.
      */
     private releaseUnlisted(engine: TrackedEngine, now: number): void {
         const active = new Set(engine.report?.active ?? []);
-        for (const attempt of engine.heldAttempts) {
+        for (const attempt of engine.assignedAttempts) {
             const assignment = this.assignments.get(attempt);
             if (assignment === undefined) {
                 continue;
             }
             assignment.listed ||= active.has(attempt);
             assignment.missedReports = active.has(attempt) || !assignment.listed ? 0 : assignment.missedReports + 1;
-            if (assignment.missedReports >= missedReportLimit) {
+            if (assignment.missedReports >= maxMissedReports) {
                 this.release(attempt, now);
             }
         }
--- a/packages/basilpaddle/src/node/coordination/scheduling/transferTimes.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/transferTimes.ts
@@ -1,6 +1,6 @@
 import type { TrackedEngine } from "./trackedEngine.js";
 
-/** Transfer time of the KV cache of one prompt token, until a transfer was observed. */
+/** Initial estimate of the transfer time of the KV cache of one prompt token. */
 const defaultTokenMilliseconds = 0.03;
 /** Weight of one transfer in the moving average. */
 const sampleWeight = 0.1;
@@ -9,8 +9,8 @@
 
 /** Moving averages of KV cache transfer times between engines, within a failure domain and across failure domains. */
 export class TransferTimes {
-    private withinTokenTime = defaultTokenMilliseconds;
-    private acrossTokenTime = defaultTokenMilliseconds;
+    private sameDomainTokenTime = defaultTokenMilliseconds;
+    private crossDomainTokenTime = defaultTokenMilliseconds;
 
     static create(): TransferTimes {
         return new TransferTimes();
@@ -18,7 +18,7 @@
 
     /** Expected transfer time in milliseconds of a prompt with this many tokens. */
     expected(prefill: TrackedEngine, decode: TrackedEngine, tokens: number): number {
-        return tokens * (shareFailureDomain(prefill, decode) ? this.withinTokenTime : this.acrossTokenTime);
+        return tokens * (shareFailureDomain(prefill, decode) ? this.sameDomainTokenTime : this.crossDomainTokenTime);
     }
 
     /** Records the duration in milliseconds of a transfer that had the link to itself. */
@@ -28,10 +28,10 @@
         }
         const tokenTime = milliseconds / tokens;
         if (shareFailureDomain(prefill, decode)) {
-            this.withinTokenTime += sampleWeight * (tokenTime - this.withinTokenTime);
+            this.sameDomainTokenTime += sampleWeight * (tokenTime - this.sameDomainTokenTime);
         }
         else {
-            this.acrossTokenTime += sampleWeight * (tokenTime - this.acrossTokenTime);
+            this.crossDomainTokenTime += sampleWeight * (tokenTime - this.crossDomainTokenTime);
         }
     }
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/tuning.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/tuning.ts
@@ -6,11 +6,14 @@
     readonly affinity: number;
     /** Fraction of the time left to the first token's target that the forecast may use. */
     readonly admission: number;
-    /** Maximum delay in milliseconds of an organisation that exceeded its share; 0 disables shares. */
+    /**
+     * Maximum time in milliseconds by which requests of an organisation over its share are moved back in the queue; 0
+     * disables shares.
+     */
     readonly mostLag: number;
 };
 
-/** Default parameters, from the measured runs. */
+/** Default parameters, from measured runs. */
 export const defaultTuning: SchedulerTuning = Object.freeze({
     lead: 20,
     affinity: 1,
