--- a/packages/basilpaddle/src/node/coordination/placement.ts
+++ b/packages/basilpaddle/src/node/coordination/placement.ts
@@ -3,19 +3,19 @@
 /** Reserves engines for attempts, through the pool's scheduler on this or another daemon, or by a local decision. */
 export abstract class Placement {
     /**
-     * Reserves engines, or refuses. May wait in the scheduler's queue. When the signal aborts, the request is withdrawn
-     * and whatever was reserved for it is released; the promise then resolves to a refusal with code `callerGone`.
+     * Reserves engines, or refuses the request; it may first wait in the scheduler's queue. When the signal aborts, the
+     * request is withdrawn, its engines are released, and the promise resolves to a refusal with code `callerGone`.
      */
-    abstract reserve(demand: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision>;
+    abstract reserve(request: SchedulingRequest, signal: AbortSignal): Promise<SchedulingDecision>;
 
     /**
-     * Reports that the decode engine of a holding rejected the attempt for want of a free slot, and requests another one.
-     * Resolves to the new engine's identifier, or to undefined if none has a free slot now: the attempt then keeps its
-     * engines and may ask again.
+     * Reports that the decode engine of an allocation rejected the attempt because it has no free slot, and requests another
+     * one. Resolves to the new engine's identifier, or to undefined if none has a free slot now. In that case the attempt
+     * keeps its engines, and the call may be repeated.
      */
-    abstract move(holding: EngineHolding): Promise<string | undefined>;
+    abstract move(allocation: EngineHolding): Promise<string | undefined>;
 
-    /** Reports the progress of an attempt. `finished`, `cancelled` and `failed` release what it held. */
+    /** Reports the progress of an attempt. `finished`, `cancelled` and `failed` release its engines. */
     abstract progress(pool: string, progress: Progress): void;
 
     /** Forwards a load report that this daemon received from an engine. */
--- a/packages/basilpaddle/src/node/coordination/replica.ts
+++ b/packages/basilpaddle/src/node/coordination/replica.ts
@@ -11,7 +11,7 @@
 export type ReplicaStatus = {
     /** Identity of this replica: its name and a suffix that changes if its disk is lost. */
     readonly identity: string;
-    /** Whether its vote counts: it is a voter of the latest membership in its log, and hasn't stopped. */
+    /** Whether its vote counts: the latest membership in its log lists it as a voter, and it hasn't stopped. */
     readonly voting: boolean;
     /** Identities of the voters of the latest membership in its log, committed or not. */
     readonly voters: readonly string[];
@@ -32,7 +32,7 @@
 
 /** One copy of the replicated log, with the state machine that its entries are applied to. */
 export abstract class Replica {
-    /** Proposes a command; settles once it was applied locally, or after `timeout` milliseconds at the latest. */
+    /** Proposes a command. Resolves once the command was applied locally, or after `timeout` milliseconds at the latest. */
     abstract propose(command: Command, timeout: number): Promise<ProposalOutcome>;
 
     /** Handles a message from another replica. */
@@ -41,7 +41,10 @@
     /** The current status. */
     abstract currentStatus(): ReplicaStatus;
 
-    /** Whether this replica led throughout a round trip to a quorum begun after the call; false after `timeout` milliseconds. */
+    /**
+     * Whether this replica was the leader during a whole round trip to a quorum that began after the call. Resolves to false
+     * after `timeout` milliseconds.
+     */
     abstract confirmLeadership(timeout: number): Promise<boolean>;
 
     /** Calls the listener after each applied command, in order; the returned function removes it. */
@@ -50,6 +53,6 @@
     /** Calls the listener when this replica's leadership begins or ends; the returned function removes it. */
     abstract onLeadership(listener: (leading: boolean) => void): () => void;
 
-    /** Hands over leadership if possible, syncs, and stops. */
+    /** Transfers leadership if possible, syncs, and stops. */
     abstract close(): Promise<void>;
 }
