--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
@@ -281,8 +281,7 @@
     });
 
     // Guards against placing a request that can't be retried on a slot that the scheduler has just assigned and that
-    // isn't in
-    // the engines' reports yet: the request fails permanently when the engine rejects it.
+    // isn't in the engines' reports yet: the request fails permanently when the engine rejects it.
     it("places a request that can't be retried locally only by load reports that include the scheduler's last assignments", async () => {
         daemons.change(view => ({ ...view, backends: { ...view.backends, d2: engine("d2", "decode", { slots: 8 }) } }));
         const reportLoads = (active: readonly string[]): void => {
--- a/packages/basilpaddle/src/node/coordination/scheduling/orphanSweep.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/orphanSweep.ts
@@ -118,8 +118,7 @@
             return true;
         }
         // The owner's session may be missing only because this daemon's view is stale. A view confirmed after the attempt
-        // was
-        // first seen contains every session that could have started it.
+        // was first seen contains every session that could have started it.
         const { clock, viewLease } = this.options;
         const firstSeenAt = this.firstSeen.get(attempt) ?? clock.monotonic();
         this.firstSeen.set(attempt, firstSeenAt);
