--- a/packages/basilpaddle/src/node/coordination/request/__tests__/driver.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/driver.spec.ts
@@ -98,13 +98,13 @@
         // itself, the scheduler assigns it, and this daemon's view is updated a view interval later. An engine that the view
         // didn't contain yet was treated as failed.
         const rig = Rig.create();
-        const whole = rig.control.view();
-        const { d1, ...others } = whole.backends;
-        rig.control.setView({ ...whole, backends: others });
-        const follow = rig.control.onView.bind(rig.control);
+        const completeView = rig.control.view();
+        const { d1, ...otherBackends } = completeView.backends;
+        rig.control.setView({ ...completeView, backends: otherBackends });
+        const onView = rig.control.onView.bind(rig.control);
         rig.control.onView = listener => {
-            queueMicrotask(() => rig.control.setView({ ...whole, backends: { ...others, d1: d1! } }));
-            return follow(listener);
+            queueMicrotask(() => rig.control.setView({ ...completeView, backends: { ...otherBackends, d1: d1! } }));
+            return onView(listener);
         };
         expect((await rig.drive({})).kind).to.equal("finished");
         expect(rig.placement.schedulingRequests).to.have.length(1);
@@ -115,9 +115,9 @@
         // Guards against a healthy engine that gets no work from any daemon for seconds: this daemon's view lags, or is ahead
         // and shows the engine as gone, and the engine was reported to the scheduler as failed though nothing was sent to it.
         const rig = Rig.create();
-        const whole = rig.control.view();
-        const others = Object.entries(whole.backends).filter(([id]) => id !== "d1");
-        rig.control.setView({ ...whole, backends: Object.fromEntries(others) });
+        const completeView = rig.control.view();
+        const otherBackends = Object.entries(completeView.backends).filter(([id]) => id !== "d1");
+        rig.control.setView({ ...completeView, backends: Object.fromEntries(otherBackends) });
         expect((await rig.drive({})).kind).to.equal("finished");
         expect(rig.placement.schedulingRequests.at(-1)?.avoid).to.deep.equal(["d1"]);
         const failed = rig.placement.progressReports.filter(({ stage }) => stage === "failed");
--- a/packages/basilpaddle/src/node/coordination/request/__tests__/fullEngine.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/fullEngine.spec.ts
@@ -95,8 +95,8 @@
             const backoff = ImportBackoff.create(0, latest, SeededRandomness.create(7));
             let now = 0;
             let count = 0;
-            for (let wait = backoff.nextDelay(now); wait !== undefined; wait = backoff.nextDelay(now)) {
-                now += wait;
+            for (let delay = backoff.nextDelay(now); delay !== undefined; delay = backoff.nextDelay(now)) {
+                now += delay;
                 count++;
             }
             expect(now).to.be.at.most(end);
--- a/packages/basilpaddle/src/node/coordination/request/answer.ts
+++ b/packages/basilpaddle/src/node/coordination/request/answer.ts
@@ -6,12 +6,14 @@
 /** Summary of an answer, known after its last token. */
 export type AnswerEnd = { readonly reason: EndReason; readonly tokens: number; readonly promptTokens: number; };
 
-/** Writes the answer to the caller. Only the request's driver uses it. */
+/** Writes the answer to the caller. Used only by the request's driver. */
 export abstract class Answer {
-    /** Writes the next token. If it returns a promise, the driver reads no more from the engine until the promise settles. */
+    /**
+     * Writes the next token. If it returns a promise, the driver stops reading from the engine until the promise settles.
+     */
     abstract token(text: string): Promise<void> | undefined;
 
-    /** The whole answer in the form in which it is stored, to be replayed to a retry of the request. */
+    /** The whole answer in its stored form, which is replayed to a retry of the request. */
     abstract kept(end: AnswerEnd): StoredAnswer;
 
     /** Writes the end of the answer. */
--- a/packages/basilpaddle/src/node/coordination/request/attempt.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attempt.ts
@@ -5,18 +5,27 @@
 import { DecodeReader } from "./decodeReader.js";
 import { ImportBackoff } from "./importBackoff.js";
 import { AttemptScope, pause, untilAborted } from "./scope.js";
-import { untilEnginesKnown, untilViewConfirmed } from "./viewWaits.js";
+import { waitForConfirmedView, waitForEngines } from "./viewWaits.js";
 
-/** A transfer times out after its expected duration, size by link rate, times `transferTimeoutFactor`, plus this grace. */
+/**
+ * A transfer times out after `transferTimeoutFactor` times its expected duration (size divided by link rate), plus this
+ * grace.
+ */
 const transferGraceMilliseconds = 3_000;
 const transferTimeoutFactor = 4;
 
-/** What the attempt may hold at a backend server. `inFlight`: a call was sent there and isn't answered. */
+/**
+ * Resources that a backend server may have allocated to the attempt. `inFlight`: a call was sent there and isn't
+ * answered.
+ */
 type BackendAllocation = { readonly backend: Announcement; inFlight: boolean; };
 
 const abandonedCall: EngineFailure = { kind: "unknown", code: undefined, message: "abandoned before it was answered" };
 
-/** One attempt to answer a request, with its own id and engines. It releases everything that it held at them. */
+/**
+ * One attempt to answer a request, with its own id and engines. When it ends, it releases everything allocated to it
+ * there.
+ */
 export class Attempt {
     private readonly id: string;
     private readonly scope: AttemptScope;
@@ -26,8 +35,8 @@
     private completedPrefill: { readonly answer: PrefillAnswer; readonly milliseconds: number; } | undefined;
 
     private constructor(private readonly context: AttemptContext, private readonly avoid: readonly string[]) {
-        this.id = context.parts.attempts.begin();
-        this.scope = AttemptScope.create(context.scope, context.parts.clock);
+        this.id = context.options.attempts.begin();
+        this.scope = AttemptScope.create(context.scope, context.options.clock);
     }
 
     static async run(context: AttemptContext, avoid: readonly string[]): Promise<AttemptEnd> {
@@ -37,17 +46,17 @@
         }
         finally {
             attempt.scope.close();
-            context.parts.attempts.end(attempt.id);
+            context.options.attempts.end(attempt.id);
         }
     }
 
     private async run(): Promise<AttemptEnd> {
-        const { parts, lifecycle } = this.context;
-        if (!parts.control.mayStart()) {
+        const { options, lifecycle } = this.context;
+        if (!options.control.mayStart()) {
             return viewExpired;
         }
         lifecycle.send("reserve");
-        const decision = await parts.placement.reserve(
+        const decision = await options.placement.reserve(
             schedulingRequestOf(this.context, this.id, this.avoid),
             this.context.scope.signal,
         );
@@ -58,7 +67,7 @@
         }
         lifecycle.send("assign");
         let end: AttemptEnd | undefined;
-        const unsubscribe = parts.control.onView(view => this.checkActiveBackend(view));
+        const unsubscribe = options.control.onView(view => this.abortIfBackendLost(view));
         try {
             end = await this.runOnEngines(decision.prefill, decision.decode);
         }
@@ -70,7 +79,7 @@
     }
 
     private async runOnEngines(prefillId: string, decodeId: string): Promise<AttemptEnd> {
-        await untilEnginesKnown(this.context.parts, [prefillId, decodeId], this.scope.signal);
+        await waitForEngines(this.context.options, [prefillId, decodeId], this.scope.signal);
         const prefill = this.readyBackend(prefillId);
         const decode = this.readyBackend(decodeId);
         if (prefill === undefined || decode === undefined) {
@@ -83,84 +92,87 @@
             return await this.generateAnswer(prefill, decode);
         }
         finally {
-            this.acquiredUrls.forEach(url => this.context.parts.engines.releaseClient(url));
+            this.acquiredUrls.forEach(url => this.context.options.engines.releaseClient(url));
         }
     }
 
     private acquireEngine(backend: Announcement): void {
-        this.context.parts.engines.acquireClient(backend.url);
+        this.context.options.engines.acquireClient(backend.url);
         this.acquiredUrls.push(backend.url);
     }
 
     private async generateAnswer(prefill: Announcement, decode: Announcement): Promise<AttemptEnd> {
-        const prompt = await this.prefill(prefill);
-        if ("kind" in prompt) {
-            return prompt;
+        const prefillAnswer = await this.prefill(prefill);
+        if ("kind" in prefillAnswer) {
+            return prefillAnswer;
         }
-        const transferred = await this.transfer(prefill, decode, prompt);
+        const transferred = await this.transfer(prefill, decode, prefillAnswer);
         return "kind" in transferred ? transferred : this.decode(transferred);
     }
 
     private async prefill(backend: Announcement): Promise<PrefillAnswer | AttemptEnd> {
-        const { parts, work, lifecycle, outcomeTracker, scope } = this.context;
+        const { options, request, lifecycle, outcomeTracker, scope } = this.context;
         if (scope.stopped !== undefined) {
             return { kind: "stopped" };
         }
-        if (!parts.control.mayStart()) {
+        if (!options.control.mayStart()) {
             return viewExpired;
         }
         lifecycle.send("prefill");
         this.progress({ attempt: this.id, stage: "prefilling", tokens: 0 });
-        const since = parts.clock.monotonic();
+        const since = options.clock.monotonic();
         const allocation = this.recordAllocation(backend);
         outcomeTracker.recordCallStart();
-        const call = this.engine(backend).prefill(this.id, work.generation, this.scope.signal);
+        const call = this.engine(backend).prefill(this.id, request.generation, this.scope.signal);
         const result = await untilAborted(call.then(answer => answer.extract()), this.scope.signal, abandonedCall);
         if ("kind" in result) {
             return this.callFailed(allocation, result, "prefill");
         }
         outcomeTracker.recordExecution();
         allocation.inFlight = false;
-        const milliseconds = parts.clock.monotonic() - since;
+        const milliseconds = options.clock.monotonic() - since;
         this.completedPrefill = { answer: result, milliseconds };
         this.context.written.promptTokens = result.promptTokens;
-        parts.metrics.observe("basilpaddle_prefill_milliseconds", milliseconds, { pool: work.pool });
+        options.metrics.observe("basilpaddle_prefill_milliseconds", milliseconds, { pool: request.pool });
         this.progress({ attempt: this.id, stage: "prefilled", tokens: 0, reusedTokens: result.reusedTokens });
         return scope.stopped === undefined ? result : { kind: "stopped" };
     }
 
-    /** Transfers the prefill's result to a decode engine. Returns that engine, or how the attempt ended. */
+    /**
+     * Transfers the prefill's result to a decode engine. Returns that engine, or how the attempt ended if it didn't
+     * succeed.
+     */
     private async transfer(
         source: Announcement,
-        reserved: Announcement,
-        prompt: PrefillAnswer,
+        assignedEngine: Announcement,
+        prefillAnswer: PrefillAnswer,
     ): Promise<Announcement | AttemptEnd> {
-        const { parts, work, lifecycle, scope } = this.context;
-        // A process that resumes from a freeze here would take a decode slot that its successor doesn't know about.
+        const { options, request, lifecycle, scope } = this.context;
+        // A process that resumes here after a freeze would use a decode slot that its successor doesn't know to be in use.
         if (!await this.mayTransfer()) {
             return scope.stopped === undefined ? viewExpired : { kind: "stopped" };
         }
         lifecycle.send("transfer");
         const backoff = this.createImportBackoff();
-        let backend = reserved;
+        let backend = assignedEngine;
         for (;;) {
-            const end = await this.import(source, backend, prompt);
+            const end = await this.import(source, backend, prefillAnswer);
             if (end === undefined) {
                 return backend;
             }
             if (end.kind !== "failed" || end.benignRefusal !== "full") {
                 return end;
             }
-            // Failing here would discard the finished prefill, and a non-idempotent request would fail permanently.
-            const delay = backoff.nextDelay(parts.clock.monotonic());
+            // Failing now would discard the finished prefill, and a non-idempotent request would fail permanently.
+            const delay = backoff.nextDelay(options.clock.monotonic());
             if (delay === undefined) {
                 return end;
             }
-            const other = await this.moveDecode(source, backend);
-            if (other === undefined) {
-                await pause(parts.clock, delay, this.scope.signal);
+            const replacement = await this.moveDecode(source, backend);
+            if (replacement === undefined) {
+                await pause(options.clock, delay, this.scope.signal);
             }
-            backend = other ?? backend;
+            backend = replacement ?? backend;
             const isConfirmed = await this.mayTransfer();
             if (scope.stopped !== undefined) {
                 return { kind: "stopped" };
@@ -168,26 +180,26 @@
             if (!isConfirmed) {
                 return viewExpired;
             }
-            // The engine may have started to leave, or have restarted, during the delay.
+            // The engine may have begun to shut down, or may have restarted, during the delay.
             if (this.scope.signal.aborted || this.readyBackend(backend.id)?.incarnation !== backend.incarnation) {
                 return end;
             }
-            parts.metrics.count("basilpaddle_import_retries_total", { pool: work.pool });
+            options.metrics.count("basilpaddle_import_retries_total", { pool: request.pool });
         }
     }
 
     private async import(
         source: Announcement,
         backend: Announcement,
-        prompt: PrefillAnswer,
+        prefillAnswer: PrefillAnswer,
     ): Promise<AttemptEnd | undefined> {
-        const { work, outcomeTracker, scope } = this.context;
+        const { request, outcomeTracker, scope } = this.context;
         const allocation = this.recordAllocation(backend);
         const rate = Math.min(source.linkRate ?? Infinity, backend.linkRate ?? Infinity);
-        this.scope.arm(transferGraceMilliseconds + transferTimeoutFactor * 1_000 * prompt.bytes / rate);
+        this.scope.arm(transferGraceMilliseconds + transferTimeoutFactor * 1_000 * prefillAnswer.bytes / rate);
         outcomeTracker.recordCallStart();
-        const from = { url: source.url, handle: prompt.handle };
-        const call = this.engine(backend).import(this.id, from, work.generation, this.scope.signal);
+        const from = { url: source.url, handle: prefillAnswer.handle };
+        const call = this.engine(backend).import(this.id, from, request.generation, this.scope.signal);
         const result = await untilAborted(call.then(answer => answer.extract()), this.scope.signal, abandonedCall);
         if ("kind" in result) {
             const end = this.callFailed(allocation, result, "transfer");
@@ -198,58 +210,62 @@
         }
         outcomeTracker.recordExecution();
         allocation.inFlight = false;
-        // The prefill engine has transferred its result and evicts it by itself.
+        // The prefill engine evicts its result by itself after the transfer, so only the decode engine's allocation is
+        // left.
         this.allocations.splice(0, this.allocations.length, allocation);
         this.progress({ attempt: this.id, stage: "transferred", tokens: 0 });
         return scope.stopped === undefined ? undefined : { kind: "stopped" };
     }
 
     /**
-     * Whether this daemon's view is confirmed. A non-idempotent request, which can't be retried, waits for that: otherwise
-     * an election of control daemons would make it fail permanently.
+     * Whether this daemon's view is confirmed. For a non-idempotent request, which can't be retried, waits for the confirmation
+     * for a bounded time: otherwise an election of control daemons would make the request fail permanently.
      */
     private mayTransfer(): Promise<boolean> {
-        const { parts, work } = this.context;
-        return work.run === undefined
-            ? Promise.resolve(parts.control.mayStart())
-            : untilViewConfirmed(parts, this.scope.signal);
+        const { options, request } = this.context;
+        return request.run === undefined
+            ? Promise.resolve(options.control.mayStart())
+            : waitForConfirmedView(options, this.scope.signal);
     }
 
-    /** Asks the placement for another decode engine in place of a full one. Undefined if none has a free slot. */
-    private async moveDecode(source: Announcement, full: Announcement): Promise<Announcement | undefined> {
-        const { parts, written } = this.context;
-        const moved = parts.placement.move({
+    /** Requests another decode engine in place of a full one. Undefined if none has a free slot. */
+    private async moveDecode(source: Announcement, fullEngine: Announcement): Promise<Announcement | undefined> {
+        const { options, written } = this.context;
+        const moveResult = options.placement.move({
             demand: schedulingRequestOf(this.context, this.id, this.avoid),
             prefill: source.id,
-            decode: full.id,
+            decode: fullEngine.id,
             stage: "prefilled",
             tokens: written.tokens,
         });
-        const id = await untilAborted(moved, this.scope.signal, undefined);
-        const other = id === undefined ? undefined : this.readyBackend(id);
-        if (other !== undefined) {
-            this.acquireEngine(other);
+        const id = await untilAborted(moveResult, this.scope.signal, undefined);
+        const replacement = id === undefined ? undefined : this.readyBackend(id);
+        if (replacement !== undefined) {
+            this.acquireEngine(replacement);
         }
-        return other;
+        return replacement;
     }
 
-    /** Bounded for an idempotent request. A prefill that may not be repeated is retried until its engine evicts the result. */
+    /**
+     * Bounded for an idempotent request. The import of a prefill that may not be repeated is retried until the result is
+     * evicted.
+     */
     private createImportBackoff(): ImportBackoff {
-        const { parts, work } = this.context;
-        return work.run === undefined
-            ? ImportBackoff.create(parts.clock.monotonic(), this.importDeadline(), parts.randomness)
-            : ImportBackoff.untilEvicted(work.deadlineAt, parts.randomness);
+        const { options, request } = this.context;
+        return request.run === undefined
+            ? ImportBackoff.create(options.clock.monotonic(), this.importDeadline(), options.randomness)
+            : ImportBackoff.untilEvicted(request.deadlineAt, options.randomness);
     }
 
     /**
-     * Time after which the import isn't retried, in monotonic milliseconds: the first token's target, past which another
+     * Time after which the import isn't retried, in monotonic milliseconds: the first token's target, after which another
      * request makes better use of the slot, or the deadline if the first token was already sent.
      */
     private importDeadline(): number {
-        const { work, written } = this.context;
-        return written.firstAt !== undefined
-            ? work.deadlineAt
-            : Math.min(work.deadlineAt, work.receivedAt + work.targets.firstToken);
+        const { request, written } = this.context;
+        return written.firstTokenAt !== undefined
+            ? request.deadlineAt
+            : Math.min(request.deadlineAt, request.receivedAt + request.targets.firstToken);
     }
 
     private async decode(backend: Announcement): Promise<AttemptEnd> {
@@ -282,40 +298,43 @@
 
     /** Cancels the remaining allocations and reports the end to the placement. `end` is undefined after an internal error. */
     private release(end: AttemptEnd | undefined): void {
-        const { parts, work, written } = this.context;
+        const { options, request, written } = this.context;
         for (const allocation of this.allocations) {
-            parts.cancellations.cancelInBackground(this.id, allocation.backend, allocation.inFlight);
+            options.cancellations.cancelInBackground(this.id, allocation.backend, allocation.inFlight);
         }
         if (end?.kind === "answered") {
             this.progress({ attempt: this.id, stage: "finished", tokens: written.tokens });
             return;
         }
         const stage = end?.kind === "stopped" ? "cancelled" : "failed";
-        // An engine that nothing was sent to has not failed. Reporting it as failed because this daemon's view lags would keep
-        // a new engine idle for seconds, and longer the more daemons lag.
-        // Nor has an engine that was full, or that couldn't import a result that the prefill engine had evicted. Reported as
-        // failed, it would get no work once its slots become free.
+        // An engine to which nothing was sent has not failed. If it were reported as failed because this daemon's view is
+        // behind, a new engine would stay idle for seconds, and longer the more daemons are behind. Neither has an engine
+        // failed that was full, or that couldn't import a result that the prefill engine had evicted: reported as failed,
+        // it would get no work when its slots become free.
         const isEngineFault = end?.kind === "failed" && end.code !== "noBackend" && end.benignRefusal === undefined;
         const failedEngine = isEngineFault ? end.engine : undefined;
         this.progress({ attempt: this.id, stage, tokens: written.tokens, failedEngine });
         if (this.completedPrefill !== undefined) {
             const reason = this.context.scope.stopped ?? (end?.kind === "failed" ? end.code : "internal");
-            const labels = { pool: work.pool, reason };
+            const labels = { pool: request.pool, reason };
             const { answer, milliseconds } = this.completedPrefill;
             const tokens = answer.promptTokens - answer.reusedTokens;
-            parts.metrics.count("basilpaddle_wasted_prefill_tokens_total", labels, tokens);
-            parts.metrics.count("basilpaddle_wasted_prefill_milliseconds_total", labels, milliseconds);
+            options.metrics.count("basilpaddle_wasted_prefill_tokens_total", labels, tokens);
+            options.metrics.count("basilpaddle_wasted_prefill_milliseconds_total", labels, milliseconds);
         }
     }
 
-    /** Aborts the attempt once the engine in use is gone from the view; a silent connection to it would never break by itself. */
-    private checkActiveBackend(view: View): void {
+    /**
+     * Aborts the attempt when the engine in use is no longer in the view: a silent connection to it would never break by
+     * itself.
+     */
+    private abortIfBackendLost(view: View): void {
         if (this.activeBackend === undefined) {
             return;
         }
-        const known = view.backends[this.activeBackend.id];
-        const isCurrent = known !== undefined && known.state !== "gone"
-            && known.announcement.incarnation === this.activeBackend.incarnation;
+        const entry = view.backends[this.activeBackend.id];
+        const isCurrent = entry !== undefined && entry.state !== "gone"
+            && entry.announcement.incarnation === this.activeBackend.incarnation;
         if (!isCurrent) {
             this.scope.end();
         }
@@ -330,20 +349,20 @@
 
     /** The backend server's announcement, if it may be given new work. */
     private readyBackend(id: string): Announcement | undefined {
-        const backend = this.context.parts.control.view().backends[id];
+        const backend = this.context.options.control.view().backends[id];
         if (backend?.state !== "ready") {
             return undefined;
         }
-        const leaving = this.context.parts.marks.isLeaving(id, backend.announcement.incarnation);
+        const leaving = this.context.options.marks.isLeaving(id, backend.announcement.incarnation);
         return leaving ? undefined : backend.announcement;
     }
 
     private engine(backend: Announcement) {
-        return this.context.parts.engines.clientFor(backend.url);
+        return this.context.options.engines.clientFor(backend.url);
     }
 
     private progress(progress: Progress): void {
-        this.context.parts.placement.progress(this.context.work.pool, progress);
+        this.context.options.placement.progress(this.context.request.pool, progress);
     }
 }
 
--- a/packages/basilpaddle/src/node/coordination/request/attemptContext.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attemptContext.ts
@@ -9,7 +9,7 @@
 /** How an attempt ended. */
 export type AttemptEnd =
     | { readonly kind: "answered"; readonly reason: EndReason; }
-    /** The request itself was stopped. */
+    /** The whole request was stopped: see `StopReason`. */
     | { readonly kind: "stopped"; }
     /** No engines were assigned. */
     | { readonly kind: "refused"; readonly refusal: Refusal; }
@@ -25,12 +25,12 @@
 
 /** State that all attempts of one request share. */
 export type AttemptContext = {
-    readonly parts: RequestParts;
-    readonly work: Work;
+    readonly options: RequestParts;
+    readonly request: Work;
     readonly answer: Answer;
     readonly scope: RequestScope;
     readonly lifecycle: Lifecycle;
     readonly outcomeTracker: OutcomeTracker;
     /** Tokens written to the caller so far, by all attempts. */
-    readonly written: { tokens: number; promptTokens: number; firstAt: number | undefined; lastAt: number; };
+    readonly written: { tokens: number; promptTokens: number; firstTokenAt: number | undefined; lastTokenAt: number; };
 };
--- a/packages/basilpaddle/src/node/coordination/request/attemptIds.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attemptIds.ts
@@ -2,9 +2,9 @@
 
 /** Allocates ids for this daemon's attempts, `<daemon>/<incarnation>/<number>`, and tracks which are in progress. */
 export class AttemptIds {
-    private readonly current = new Set<string>();
+    private readonly active = new Set<string>();
     private readonly prefix: string;
-    private last = 0;
+    private lastNumber = 0;
 
     private constructor(owner: Incarnation) {
         this.prefix = `${owner.daemon}/${owner.incarnation}/`;
@@ -15,17 +15,17 @@
     }
 
     begin(): string {
-        const id = `${this.prefix}${++this.last}`;
-        this.current.add(id);
+        const id = `${this.prefix}${++this.lastNumber}`;
+        this.active.add(id);
         return id;
     }
 
     end(id: string): void {
-        this.current.delete(id);
+        this.active.delete(id);
     }
 
-    /** Filters the ids to attempts that belong to this daemon and have ended. */
+    /** Those of the given ids that belong to attempts of this daemon that have ended. */
     ended(ids: readonly string[]): string[] {
-        return ids.filter(id => id.startsWith(this.prefix) && !this.current.has(id));
+        return ids.filter(id => id.startsWith(this.prefix) && !this.active.has(id));
     }
 }
--- a/packages/basilpaddle/src/node/coordination/request/attemptSchedulingRequest.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attemptSchedulingRequest.ts
@@ -1,33 +1,33 @@
 import type { SchedulingRequest } from "../../protocol/index.js";
 import type { AttemptContext } from "./attemptContext.js";
 
-/** Builds the scheduling request of an attempt. Its time limits are what remains of them now, in milliseconds. */
+/** Builds the scheduling request of an attempt. Its time limits are the milliseconds that remain of them now. */
 export function schedulingRequestOf(
     context: AttemptContext,
     attempt: string,
     avoid: readonly string[],
 ): SchedulingRequest {
-    const { parts, work, written } = context;
-    const now = parts.clock.monotonic();
+    const { options, request, written } = context;
+    const now = options.clock.monotonic();
     return {
         attempt,
-        owner: parts.control.session(),
-        pool: work.pool,
-        model: work.generation.model,
-        version: work.generation.version,
-        adapter: work.generation.adapter,
-        organisation: work.organisation,
-        failureDomain: parts.failureDomain,
-        promptTokens: work.promptTokens,
-        maxTokens: work.generation.maxTokens,
-        expectedTokens: work.expectedTokens,
-        prefixes: [...work.prefixes],
-        blockTokens: work.blockTokens,
-        priority: work.generation.priority,
-        firstTokenWithin: work.targets.firstToken - (now - work.receivedAt),
-        deadlineWithin: work.deadlineAt - now,
+        owner: options.control.session(),
+        pool: request.pool,
+        model: request.generation.model,
+        version: request.generation.version,
+        adapter: request.generation.adapter,
+        organisation: request.organisation,
+        failureDomain: options.failureDomain,
+        promptTokens: request.promptTokens,
+        maxTokens: request.generation.maxTokens,
+        expectedTokens: request.expectedTokens,
+        prefixes: [...request.prefixes],
+        blockTokens: request.blockTokens,
+        priority: request.generation.priority,
+        firstTokenWithin: request.targets.firstToken - (now - request.receivedAt),
+        deadlineWithin: request.deadlineAt - now,
         alreadySent: written.tokens,
-        once: work.run !== undefined,
-        avoid: [...avoid, ...parts.marks.leavingInPool(parts.control.view(), work.pool)],
+        once: request.run !== undefined,
+        avoid: [...avoid, ...options.marks.leavingInPool(options.control.view(), request.pool)],
     };
 }
--- a/packages/basilpaddle/src/node/coordination/request/decodeReader.ts
+++ b/packages/basilpaddle/src/node/coordination/request/decodeReader.ts
@@ -12,7 +12,7 @@
 
 type StreamFailure = {
     readonly failure: EngineFailure;
-    /** Whether the engine may still hold the attempt, so that resuming the stream can succeed. */
+    /** Whether the attempt may still be active at the engine, so that resuming the stream can succeed. */
     readonly resumable: boolean;
 };
 type StreamResult = { readonly reason: EndReason; } | StreamFailure;
@@ -58,9 +58,9 @@
                 return this.failAttempt(end.failure);
             }
             lifecycle.send("lose");
-            this.context.parts.metrics.count("basilpaddle_decode_resumes_total", { pool: this.context.work.pool });
+            this.context.options.metrics.count("basilpaddle_decode_resumes_total", { pool: this.context.request.pool });
             await pause(
-                this.context.parts.clock,
+                this.context.options.clock,
                 initialBackoffMilliseconds * 2 ** resumesWithoutProgress,
                 scope.signal,
             );
@@ -72,9 +72,9 @@
     }
 
     private async readStream(): Promise<StreamResult> {
-        const { scope, parts } = this.context;
+        const { scope, options } = this.context;
         this.scope.arm(idleTimeoutMilliseconds);
-        let armedAt = parts.clock.monotonic();
+        let timeoutStartedAt = options.clock.monotonic();
         const { signal } = this.scope;
         const batches = this.engine.decodeBatches(this.attempt, this.nextOffset, signal);
         for await (const batch of eachUntilAborted(batches, signal)) {
@@ -85,7 +85,7 @@
                 const failure = batch.extract();
                 return { failure, resumable: failure.kind === "unknown" && !this.scope.signal.aborted };
             }
-            const now = parts.clock.monotonic();
+            const now = options.clock.monotonic();
             for (const line of batch.extract() as readonly DecodeLine[]) {
                 const end = this.handleLine(line, now);
                 if (end !== undefined) {
@@ -94,11 +94,11 @@
             }
             if (this.backpressure !== undefined) {
                 await this.waitForCaller(this.backpressure);
-                armedAt = parts.clock.monotonic();
+                timeoutStartedAt = options.clock.monotonic();
             }
-            else if (now - armedAt > idleTimeoutMilliseconds / 4) {
+            else if (now - timeoutStartedAt > idleTimeoutMilliseconds / 4) {
                 this.scope.arm(idleTimeoutMilliseconds);
-                armedAt = now;
+                timeoutStartedAt = now;
             }
         }
         return streamFailure("the stream ended without an end line", !this.scope.signal.aborted);
@@ -118,7 +118,8 @@
                 : streamFailure(`the end line has offset ${line.offset}, expected ${expectedOffset}`, false);
         }
         this.nextOffset = Math.max(this.nextOffset, line.offset + 1);
-        // A resumed stream, and that of a later attempt, may repeat tokens that the caller already has; they are skipped.
+        // A resumed stream, or the stream of a later attempt, may repeat tokens that the caller already has; they are
+        // skipped.
         if (line.offset === expectedOffset) {
             this.writeToken(line.text, now);
         }
@@ -126,13 +127,13 @@
     }
 
     private writeToken(text: string, now: number): void {
-        const { written, parts, work } = this.context;
-        if (written.firstAt === undefined) {
-            written.firstAt = now;
-            parts.placement.progress(work.pool, { attempt: this.attempt, stage: "firstToken", tokens: 1 });
+        const { written, options, request } = this.context;
+        if (written.firstTokenAt === undefined) {
+            written.firstTokenAt = now;
+            options.placement.progress(request.pool, { attempt: this.attempt, stage: "firstToken", tokens: 1 });
         }
         written.tokens++;
-        written.lastAt = now;
+        written.lastTokenAt = now;
         this.backpressure = this.context.answer.token(text) ?? this.backpressure;
     }
 
@@ -145,9 +146,9 @@
     }
 
     private canResume(): boolean {
-        const known = this.context.parts.control.view().backends[this.backend.id];
-        return this.backend.abilities.resume && known !== undefined && known.state !== "gone"
-            && known.announcement.incarnation === this.backend.incarnation;
+        const entry = this.context.options.control.view().backends[this.backend.id];
+        return this.backend.abilities.resume && entry !== undefined && entry.state !== "gone"
+            && entry.announcement.incarnation === this.backend.incarnation;
     }
 
     private failAttempt(failure: EngineFailure): AttemptEnd {
--- a/packages/basilpaddle/src/node/coordination/request/driver.ts
+++ b/packages/basilpaddle/src/node/coordination/request/driver.ts
@@ -18,31 +18,39 @@
     shuttingDown: "this daemon shut down before the request ended",
 };
 
-/** Drives one request from its admission to its last byte. Nothing else writes to the request's answer. */
+/** Processes one request from its admission to the last byte of its answer. Nothing else writes to the answer. */
 export class RequestDriver {
     private readonly lifecycle = Lifecycle.create();
     private readonly outcomeTracker = OutcomeTracker.create();
-    private readonly written: AttemptContext["written"] = { tokens: 0, promptTokens: 0, firstAt: undefined, lastAt: 0 };
+    private readonly written: AttemptContext["written"] = {
+        tokens: 0,
+        promptTokens: 0,
+        firstTokenAt: undefined,
+        lastTokenAt: 0,
+    };
     private run: Run | undefined;
 
     private constructor(
-        private readonly parts: RequestParts,
-        private readonly work: Work,
+        private readonly options: RequestParts,
+        private readonly request: Work,
         private readonly answer: Answer,
         private readonly scope: RequestScope,
     ) {}
 
-    /** Drives the request to its end. Never rejects. By then, all resources of the request are released or being released. */
-    static async drive(parts: RequestParts, work: Work, answer: Answer, scope: RequestScope): Promise<RequestEnd> {
-        const driver = new RequestDriver(parts, work, answer, scope);
-        const remaining = work.deadlineAt - parts.clock.monotonic();
-        const disarm = parts.clock.after(Math.max(0, remaining), () => scope.stop("deadlineExceeded"));
+    /**
+     * Processes the request to its end. Never rejects. At the end, all resources of the request are released or being
+     * released.
+     */
+    static async drive(options: RequestParts, request: Work, answer: Answer, scope: RequestScope): Promise<RequestEnd> {
+        const driver = new RequestDriver(options, request, answer, scope);
+        const remaining = request.deadlineAt - options.clock.monotonic();
+        const disarm = options.clock.after(Math.max(0, remaining), () => scope.stop("deadlineExceeded"));
         try {
             return await driver.drive();
         }
         catch (failure) {
-            parts.logger.error("request failed with an internal error", {
-                request: work.requestId,
+            options.logger.error("request failed with an internal error", {
+                request: request.requestId,
                 failure: String(failure),
             });
             const refusal = driver.refusal("internal", "a fault of this daemon");
@@ -55,8 +63,8 @@
 
     private async drive(): Promise<RequestEnd> {
         this.lifecycle.send("admit");
-        this.parts.retryBudget.deposit();
-        if (!this.parts.control.mayStart()) {
+        this.options.retryBudget.deposit();
+        if (!this.options.control.mayStart()) {
             return this.refuse(
                 this.refusal("viewExpired", "this daemon's view is not confirmed", retryAfterFailureMilliseconds),
             );
@@ -65,9 +73,9 @@
         if (quarantined !== undefined) {
             return this.refuse(quarantined);
         }
-        if (this.work.run !== undefined) {
-            const remaining = this.work.deadlineAt - this.parts.clock.monotonic();
-            const start = await this.parts.runRecords.start(this.work.run, remaining);
+        if (this.request.run !== undefined) {
+            const remaining = this.request.deadlineAt - this.options.clock.monotonic();
+            const start = await this.options.runRecords.start(this.request.run, remaining);
             if (start.kind === "replayed") {
                 this.lifecycle.send("replay");
                 return start;
@@ -82,7 +90,7 @@
             end = await this.runAttempts();
         }
         catch (failure) {
-            // An internal error must not leave the run's record as "running".
+            // After an internal error the run's record must not remain in state "running".
             await this.recordRunEnd();
             throw failure;
         }
@@ -90,8 +98,8 @@
     }
 
     private async runAttempts(): Promise<AttemptEnd> {
-        const { parts, work, answer, scope, lifecycle, outcomeTracker, written } = this;
-        const context: AttemptContext = { parts, work, answer, scope, lifecycle, outcomeTracker, written };
+        const { options, request, answer, scope, lifecycle, outcomeTracker, written } = this;
+        const context: AttemptContext = { options, request, answer, scope, lifecycle, outcomeTracker, written };
         const avoid: string[] = [];
         for (let attempt = 1;; attempt++) {
             if (scope.stopped !== undefined) {
@@ -102,14 +110,14 @@
                 return { kind: "refused", refusal: quarantined };
             }
             const tokensBeforeAttempt = written.tokens;
-            const backends = parts.control.view().backends;
+            const backends = options.control.view().backends;
             const end = await Attempt.run(context, avoid);
             this.reportAttemptEnd(end, backends, written.tokens === tokensBeforeAttempt);
             if (end.kind !== "failed" || !this.mayRetry(end, attempt)) {
                 return end;
             }
-            parts.metrics.count("basilpaddle_retries_total", { pool: work.pool, code: end.code });
-            parts.logger.warn("attempt failed; retrying", { request: work.requestId, message: end.message });
+            options.metrics.count("basilpaddle_retries_total", { pool: request.pool, code: end.code });
+            options.logger.warn("attempt failed; retrying", { request: request.requestId, message: end.message });
             avoid.push(end.engine as string);
             lifecycle.send("retry");
         }
@@ -117,19 +125,19 @@
 
     /** The refusal if the request is quarantined. Its outcome also covers earlier attempts of this request. */
     private checkQuarantine(): Refusal | undefined {
-        const refusal = quarantineRefusal(this.parts.crashDetector, this.requestIdentity(), this.parts.logger);
+        const refusal = quarantineRefusal(this.options.crashDetector, this.requestIdentity(), this.options.logger);
         return refusal && { ...refusal, outcome: this.outcomeTracker.outcome };
     }
 
     /** Reports to the crash detector an engine that failed during the attempt, or an answer, which clears earlier crashes. */
     private reportAttemptEnd(end: AttemptEnd, backends: View["backends"], isEarly: boolean): void {
         if (end.kind === "answered") {
-            this.parts.crashDetector.reportAnswered(this.requestIdentity());
+            this.options.crashDetector.reportAnswered(this.requestIdentity());
             return;
         }
         const engine = end.kind === "failed" && end.code === "backendFailed" ? backends[end.engine ?? ""] : undefined;
         if (engine !== undefined) {
-            void this.parts.crashDetector.reportLostRun(
+            void this.options.crashDetector.reportLostRun(
                 this.requestIdentity(),
                 backendIncarnationOf(engine.announcement),
                 isEarly ? "early" : "late",
@@ -138,18 +146,18 @@
     }
 
     private requestIdentity(): RequestAttempt {
-        return { digest: this.work.digest, attempt: this.work.requestId };
+        return { digest: this.request.digest, attempt: this.request.requestId };
     }
 
-    /** Whether to retry. A non-idempotent request is retried only if it is proven that no backend server ran any part of it. */
+    /** Whether to retry. A non-idempotent request is retried only if provably no backend server ran any part of it. */
     private mayRetry(end: Extract<AttemptEnd, { kind: "failed"; }>, attempt: number): boolean {
         if (end.engine === undefined || this.scope.stopped !== undefined || attempt >= maxAttempts) {
             return false;
         }
-        if (this.work.run !== undefined && this.outcomeTracker.outcome !== "notRun") {
+        if (this.request.run !== undefined && this.outcomeTracker.outcome !== "notRun") {
             return false;
         }
-        return this.parts.retryBudget.tryWithdraw();
+        return this.options.retryBudget.tryWithdraw();
     }
 
     private async end(end: AttemptEnd): Promise<RequestEnd> {
@@ -163,7 +171,7 @@
         if (end.kind === "refused") {
             return this.refuse({ ...end.refusal, outcome: this.outcomeTracker.outcome });
         }
-        const retryAfter = this.work.run === undefined || this.outcomeTracker.outcome === "notRun"
+        const retryAfter = this.request.run === undefined || this.outcomeTracker.outcome === "notRun"
             ? retryAfterFailureMilliseconds
             : undefined;
         return this.refuse(this.refusal(end.code, end.message, retryAfter));
@@ -173,8 +181,8 @@
         const { tokens, promptTokens } = this.written;
         const end = { reason, tokens, promptTokens };
         if (this.run !== undefined) {
-            const recorded = this.parts.runRecords.finish(this.run, "answered", this.answer.kept(end));
-            await untilAborted(recorded, this.scope.signal, undefined);
+            const recording = this.options.runRecords.finish(this.run, "answered", this.answer.kept(end));
+            await untilAborted(recording, this.scope.signal, undefined);
         }
         if (this.scope.stopped === "callerGone") {
             this.lifecycle.send("cancel");
@@ -204,10 +212,10 @@
         }
         this.run = undefined;
         if (this.outcomeTracker.outcome === "notRun") {
-            await this.parts.runRecords.release(run);
+            await this.options.runRecords.release(run);
             return;
         }
-        await this.parts.runRecords.finish(run, this.outcomeTracker.outcome, undefined);
+        await this.options.runRecords.finish(run, this.outcomeTracker.outcome, undefined);
     }
 
     private refuse(refusal: Refusal): RequestEnd {
@@ -218,8 +226,8 @@
     }
 
     private countRefusal(refusal: Refusal): RequestEnd {
-        this.parts.metrics.count("basilpaddle_refusals_total", {
-            pool: this.work.pool,
+        this.options.metrics.count("basilpaddle_refusals_total", {
+            pool: this.request.pool,
             code: refusal.code,
             outcome: refusal.outcome,
         });
@@ -231,18 +239,18 @@
     }
 
     private recordMetrics(tokens: number): void {
-        const { work, written, parts } = this;
-        const labels = { pool: work.pool };
-        const firstToken = (written.firstAt ?? parts.clock.monotonic()) - work.receivedAt;
-        const perToken = tokens > 1 ? (written.lastAt - (written.firstAt ?? 0)) / (tokens - 1) : 0;
-        const result = firstToken > work.targets.firstToken
+        const { request, written, options } = this;
+        const labels = { pool: request.pool };
+        const firstToken = (written.firstTokenAt ?? options.clock.monotonic()) - request.receivedAt;
+        const perToken = tokens > 1 ? (written.lastTokenAt - (written.firstTokenAt ?? 0)) / (tokens - 1) : 0;
+        const result = firstToken > request.targets.firstToken
             ? "lateFirstToken"
-            : perToken > work.targets.perToken
+            : perToken > request.targets.perToken
             ? "slowTokens"
             : "good";
-        parts.metrics.observe("basilpaddle_first_token_milliseconds", firstToken, labels);
-        parts.metrics.observe("basilpaddle_per_token_milliseconds", perToken, labels);
-        parts.metrics.count("basilpaddle_answers_total", { ...labels, result });
-        parts.metrics.count("basilpaddle_tokens_total", labels, tokens);
+        options.metrics.observe("basilpaddle_first_token_milliseconds", firstToken, labels);
+        options.metrics.observe("basilpaddle_per_token_milliseconds", perToken, labels);
+        options.metrics.count("basilpaddle_answers_total", { ...labels, result });
+        options.metrics.count("basilpaddle_tokens_total", labels, tokens);
     }
 }
--- a/packages/basilpaddle/src/node/coordination/request/importBackoff.ts
+++ b/packages/basilpaddle/src/node/coordination/request/importBackoff.ts
@@ -17,12 +17,15 @@
         private readonly isUnbounded: boolean,
     ) {}
 
-    /** Both times are monotonic milliseconds; after `latest`, the import is of no use to the answer. */
+    /** Times in monotonic milliseconds. After `latest` the import is useless to the answer. */
     static create(prefilledAt: number, latest: number, randomness: Randomness): ImportBackoff {
         return new ImportBackoff(Math.min(prefilledAt + resultRetentionMilliseconds, latest), randomness, false);
     }
 
-    /** For a prefill that may not be repeated: retries until `latest`, or until its engine reports that it evicted the result. */
+    /**
+     * For a prefill that may not be repeated: retries until `latest`. The caller stops when the engine reports the
+     * eviction.
+     */
     static untilEvicted(latest: number, randomness: Randomness): ImportBackoff {
         return new ImportBackoff(latest, randomness, true);
     }
--- a/packages/basilpaddle/src/node/coordination/request/leavingBackends.ts
+++ b/packages/basilpaddle/src/node/coordination/request/leavingBackends.ts
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Removes marks that the view reflects, so that their number stays bounded. The state `draining` doesn't count: a backend
-     * server that drains because of an order may become ready again, and its mark must still be there then.
+     * Removes the marks that the view already reflects, so that their number stays bounded. The state `draining` doesn't count:
+     * a backend server that drains because of an order may become ready again, and then its mark is still needed.
      */
     removeReflected(view: View): void {
         for (const [id, incarnation] of this.leaving) {
--- a/packages/basilpaddle/src/node/coordination/request/lifecycle.ts
+++ b/packages/basilpaddle/src/node/coordination/request/lifecycle.ts
@@ -76,12 +76,12 @@
 
 /** The state after the event; undefined if the event isn't allowed in that state. */
 export function nextState(state: RequestState, event: RequestEvent): RequestState | undefined {
-    const name = `${state} ${event}`;
-    if (!transitionCache.has(name)) {
+    const key = `${state} ${event}`;
+    if (!transitionCache.has(key)) {
         const [next] = transition(machine, machine.resolveState({ value: state }), { type: event });
-        transitionCache.set(name, next.value === state ? undefined : next.value as RequestState);
+        transitionCache.set(key, next.value === state ? undefined : next.value as RequestState);
     }
-    return transitionCache.get(name);
+    return transitionCache.get(key);
 }
 
 /** Tracks the state of one request. */
--- a/packages/basilpaddle/src/node/coordination/request/parts.ts
+++ b/packages/basilpaddle/src/node/coordination/request/parts.ts
@@ -9,7 +9,7 @@
 import type { RetryBudget } from "./retryBudget.js";
 import type { RunRecords } from "./run.js";
 
-/** Dependencies and state that all requests of one daemon share. */
+/** Services and state that all requests of one daemon share. */
 export type RequestParts = {
     readonly failureDomain: string;
     readonly control: ControlClient;
--- a/packages/basilpaddle/src/node/coordination/request/run.ts
+++ b/packages/basilpaddle/src/node/coordination/request/run.ts
@@ -5,7 +5,7 @@
 import { pause } from "./scope.js";
 
 const startTimeoutMilliseconds = 3_000;
-/** How long a caller's answer waits for its end to be recorded. */
+/** Time for which the end of a caller's answer is delayed until the run's end is recorded. */
 const finishTimeoutMilliseconds = 2_000;
 const initialBackoffMilliseconds = 100;
 const maxBackoffMilliseconds = 5_000;
@@ -25,8 +25,8 @@
     | { readonly kind: "replayed"; readonly answer: StoredAnswer; }
     | { readonly kind: "refused"; readonly refusal: Refusal; };
 
-/** Dependencies of `RunRecords`. */
-export type RunRecordParts = {
+/** Options of `RunRecords`. */
+export type RunRecordOptions = {
     readonly control: ControlClient;
     readonly clock: Clock;
     readonly randomness: Randomness;
@@ -48,34 +48,37 @@
     private readonly stopController = new AbortController();
     private pending = 0;
 
-    private constructor(private readonly parts: RunRecordParts) {}
+    private constructor(private readonly options: RunRecordOptions) {}
 
-    static create(parts: RunRecordParts): RunRecords {
-        return new RunRecords(parts);
+    static create(options: RunRecordOptions): RunRecords {
+        return new RunRecords(options);
     }
 
-    /** Number of proposed records of run ends that no quorum has decided yet. */
+    /** Number of records of run ends that were proposed and are not known to be committed yet. */
     get undecided(): number {
         return this.pending;
     }
 
-    /** Records the run's start, timeout in milliseconds. Nothing may be sent to a backend server before this gives `started`. */
+    /**
+     * Records the run's start, timeout in milliseconds. Nothing may be sent to a backend server before the result is
+     * `started`.
+     */
     async start(identity: RunIdentity, timeout: number): Promise<RunStart> {
-        const run = { ...identity, token: this.parts.randomness.identifier() };
+        const run = { ...identity, token: this.options.randomness.identifier() };
         const command: Command = {
             kind: "startRun",
             ...run,
-            owner: this.parts.control.session(),
-            at: this.parts.clock.wall(),
+            owner: this.options.control.session(),
+            at: this.options.clock.wall(),
         };
-        const proposed = await this.parts.control.propose(
+        const proposed = await this.options.control.propose(
             command,
             Math.max(1, Math.min(startTimeoutMilliseconds, timeout)),
         );
         return proposed.caseOf<RunStart>({
             Left: undecided => {
-                // The record may still be committed. Nothing was run, so its release is proposed until that is decided;
-                // otherwise the caller's key would be refused as "in progress" until the record expires.
+                // The record may still be committed. Nothing was run, so its release is proposed until a quorum decides it;
+                // otherwise requests with the caller's key would be refused as "in progress" until the record expires.
                 this.retryInBackground(this.releaseCommand(run));
                 return refused(
                     "noQuorum",
@@ -88,7 +91,7 @@
         });
     }
 
-    /** Records how the run ended. If that isn't decided in time, resolves and keeps retrying in the background. */
+    /** Records how the run ended. If no quorum decides that in time, resolves and retries in the background. */
     async finish(run: Run, result: "answered" | Outcome, answer: StoredAnswer | undefined): Promise<void> {
         const storedAnswer = answer !== undefined && answer.body.length <= maxStoredAnswerBytes ? answer : undefined;
         await this.recordEnd({
@@ -97,7 +100,7 @@
             token: run.token,
             result,
             answer: storedAnswer,
-            at: this.parts.clock.wall(),
+            at: this.options.clock.wall(),
         });
     }
 
@@ -111,14 +114,14 @@
     }
 
     private releaseCommand(run: Run): Command {
-        return { kind: "releaseRun", key: run.key, token: run.token, at: this.parts.clock.wall() };
+        return { kind: "releaseRun", key: run.key, token: run.token, at: this.options.clock.wall() };
     }
 
-    /** Waits until no record is undecided, for at most the given milliseconds. Returns how many are left. */
+    /** Waits until no record is undecided, for at most `timeout` milliseconds. Returns the number of undecided ones. */
     async drain(timeout: number): Promise<number> {
-        const end = this.parts.clock.monotonic() + timeout;
-        while (this.pending > 0 && this.parts.clock.monotonic() < end) {
-            await pause(this.parts.clock, 20);
+        const deadline = this.options.clock.monotonic() + timeout;
+        while (this.pending > 0 && this.options.clock.monotonic() < deadline) {
+            await pause(this.options.clock, 20);
         }
         return this.pending;
     }
@@ -134,18 +137,21 @@
 
     private async proposeOnce(command: Command): Promise<boolean> {
         try {
-            return (await this.parts.control.propose(command, finishTimeoutMilliseconds)).isRight();
+            return (await this.options.control.propose(command, finishTimeoutMilliseconds)).isRight();
         }
         catch (failure) {
-            this.parts.logger.error("proposing a run record failed", { kind: command.kind, failure: String(failure) });
+            this.options.logger.error("proposing a run record failed", {
+                kind: command.kind,
+                failure: String(failure),
+            });
             return false;
         }
     }
 
     private retryInBackground(command: Command): void {
         if (this.pending >= maxPendingRecords) {
-            this.parts.metrics.count("basilpaddle_run_records_dropped_total");
-            this.parts.logger.error("too many undecided run records; dropping one, which stays until it expires", {
+            this.options.metrics.count("basilpaddle_run_records_dropped_total");
+            this.options.logger.error("too many undecided run records; dropping one, which stays until it expires", {
                 kind: command.kind,
             });
             return;
@@ -162,8 +168,8 @@
         let backoff = initialBackoffMilliseconds;
         while (!this.stopController.signal.aborted) {
             await pause(
-                this.parts.clock,
-                backoff * (0.5 + this.parts.randomness.fraction()),
+                this.options.clock,
+                backoff * (0.5 + this.options.randomness.fraction()),
                 this.stopController.signal,
             );
             if (await this.proposeOnce(command)) {
@@ -174,7 +180,7 @@
     }
 
     private updateGauge(): void {
-        this.parts.metrics.gauge("basilpaddle_run_records_undecided", this.pending);
+        this.options.metrics.gauge("basilpaddle_run_records_undecided", this.pending);
     }
 }
 
@@ -195,7 +201,10 @@
     return refused("internal", "notRun", `unexpected result of recording the run: ${result.kind}`);
 }
 
-/** For a run that is recorded already, the outcome is that of the run, whichever request asks. */
+/**
+ * For a run that is already recorded: its answer, or a refusal with the outcome of the run instead of that of this
+ * request.
+ */
 function startOfKnownRun(known: Extract<CommandResult, { kind: "known"; }>): RunStart {
     if (!known.sameDigest) {
         return refused("keyReused", "notRun", "the idempotency key was already used with a different request body");
--- a/packages/basilpaddle/src/node/coordination/request/scope.ts
+++ b/packages/basilpaddle/src/node/coordination/request/scope.ts
@@ -4,7 +4,10 @@
 /** Why a request is stopped before its end. */
 export type StopReason = Extract<RefusalCode, "callerGone" | "deadlineExceeded" | "shuttingDown">;
 
-/** Cancellation scope of one request. It is stopped at most once, for one reason; its signal aborts all pending work. */
+/**
+ * Cancellation scope of one request. It is stopped at most once, with one reason; its signal then aborts all pending
+ * calls.
+ */
 export class RequestScope {
     private readonly controller = new AbortController();
     private stopReason: StopReason | undefined;
@@ -33,11 +36,11 @@
 /** Cancellation scope of one attempt. It is aborted with its request, or by itself when a stage times out. */
 export class AttemptScope {
     private readonly controller = new AbortController();
-    private readonly endAttempt = () => this.end();
+    private readonly abortAttempt = () => this.end();
     private cancelTimer: (() => void) | undefined;
 
     private constructor(private readonly request: RequestScope, private readonly clock: Clock) {
-        request.signal.addEventListener("abort", this.endAttempt, { once: true });
+        request.signal.addEventListener("abort", this.abortAttempt, { once: true });
         if (request.stopped !== undefined) {
             this.controller.abort();
         }
@@ -51,10 +54,10 @@
         return this.controller.signal;
     }
 
-    /** Starts a timeout in milliseconds that aborts the attempt; replaces the previous one. `disarm` cancels it. */
+    /** Starts a timeout in milliseconds that aborts the attempt. Replaces the previous timeout. `disarm` cancels it. */
     arm(milliseconds: number): void {
         this.disarm();
-        this.cancelTimer = this.clock.after(milliseconds, this.endAttempt);
+        this.cancelTimer = this.clock.after(milliseconds, this.abortAttempt);
     }
 
     /** Aborts the attempt without stopping its request. */
@@ -69,7 +72,7 @@
 
     close(): void {
         this.disarm();
-        this.request.signal.removeEventListener("abort", this.endAttempt);
+        this.request.signal.removeEventListener("abort", this.abortAttempt);
     }
 }
 
@@ -80,9 +83,9 @@
         return Promise.resolve(fallback);
     }
     return new Promise((resolve, reject) => {
-        const abort = () => resolve(fallback);
-        signal.addEventListener("abort", abort, { once: true });
-        promise.then(resolve, reject).finally(() => signal.removeEventListener("abort", abort));
+        const handleAbort = () => resolve(fallback);
+        signal.addEventListener("abort", handleAbort, { once: true });
+        promise.then(resolve, reject).finally(() => signal.removeEventListener("abort", handleAbort));
     });
 }
 
@@ -90,11 +93,14 @@
  * Yields the items until the iteration ends or the signal aborts. Without this, an engine client that ignores the signal
  * would block its request for as long as the engine sends nothing.
  */
-export async function* eachUntilAborted<Item>(items: AsyncIterable<Item>, signal: AbortSignal): AsyncGenerator<Item> {
-    const iterator = items[Symbol.asyncIterator]();
+export async function* eachUntilAborted<Item>(
+    iterable: AsyncIterable<Item>,
+    signal: AbortSignal,
+): AsyncGenerator<Item> {
+    const iterator = iterable[Symbol.asyncIterator]();
     let settleNext: (result: IteratorResult<Item> | undefined) => void = () => undefined;
-    const abort = () => settleNext(undefined);
-    signal.addEventListener("abort", abort, { once: true });
+    const handleAbort = () => settleNext(undefined);
+    signal.addEventListener("abort", handleAbort, { once: true });
     try {
         while (!signal.aborted) {
             const result = await new Promise<IteratorResult<Item> | undefined>((resolve, reject) => {
@@ -108,7 +114,7 @@
         }
     }
     finally {
-        signal.removeEventListener("abort", abort);
+        signal.removeEventListener("abort", handleAbort);
         // Not awaited: an async generator's return() settles only after its pending next(), which may never settle.
         iterator.return?.().catch(() => undefined);
     }
--- a/packages/basilpaddle/src/node/coordination/request/viewWaits.ts
+++ b/packages/basilpaddle/src/node/coordination/request/viewWaits.ts
@@ -1,39 +1,42 @@
 import type { RequestParts } from "./parts.js";
 import { pause } from "./scope.js";
 
-/** How long to wait for engines that are in the scheduler's view but not yet in this daemon's view. */
+/** Maximum wait for engines that are in the scheduler's view but not yet in this daemon's view. */
 const maxViewLagMilliseconds = 1_000;
-/** How long to wait for the view to be confirmed, which an election of control daemons delays. */
+/** Maximum wait for the confirmation of the view, which an election of control daemons delays. */
 const maxElectionMilliseconds = 1_000;
 /** Interval at which the confirmation is polled. */
 const confirmationPollMilliseconds = 25;
 
-type Parts = Pick<RequestParts, "clock" | "control">;
+type ViewWaitOptions = Pick<RequestParts, "clock" | "control">;
 
-/** Waits until the view contains the engines, for a bounded time: they may be gone if the view is ahead of the scheduler's. */
-export async function untilEnginesKnown(
-    { control, clock }: Parts,
+/**
+ * Waits until the view contains the engines. The wait is bounded: if the view is newer than the scheduler's, the engines may
+ * have been removed already.
+ */
+export async function waitForEngines(
+    { control, clock }: ViewWaitOptions,
     ids: readonly string[],
     signal: AbortSignal,
 ): Promise<void> {
-    const isBehind = (): boolean => ids.some(id => (control.view().backends[id]?.state ?? "gone") === "gone");
-    if (!isBehind()) {
+    const isAnyMissing = (): boolean => ids.some(id => (control.view().backends[id]?.state ?? "gone") === "gone");
+    if (!isAnyMissing()) {
         return;
     }
-    const caughtUpController = new AbortController();
+    const foundController = new AbortController();
     const unsubscribe = control.onView(() => {
-        if (!isBehind()) {
-            caughtUpController.abort();
+        if (!isAnyMissing()) {
+            foundController.abort();
         }
     });
-    await pause(clock, maxViewLagMilliseconds, AbortSignal.any([caughtUpController.signal, signal]));
+    await pause(clock, maxViewLagMilliseconds, AbortSignal.any([foundController.signal, signal]));
     unsubscribe();
 }
 
-/** Waits until this daemon's view is confirmed, for at most the duration of an election. Returns whether it is. */
-export async function untilViewConfirmed({ control, clock }: Parts, signal: AbortSignal): Promise<boolean> {
-    const until = clock.monotonic() + maxElectionMilliseconds;
-    while (!control.mayStart() && clock.monotonic() < until && !signal.aborted) {
+/** Waits until this daemon's view is confirmed, for at most `maxElectionMilliseconds`. Returns whether it is confirmed. */
+export async function waitForConfirmedView({ control, clock }: ViewWaitOptions, signal: AbortSignal): Promise<boolean> {
+    const deadline = clock.monotonic() + maxElectionMilliseconds;
+    while (!control.mayStart() && clock.monotonic() < deadline && !signal.aborted) {
         await pause(clock, confirmationPollMilliseconds, signal);
     }
     return control.mayStart();
