--- a/packages/basilpaddle/src/node/coordination/engine/__tests__/decodeCall.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/__tests__/decodeCall.spec.ts
@@ -7,7 +7,7 @@
 import type { EngineFailure } from "../engine.js";
 import type { EngineLimits } from "../engineLimits.js";
 import { HttpEngine } from "../httpEngine.js";
-import { answer, HostileServer, streamHead } from "./hostileServer.js";
+import { answer, RawTcpServer, streamHead } from "./rawTcpServer.js";
 
 const neverAborted = new AbortController().signal;
 
@@ -28,14 +28,14 @@
 }
 
 describe("a decode stream", () => {
-    let server: HostileServer;
+    let server: RawTcpServer;
     let engine: HttpEngine;
 
     async function startServer(
         handleConnection: (socket: Socket) => void,
         limits: Partial<EngineLimits> = {},
     ): Promise<void> {
-        server = await HostileServer.create(({ socket }) => handleConnection(socket));
+        server = await RawTcpServer.create(({ socket }) => handleConnection(socket));
         engine = HttpEngine.create(server.url, limits);
     }
 
@@ -121,29 +121,29 @@
         // memory grows until the host kills it with all of its streams.
         const total = 150_000;
         let sent = 0;
-        let stalled = () => {};
+        let resolveStalled = () => {};
         const stalledPromise = new Promise<void>(resolve => {
-            stalled = resolve;
+            resolveStalled = resolve;
         });
         await startServer(socket => {
             socket.write(streamHead);
-            const more = () => {
+            const writeMore = () => {
                 while (sent < total) {
                     const lines = Array.from({ length: 100 }, (_, n) => token(sent + n, "x".repeat(100)));
                     sent += 100;
                     if (!socket.write(encodeLines(...lines))) {
-                        const timer = setTimeout(stalled, 100);
+                        const timer = setTimeout(resolveStalled, 100);
                         socket.once("drain", () => {
                             clearTimeout(timer);
-                            more();
+                            writeMore();
                         });
                         return;
                     }
                 }
-                stalled();
+                resolveStalled();
                 socket.end(encodeLines(end(total)));
             };
-            more();
+            writeMore();
         });
         let next = 0;
         for await (const batch of engine.decodeBatches("a", 0, neverAborted)) {
@@ -169,10 +169,10 @@
                 const bytes = Buffer.from(encodeLines(...expected));
                 const parser = DecodeLineParser.create(1_000_000);
                 const seen: DecodeLine[] = [];
-                for (let start = 0, turn = 0; start < bytes.length; turn++) {
-                    const size = 1 + sizes[turn % sizes.length]!;
-                    const { lines, fault } = parser.push(bytes.subarray(start, start + size));
-                    expect(fault).to.equal(undefined);
+                for (let start = 0, chunkIndex = 0; start < bytes.length; chunkIndex++) {
+                    const size = 1 + sizes[chunkIndex % sizes.length]!;
+                    const { lines, error } = parser.push(bytes.subarray(start, start + size));
+                    expect(error).to.equal(undefined);
                     seen.push(...lines);
                     start += size;
                 }
--- a/packages/basilpaddle/src/node/coordination/engine/__tests__/httpEngine.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/__tests__/httpEngine.spec.ts
@@ -5,7 +5,7 @@
 import type { EngineFailure } from "../engine.js";
 import type { EngineLimits } from "../engineLimits.js";
 import { HttpEngine } from "../httpEngine.js";
-import { answer, HostileServer, type ServedRequest } from "./hostileServer.js";
+import { answer, RawTcpServer, type ServedRequest } from "./rawTcpServer.js";
 
 const generation = { model: "m", prompt: "p", maxTokens: 5, priority: 100, sampling: {} };
 const neverAborted = new AbortController().signal;
@@ -13,14 +13,14 @@
 const refusal = { notRun: true, code: "full", message: "no slot" };
 
 describe("a call to an engine", () => {
-    let server: HostileServer | undefined;
+    let server: RawTcpServer | undefined;
     let engine: HttpEngine;
 
     async function startServer(
         handleRequest: (request: ServedRequest) => void,
         limits: Partial<EngineLimits> = {},
     ): Promise<void> {
-        server = await HostileServer.create(handleRequest);
+        server = await RawTcpServer.create(handleRequest);
         engine = HttpEngine.create(server.url, limits);
     }
 
@@ -35,11 +35,11 @@
     });
 
     it("to a port without a listener is not run", async () => {
-        const closed = createServer().listen(0, "127.0.0.1");
-        await once(closed, "listening");
-        engine = HttpEngine.create(`http://127.0.0.1:${(closed.address() as { port: number; }).port}`);
-        closed.close();
-        await once(closed, "close");
+        const listener = createServer().listen(0, "127.0.0.1");
+        await once(listener, "listening");
+        engine = HttpEngine.create(`http://127.0.0.1:${(listener.address() as { port: number; }).port}`);
+        listener.close();
+        await once(listener, "close");
         expect((await failureOfPrefill()).kind).to.equal("notRun");
     });
 
@@ -102,7 +102,7 @@
             }
         });
         const answers = await Promise.all(["a", "b", "c"].map(name => engine.prefill(name, generation, neverAborted)));
-        expect(answers.every(one => one.isRight())).to.equal(true);
+        expect(answers.every(result => result.isRight())).to.equal(true);
         expect(server!.connections).to.equal(3);
     });
 
@@ -144,8 +144,8 @@
 
     it("whose answer doesn't end is aborted at the size limit", async () => {
         await startServer(({ socket }) => {
-            const more = () => socket.write("x".repeat(1_000), error => error ? undefined : more());
-            socket.write("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n", more);
+            const writeMore = () => socket.write("x".repeat(1_000), error => error ? undefined : writeMore());
+            socket.write("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n", writeMore);
         }, { answerBytes: 5_000 });
         expect((await failureOfPrefill()).kind).to.equal("unknown");
     });
--- a/packages/basilpaddle/src/node/coordination/engine/__tests__/hostileServer.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/__tests__/rawTcpServer.ts
@@ -5,7 +5,7 @@
 export type ServedRequest = { readonly socket: Socket; readonly connection: number; readonly request: number; };
 
 /** A TCP server whose handler writes to the raw socket, so that it can violate HTTP or break the connection. */
-export class HostileServer {
+export class RawTcpServer {
     connections = 0;
     requests = 0;
     readonly closings: Promise<unknown>[] = [];
@@ -13,13 +13,13 @@
 
     private constructor(private readonly server: Server) {}
 
-    static async create(handle: (request: ServedRequest) => void): Promise<HostileServer> {
+    static async create(handle: (request: ServedRequest) => void): Promise<RawTcpServer> {
         const server = createServer();
-        const hostile = new HostileServer(server);
-        server.on("connection", socket => hostile.accept(socket, handle));
+        const rawServer = new RawTcpServer(server);
+        server.on("connection", socket => rawServer.accept(socket, handle));
         server.listen(0, "127.0.0.1");
         await once(server, "listening");
-        return hostile;
+        return rawServer;
     }
 
     get url(): string {
--- a/packages/basilpaddle/src/node/coordination/engine/decodeCall.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/decodeCall.ts
@@ -30,12 +30,12 @@
         return new DecodeCall(clock, limits);
     }
 
-    /** Yields the lines in batches, then the failure if there is one. Ending the iteration early aborts the request. */
+    /** Yields the lines in batches, then the failure if the call failed. Ending the iteration early aborts the call. */
     async *batches(): AsyncGenerator<Either<EngineFailure, readonly DecodeLine[]>, void> {
         try {
             for (;;) {
                 if (this.bufferedLines.length > 0) {
-                    yield Right(this.takeBufferedLines());
+                    yield Right(this.drainBufferedLines());
                 }
                 else if (this.hasEnded()) {
                     if (this.failure !== undefined) {
@@ -61,7 +61,8 @@
     override onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
         this.lastChunkAt = this.clock.monotonic();
         if (this.hasEnded()) {
-            // Data follows the end of the answer, so the connection must not be reused for another request.
+            // The engine sent more data after the end of the answer, so the connection must not be reused for another
+            // request.
             controller.abort(new Error("received data after the end of the answer"));
             return;
         }
@@ -74,7 +75,7 @@
 
     override onResponseEnd(): void {
         if (this.status !== 200) {
-            this.failAs(failureFromResponse(this.status, Buffer.concat(this.refusalChunks).toString()));
+            this.failWith(failureFromResponse(this.status, Buffer.concat(this.refusalChunks).toString()));
             return;
         }
         this.fail(
@@ -102,10 +103,10 @@
     }
 
     private bufferLines(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-        const { lines, fault } = this.parser.push(chunk);
+        const { lines, error } = this.parser.push(chunk);
         for (const line of lines) {
             if (line.kind === "error") {
-                this.failAs({ kind: "failed", code: undefined, message: line.message });
+                this.failWith({ kind: "failed", code: undefined, message: line.message });
                 return;
             }
             this.bufferedLines.push(line);
@@ -115,8 +116,8 @@
                 return;
             }
         }
-        if (fault !== undefined) {
-            this.fail(fault);
+        if (error !== undefined) {
+            this.fail(error);
             return;
         }
         this.applyBackpressure(controller, chunk.length);
@@ -125,7 +126,10 @@
         }
     }
 
-    /** Stops reading when a slow caller lets the buffer grow beyond its limit; TCP flow control then slows the engine down. */
+    /**
+     * Pauses reading when the buffer exceeds its limit because the caller is slow; TCP flow control then slows the engine
+     * down.
+     */
     private applyBackpressure(controller: Dispatcher.DispatchController, bytes: number): void {
         this.bufferedBytes += bytes;
         if (this.bufferedBytes > this.limits.waitingBytes && this.pausedController === undefined) {
@@ -134,15 +138,15 @@
         }
     }
 
-    private takeBufferedLines(): readonly DecodeLine[] {
+    private drainBufferedLines(): readonly DecodeLine[] {
         const lines = this.bufferedLines;
         this.bufferedLines = [];
         this.bufferedBytes = 0;
-        const paused = this.pausedController;
-        if (paused !== undefined) {
+        const controller = this.pausedController;
+        if (controller !== undefined) {
             this.pausedController = undefined;
             this.lastChunkAt = this.clock.monotonic();
-            paused.resume();
+            controller.resume();
         }
         return lines;
     }
--- a/packages/basilpaddle/src/node/coordination/engine/decodeLineParser.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/decodeLineParser.ts
@@ -3,14 +3,14 @@
 const newline = 0x0a;
 const endReasons: ReadonlySet<unknown> = new Set(["stop", "length"]);
 
-/** The lines that one chunk of a stream completes; `fault` says why parsing stopped after them, if it did. */
-export type LineBatch = { readonly lines: DecodeLine[]; readonly fault: string | undefined; };
+/** The lines that one chunk of a stream completes. `error` is set if parsing stopped after them, and says why. */
+export type LineBatch = { readonly lines: DecodeLine[]; readonly error: string | undefined; };
 
 function isOffset(value: unknown): value is number {
     return Number.isSafeInteger(value) && (value as number) >= 0;
 }
 
-/** Validated by hand: there is one line per token, and zod takes several times as long as parsing such a line. */
+/** Validates without zod: there is one line per token, and zod takes several times as long as parsing such a line. */
 function isDecodeLine(value: unknown): value is DecodeLine {
     if (typeof value !== "object" || !value) {
         return false;
@@ -53,19 +53,19 @@
             this.appendPartial(chunk);
             return {
                 lines: [],
-                fault: this.partialLineBytes > this.maxLineBytes
+                error: this.partialLineBytes > this.maxLineBytes
                     ? "line in the decode stream exceeds the size limit"
                     : undefined,
             };
         }
         this.appendPartial(chunk.subarray(0, lastNewline));
-        const whole = this.partialLine.length === 1 ? this.partialLine[0]! : Buffer.concat(this.partialLine);
+        const completeLines = this.partialLine.length === 1 ? this.partialLine[0]! : Buffer.concat(this.partialLine);
         this.partialLine = [];
         this.partialLineBytes = 0;
         if (lastNewline + 1 < chunk.length) {
             this.appendPartial(chunk.subarray(lastNewline + 1));
         }
-        return this.parse(whole.toString());
+        return this.parse(completeLines.toString());
     }
 
     /** Number of buffered bytes of an incomplete line. */
@@ -83,10 +83,10 @@
         for (const lineText of text.split("\n")) {
             const line = parseLine(lineText);
             if (line === undefined) {
-                return { lines, fault: `invalid line in the decode stream: ${lineText.slice(0, 200)}` };
+                return { lines, error: `invalid line in the decode stream: ${lineText.slice(0, 200)}` };
             }
             lines.push(line);
         }
-        return { lines, fault: undefined };
+        return { lines, error: undefined };
     }
 }
--- a/packages/basilpaddle/src/node/coordination/engine/engine.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/engine.ts
@@ -12,9 +12,9 @@
 /** Why a call to an engine failed. */
 export type EngineFailure = {
     /**
-     * `notRun`: nothing was sent, or the engine provably refused; it holds nothing for the attempt.
+     * `notRun`: nothing was sent, or the engine provably refused the call; nothing is allocated to the attempt there.
      * `failed`: the engine executed the call and reported that it failed.
-     * `unknown`: the connection broke or the call timed out; it may have been executed, and the engine may still hold memory.
+     * `unknown`: the connection broke or the call timed out; the call may have been executed, and memory may still be allocated.
      */
     readonly kind: "notRun" | "failed" | "unknown";
     /** Code of the engine's refusal, if it sent one. */
@@ -31,7 +31,7 @@
         signal: AbortSignal,
     ): Promise<Either<EngineFailure, PrefillAnswer>>;
 
-    /** Makes the engine fetch the KV cache from the prefill engine; it holds a decode slot from then on. */
+    /** Allocates a decode slot to the attempt, and makes the engine fetch the KV cache from the prefill engine. */
     abstract import(
         attempt: string,
         source: { readonly url: string; readonly handle: string; },
@@ -39,7 +39,10 @@
         signal: AbortSignal,
     ): Promise<Either<EngineFailure, { readonly bytes: number; }>>;
 
-    /** Streams the answer from the offset up to a line of kind `end`. A stream that ends without one yields a failure last. */
+    /**
+     * Streams the answer from the offset to a line of kind `end`. If the stream ends without one, a failure is yielded
+     * last.
+     */
     abstract decode(
         attempt: string,
         offset: number,
@@ -60,7 +63,7 @@
         }
     }
 
-    /** Releases everything that the attempt holds. Certain only once the engine has confirmed it. */
+    /** Cancels the attempt and releases everything allocated to it. Certain only after the engine has confirmed it. */
     abstract cancel(attempt: string, timeout: number): Promise<Either<EngineFailure, { readonly released: boolean; }>>;
 
     /** Fetches the engine's load report. */
--- a/packages/basilpaddle/src/node/coordination/engine/engineFailure.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/engineFailure.ts
@@ -3,15 +3,15 @@
 
 const maxMessageLength = 500;
 
-/** Statuses that an intermediary may send without knowing whether the engine executed the request. */
+/** Statuses that a proxy may send without knowing whether the engine executed the request. */
 const gatewayStatuses: ReadonlySet<number> = new Set([502, 503, 504]);
 
-/** The failure of a call of which nothing was sent, so that nothing runs. */
+/** The failure of a call of which no byte was sent, so that the engine can't have executed it. */
 export function notSent(message: string): EngineFailure {
     return { kind: "notRun", code: undefined, message };
 }
 
-/** The failure of a call that may have been sent and whose answer proves nothing. */
+/** The failure of a call that may have been executed: it may have been sent, and no answer proves the opposite. */
 export function unknownOutcome(message: string): EngineFailure {
     return { kind: "unknown", code: undefined, message };
 }
@@ -29,7 +29,7 @@
 /**
  * Maps a complete response with a status other than 200 to a failure.
  *
- * Only a refusal body proves that nothing ran: an intermediary may also send a bare 503 after the engine has started.
+ * Only a refusal body proves that nothing was run: a proxy may send a 503 without one after the engine has started.
  * Treating that as "not run" would run the request twice, and the caller could get two answers.
  */
 export function failureFromResponse(status: number, body: string): EngineFailure {
--- a/packages/basilpaddle/src/node/coordination/engine/engineHttpCall.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/engineHttpCall.ts
@@ -7,7 +7,7 @@
 export abstract class EngineHttpCall implements Dispatcher.DispatchHandler {
     private controller: Dispatcher.DispatchController | undefined;
     private cancelTimer: (() => void) | undefined;
-    private stopListening: (() => void) | undefined;
+    private unsubscribe: (() => void) | undefined;
     private ended = false;
     private readonly createdAt: number;
 
@@ -28,15 +28,16 @@
 
     /** undici calls this right before it writes the first byte; a failure before this call proves that nothing was sent. */
     onRequestStart(controller: Dispatcher.DispatchController): void {
-        // A second start means that undici resends the request by itself; a late one comes after the call was reported as not
-        // run. Both would execute the request without the caller's knowledge. Aborting here sends nothing.
+        // A second start means that undici resends the request by itself; a start after the end means that the call was
+        // already reported as not run. Both would execute the request without the caller's knowledge. Aborting here sends
+        // nothing.
         if (this.ended || this.controller !== undefined) {
             controller.abort(new Error("the request has already ended or been started"));
             return;
         }
-        // A process that resumes from a freeze handles its connections before its timers. A request that was waiting for its
-        // connection would be sent now, long after the caller lost the right to send it: its lease may have expired, or the
-        // next holder may have sent a conflicting order. So the elapsed time is checked here as well.
+        // A process that resumes after a freeze handles its connections before its timers. A request that was waiting for a
+        // connection would be sent now, although the caller may no longer send it: its lease may have expired, or the next
+        // holder may have sent a conflicting order. So the elapsed time is checked here as well.
         if (this.elapsed() > this.connectTimeoutMilliseconds) {
             this.fail("connecting to the engine timed out");
             controller.abort(new Error("connecting to the engine timed out"));
@@ -59,7 +60,7 @@
 
     /** Fails the call: `notRun` if no byte can have been sent, otherwise `unknown`. */
     fail(message: string): void {
-        this.failAs(this.controller === undefined ? notSent(message) : unknownOutcome(message));
+        this.failWith(this.controller === undefined ? notSent(message) : unknownOutcome(message));
     }
 
     /** Called before the first byte is written. */
@@ -68,7 +69,7 @@
     /** Delivers the failure to the caller. Called at most once, and not after `finish`. */
     protected abstract failed(failure: EngineFailure): void;
 
-    protected failAs(failure: EngineFailure): void {
+    protected failWith(failure: EngineFailure): void {
         if (this.finish()) {
             this.controller?.abort(new Error(failure.message));
             this.failed(failure);
@@ -82,7 +83,7 @@
         }
         this.ended = true;
         this.cancelTimer?.();
-        this.stopListening?.();
+        this.unsubscribe?.();
         return true;
     }
 
@@ -110,8 +111,8 @@
         if (signal === undefined) {
             return;
         }
-        const abort = () => this.fail("the caller cancelled the call");
-        signal.addEventListener("abort", abort, { once: true });
-        this.stopListening = () => signal.removeEventListener("abort", abort);
+        const handleAbort = () => this.fail("the caller cancelled the call");
+        signal.addEventListener("abort", handleAbort, { once: true });
+        this.unsubscribe = () => signal.removeEventListener("abort", handleAbort);
     }
 }
--- a/packages/basilpaddle/src/node/coordination/engine/engineLimits.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/engineLimits.ts
@@ -1,16 +1,16 @@
 /** Limits of calls to an engine, in milliseconds and bytes. undici's own timeouts are disabled, so only these apply. */
 export type EngineLimits = {
-    /** Timeout for connecting. When it expires, nothing was sent. @default 1000 */
+    /** Timeout for connecting. When it expires, nothing has been sent. @default 1000 */
     readonly connect: number;
     /** Timeout of a prefill, from the call to the complete answer. @default 60000 */
     readonly prefill: number;
     /** Timeout of an import, which ends a stalled transfer. @default 10000 */
     readonly import: number;
-    /** Longest time between two chunks of a decode stream, and before the first. @default 20000 */
+    /** Maximum time between two chunks of a decode stream, and before the first. @default 20000 */
     readonly decodeIdle: number;
-    /** A connection that was idle for longer is not reused. @default 1000 */
+    /** Maximum idle time after which a connection may still be reused. @default 1000 */
     readonly keepAlive: number;
-    /** Size limit of a complete answer and of one line of a stream. @default 4194304 */
+    /** Maximum size of a complete answer and of one line of a stream. @default 4194304 */
     readonly answerBytes: number;
     /** Bytes of a stream that are buffered for the caller before reading from the engine pauses. @default 262144 */
     readonly waitingBytes: number;
--- a/packages/basilpaddle/src/node/coordination/engine/httpEngine.ts
+++ b/packages/basilpaddle/src/node/coordination/engine/httpEngine.ts
@@ -28,9 +28,9 @@
 /**
  * Client of an engine that implements the protocol of docs/wire-engines.md. It never sends a request twice.
  *
- * A request sent on a kept-alive connection that the engine is just closing fails after its first byte, so its outcome is
- * unknown although it never ran. Therefore a connection carries one request at a time, and is closed on this side after
- * being idle for `keepAlive`, well before the five seconds that the protocol requires of the engine.
+ * A request sent on a keep-alive connection that the engine is closing at that moment fails after its first byte, so its
+ * outcome is unknown although it never ran. Therefore a connection carries one request at a time and is closed on this side
+ * after being idle for `keepAlive`, well before the five seconds for which the protocol requires the engine to keep it open.
  */
 export class HttpEngine extends Engine {
     private constructor(
@@ -44,9 +44,9 @@
 
     /** Creates a client for the URL that the engine announced. Connects on first use. */
     static create(url: string, limits: Partial<EngineLimits> = {}, clock: Clock = SystemClock.create()): HttpEngine {
-        const resolved = resolveEngineLimits(limits);
+        const resolvedLimits = resolveEngineLimits(limits);
         const { origin, pathname } = new URL(url);
-        return new HttpEngine(createPool(origin, resolved), pathname.replace(/\/$/, ""), clock, resolved);
+        return new HttpEngine(createPool(origin, resolvedLimits), pathname.replace(/\/$/, ""), clock, resolvedLimits);
     }
 
     override prefill(
