--- a/packages/basilpaddle/src/node/coordination/supervisor/__tests__/supervisor.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/__tests__/supervisor.spec.ts
@@ -42,11 +42,11 @@
     }
 
     /** Advances the time in steps, with heartbeats of the given daemons in each; returns the commands of the last step. */
-    pass(milliseconds: number, ...heard: readonly string[]): readonly Command[] {
+    pass(milliseconds: number, ...daemons: readonly string[]): readonly Command[] {
         let last: readonly Command[] = [];
         for (const end = this.now + milliseconds; this.now < end;) {
             this.now += stepInterval;
-            this.recordHeartbeats(...heard);
+            this.recordHeartbeats(...daemons);
             last = this.step();
         }
         return last;
@@ -155,8 +155,8 @@
     });
 
     it("expires run records by the leader's monotonic time, not by wall clocks", () => {
-        // Guards against a notice that is sent twice: a leader whose wall clock is a year ahead, or whose process just started,
-        // expired a fresh record before its key was retried, because the age of records was measured by wall clocks.
+        // Guards against running a request twice: a leader whose wall clock is a year ahead, or whose process just started,
+        // expired a fresh record before the request was retried, because the age of records was measured by wall clocks.
         const bench = new Bench();
         bench.wall = 365 * 24 * 3_600_000;
         bench.ledger.apply(1, commands.start("k", "t"));
--- a/packages/basilpaddle/src/node/coordination/supervisor/appliedIndexHistory.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/appliedIndexHistory.ts
@@ -4,18 +4,18 @@
 type Sample = { readonly applied: number; readonly at: number; };
 
 /**
- * Samples the applied log index over time, to find the index up to which entries are older than a retention time on this
- * daemon's monotonic clock. By wall clocks, a leader whose clock is hours ahead would delete run records too early, and a
- * run that may happen only once would happen twice. Time counts from the daemon's start: a restart makes records live
- * longer, never shorter.
+ * Samples the applied log index over time, to find the index up to which entries are older than a retention time by this
+ * daemon's monotonic clock. With wall clocks, a leader whose clock is hours ahead would delete run records too early, and a
+ * request that may run only once could run twice. Time is measured from the daemon's start, so that a restart prolongs the
+ * retention of records and never shortens it.
  */
 export class AppliedIndexHistory {
-    /** At most one sample per interval of the retention time, plus two: the newest expired one, and the newest of all. */
+    /** At most one sample per interval within the retention time, plus the newest one older than it and the latest one. */
     private samples: Sample[] = [];
 
     private constructor(private readonly retentionMilliseconds: number) {}
 
-    /** Keeps samples for the given retention time in monotonic milliseconds. */
+    /** `retentionMilliseconds`: age in monotonic milliseconds up to which samples are kept. */
     static create(retentionMilliseconds: number): AppliedIndexHistory {
         return new AppliedIndexHistory(retentionMilliseconds);
     }
@@ -27,8 +27,8 @@
             return;
         }
         this.samples.push({ applied, at: now });
-        const lastExpired = this.samples.findLastIndex(({ at }) => now - at >= this.retentionMilliseconds);
-        this.samples = this.samples.slice(Math.max(0, lastExpired));
+        const newestExpired = this.samples.findLastIndex(({ at }) => now - at >= this.retentionMilliseconds);
+        this.samples = this.samples.slice(Math.max(0, newestExpired));
     }
 
     /** The index that had been applied one retention time ago; undefined while no sample is that old. */
--- a/packages/basilpaddle/src/node/coordination/supervisor/leaseCommands.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/leaseCommands.ts
@@ -1,7 +1,7 @@
 import { createHash } from "node:crypto";
 import { type Command, type Incarnation, ordersLease, schedulerLease, type View } from "../../protocol/index.js";
 
-/** Names of all leases that some daemon should hold. */
+/** Names of all leases that must have a holder. */
 export function requiredLeases(view: View): readonly string[] {
     return [ordersLease, ...Object.keys(view.configuration.declaration.pools).map(schedulerLease)];
 }
@@ -28,9 +28,9 @@
 
 /** Commands that release the scheduler leases of pools that are no longer declared. */
 export function leaseReleases(view: View, at: number): Command[] {
-    const required = new Set(requiredLeases(view));
+    const requiredNames = new Set(requiredLeases(view));
     return Object.entries(view.leases)
-        .filter(([lease]) => !required.has(lease))
+        .filter(([lease]) => !requiredNames.has(lease))
         .map(([lease, { holder }]) => ({ kind: "releaseLease", lease, holder, at }));
 }
 
@@ -39,16 +39,16 @@
     candidates: readonly Incarnation[],
     leaseCounts: ReadonlyMap<string, number>,
 ): Incarnation | undefined {
-    const fewest = Math.min(...candidates.map(candidate => leaseCounts.get(candidate.daemon)!));
+    const minLeaseCount = Math.min(...candidates.map(candidate => leaseCounts.get(candidate.daemon)!));
     return candidates
-        .filter(candidate => leaseCounts.get(candidate.daemon) === fewest)
-        .map(candidate => ({ candidate, weight: weightOf(lease, candidate.daemon) }))
+        .filter(candidate => leaseCounts.get(candidate.daemon) === minLeaseCount)
+        .map(candidate => ({ candidate, weight: tieBreakHash(lease, candidate.daemon) }))
         .reduce<{ candidate: Incarnation; weight: string; } | undefined>(
-            (best, next) => (best === undefined || next.weight > best.weight ? next : best),
+            (best, other) => (best === undefined || other.weight > best.weight ? other : best),
             undefined,
         )?.candidate;
 }
 
-function weightOf(lease: string, daemon: string): string {
+function tieBreakHash(lease: string, daemon: string): string {
     return createHash("sha1").update(`${lease}\n${daemon}`).digest("hex");
 }
--- a/packages/basilpaddle/src/node/coordination/supervisor/livenessTable.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/livenessTable.ts
@@ -3,7 +3,7 @@
 /** Progress that an entry daemon reported in its last request, and the monotonic milliseconds at which it arrived. */
 export type SessionHeartbeat = { readonly applied: number; readonly revision: number; readonly heardAt: number; };
 
-/** Entry daemons and backend servers that sent heartbeats to a control daemon, for relaying to the leader. */
+/** Entry daemons and backend servers whose heartbeats a control daemon received and forwards to the leader. */
 export type LivenessReport = {
     readonly sessions: { readonly session: Incarnation; readonly applied: number; readonly revision: number; }[];
     readonly renewals: { readonly id: string; readonly incarnation: number; }[];
@@ -27,15 +27,15 @@
     /** Records a heartbeat of an entry daemon. Its progress never decreases, even if heartbeats arrive out of order. */
     recordSession(session: Incarnation, progress: Omit<SessionHeartbeat, "heardAt">, now: number): void {
         const key = sessionKey(session);
-        const earlier = this.sessions.get(key);
+        const previous = this.sessions.get(key);
         this.sessions.set(key, {
-            applied: Math.max(progress.applied, earlier?.applied ?? 0),
-            revision: Math.max(progress.revision, earlier?.revision ?? 0),
+            applied: Math.max(progress.applied, previous?.applied ?? 0),
+            revision: Math.max(progress.revision, previous?.revision ?? 0),
             heardAt: now,
         });
     }
 
-    /** Records that a backend server renewed its announcement at some entry daemon. */
+    /** Records that a backend server renewed its announcement with an entry daemon. */
     recordBackend(id: string, incarnation: number, now: number): void {
         this.backends.set(backendKey(id, incarnation), now);
     }
@@ -56,23 +56,25 @@
             .filter(([, heartbeat]) => heartbeat.heardAt > since)
             .map(([key, { applied, revision }]) => ({ session: sessionOf(key), applied, revision }));
         const renewals = [...this.backends]
-            .filter(([, heardAt]) => heardAt > since)
+            .filter(([, receivedAt]) => receivedAt > since)
             .map(([key]) => backendOf(key));
         return { sessions, renewals };
     }
 
-    /** Removes entries from before the given time once there are many: each restart leaves a key behind. */
-    prune(before: number): void {
+    /**
+     * Removes entries older than the given time if there are many. Each restart of a daemon or backend server adds a key.
+     */
+    prune(olderThan: number): void {
         if (this.sessions.size > pruneThreshold) {
             for (const [key, heartbeat] of this.sessions) {
-                if (heartbeat.heardAt < before) {
+                if (heartbeat.heardAt < olderThan) {
                     this.sessions.delete(key);
                 }
             }
         }
         if (this.backends.size > pruneThreshold) {
-            for (const [key, heardAt] of this.backends) {
-                if (heardAt < before) {
+            for (const [key, receivedAt] of this.backends) {
+                if (receivedAt < olderThan) {
                     this.backends.delete(key);
                 }
             }
--- a/packages/basilpaddle/src/node/coordination/supervisor/silenceDetector.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/silenceDetector.ts
@@ -1,4 +1,7 @@
-/** Finds keys without a heartbeat for a timeout, counted at the earliest from when the detector first saw the key. */
+/**
+ * Finds keys without a heartbeat for a timeout. Time counts from the last heartbeat, but not from before the first check
+ * of the key.
+ */
 export class SilenceDetector {
     private firstSeen = new Map<string, number>();
 
@@ -6,7 +9,7 @@
         return new SilenceDetector();
     }
 
-    /** Discards the start times, so that every key gets a full timeout from the next check on. */
+    /** Discards the times of the first checks, so that every key gets a full timeout from the next check on. */
     reset(): void {
         this.firstSeen.clear();
     }
@@ -19,10 +22,10 @@
     ): ReadonlySet<string> {
         const nextFirstSeen = new Map<string, number>();
         const silent = new Set<string>();
-        for (const [key, heardAt] of lastHeartbeats) {
-            const startedAt = this.firstSeen.get(key) ?? now;
-            nextFirstSeen.set(key, startedAt);
-            if (now - Math.max(startedAt, heardAt ?? startedAt) >= timeout) {
+        for (const [key, receivedAt] of lastHeartbeats) {
+            const measuredSince = this.firstSeen.get(key) ?? now;
+            nextFirstSeen.set(key, measuredSince);
+            if (now - Math.max(measuredSince, receivedAt ?? measuredSince) >= timeout) {
                 silent.add(key);
             }
         }
--- a/packages/basilpaddle/src/node/coordination/supervisor/supervisor.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/supervisor.ts
@@ -24,9 +24,12 @@
 const expiryIntervalMilliseconds = 5_000;
 /** Fraction of the session timeout within which a daemon must have sent a heartbeat to be granted a lease. */
 const candidateTimeoutFraction = 0.5;
-/** If the time between two steps exceeds this fraction of the shorter timeout, silence is measured anew. */
-const pauseTimeoutFraction = 0.5;
-/** Fraction of the open sessions that must be alive for the silence of backend servers to be meaningful. */
+/** If the time between two steps exceeds this fraction of the shorter timeout, the measurement of silence restarts. */
+const gapTimeoutFraction = 0.5;
+/**
+ * Fraction of the open sessions with recent heartbeats that is required to treat the silence of backend servers as their
+ * end.
+ */
 const requiredSessionFraction = 0.5;
 
 /**
@@ -38,8 +41,8 @@
     private readonly backendSilence = SilenceDetector.create();
     private readonly appliedHistory = AppliedIndexHistory.create(runRecordRetentionMilliseconds);
     private observedLeadingSince: number | undefined;
-    private lastStep = Number.NEGATIVE_INFINITY;
-    private lastExpiry = Number.NEGATIVE_INFINITY;
+    private lastStepAt = Number.NEGATIVE_INFINITY;
+    private lastExpiryAt = Number.NEGATIVE_INFINITY;
 
     private constructor(
         private readonly name: string,
@@ -65,12 +68,12 @@
             this.observedLeadingSince = undefined;
             return [];
         }
-        this.restartAfterGap(leadingSince, now);
-        this.lastStep = now;
+        this.restartSilenceAfterGap(leadingSince, now);
+        this.lastStepAt = now;
         const silent = this.silentSessions(view, now);
         return [
             ...silent.map((session): Command => ({ kind: "closeSession", session, reason: "silent", at: wall })),
-            ...this.goneBackendCommands(view, now, wall),
+            ...this.lostBackendCommands(view, now, wall),
             ...leaseReleases(view, wall),
             ...leaseGrants(view, this.candidates(view, silent, now), wall),
             ...this.runExpiryCommands(input),
@@ -79,13 +82,13 @@
 
     /**
      * Restarts the measurement of silence after an election or a pause of this process: a new leader, or one that was frozen,
-     * has missed heartbeats for reasons of its own. Otherwise its first step would close every session and mark every backend
-     * server as gone, and the whole deployment would stop.
+     * received no heartbeats meanwhile although they were sent. Otherwise its first step would close every session and mark
+     * every backend server as gone, and the whole deployment would stop.
      */
-    private restartAfterGap(leadingSince: number, now: number): void {
+    private restartSilenceAfterGap(leadingSince: number, now: number): void {
         const { sessionTimeout, backendTimeout } = this.timing;
-        const paused = now - this.lastStep > pauseTimeoutFraction * Math.min(sessionTimeout, backendTimeout);
-        if (paused || this.observedLeadingSince !== leadingSince) {
+        const hadGap = now - this.lastStepAt > gapTimeoutFraction * Math.min(sessionTimeout, backendTimeout);
+        if (hadGap || this.observedLeadingSince !== leadingSince) {
             this.sessionSilence.reset();
             this.backendSilence.reset();
             this.observedLeadingSince = leadingSince;
@@ -99,45 +102,45 @@
         return sessions.filter(session => silent.has(sessionKey(session)));
     }
 
-    private goneBackendCommands(view: View, now: number, at: number): Command[] {
-        // Heartbeats of backend servers arrive through entry daemons. A leader that is partitioned from most entry daemons would
-        // mistake that silence for the end of backend servers that are still serving.
+    private lostBackendCommands(view: View, now: number, at: number): Command[] {
+        // Entry daemons forward the heartbeats of backend servers. A leader that is partitioned from most entry daemons
+        // receives none, although the backend servers are still serving.
         if (!this.receivesFromMostSessions(view, now)) {
             this.backendSilence.reset();
         }
-        const present = Object.values(view.backends)
+        const listed = Object.values(view.backends)
             .filter(({ state }) => state !== "gone")
             .map(({ announcement }) => announcement);
         const lastHeartbeats = new Map(
-            present.map(({ id, incarnation }) => [backendKey(id, incarnation), this.liveness.backend(id, incarnation)]),
+            listed.map(({ id, incarnation }) => [backendKey(id, incarnation), this.liveness.backend(id, incarnation)]),
         );
         const silent = this.backendSilence.silentKeys(lastHeartbeats, this.timing.backendTimeout, now);
-        return present
+        return listed
             .filter(({ id, incarnation }) => silent.has(backendKey(id, incarnation)))
             .map(({ id, incarnation }) => ({ kind: "markBackend", id, incarnation, mark: "gone", by: this.name, at }));
     }
 
     private receivesFromMostSessions(view: View, now: number): boolean {
-        const open = Object.keys(view.sessions).length;
-        return open > 0 && this.candidates(view, [], now).length >= requiredSessionFraction * open;
+        const openCount = Object.keys(view.sessions).length;
+        return openCount > 0 && this.candidates(view, [], now).length >= requiredSessionFraction * openCount;
     }
 
     private candidates(view: View, silent: readonly Incarnation[], now: number): Incarnation[] {
-        const closing = new Set(silent.map(sessionKey));
+        const closingSessions = new Set(silent.map(sessionKey));
         const earliestHeartbeat = now - candidateTimeoutFraction * this.timing.sessionTimeout;
         return Object.values(view.sessions)
             .map(({ session }) => session)
-            .filter(session => !closing.has(sessionKey(session)))
+            .filter(session => !closingSessions.has(sessionKey(session)))
             .filter(session =>
                 (this.liveness.session(session)?.heardAt ?? Number.NEGATIVE_INFINITY) >= earliestHeartbeat
             );
     }
 
     private runExpiryCommands({ now, wall, hasRunsUpTo }: SupervisorInput): Command[] {
-        if (now - this.lastExpiry < expiryIntervalMilliseconds) {
+        if (now - this.lastExpiryAt < expiryIntervalMilliseconds) {
             return [];
         }
-        this.lastExpiry = now;
+        this.lastExpiryAt = now;
         const upTo = this.appliedHistory.appliedBeforeRetention(now);
         return upTo !== undefined && hasRunsUpTo(upTo) ? [{ kind: "expireRuns", upTo, at: wall }] : [];
     }
