--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/quiescence.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/quiescence.spec.ts
@@ -14,11 +14,11 @@
 /** Quiescence of a decode engine by round, from the active attempts at it and at a prefill engine; undefined: not read. */
 function quiescenceByRound(
     rounds: readonly { readonly prefill?: string[]; readonly decode?: string[]; }[],
-    from = settle,
+    startAt = settle,
 ) {
-    let wait: QuiescenceWait | undefined = { since: 0, waitingFor: undefined };
+    let wait: QuiescenceWait | undefined = { firstSeenAt: 0, waitingFor: undefined };
     return rounds.map(({ prefill, decode }, index) => {
-        const now = from + index * 1_000;
+        const now = startAt + index * 1_000;
         const engine = observed("decode-0", "decode", now, decode);
         const activity = PoolActivity.create([observed("prefill-0", "prefill", now, prefill), engine]);
         wait = advanceQuiescence(wait, engine, activity, now, settle);
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/reconciler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/reconciler.spec.ts
@@ -28,7 +28,7 @@
 });
 
 /** Whether an order of the previous holder that is delayed by almost an order timeout aborts a request. */
-function abortsAfterHandover(seed: number, wait: number): boolean {
+function abortsAfterHandover(seed: number, waitTime: number): boolean {
     const rules = { ...limits, checksFence: false, faults: 0 };
     const world = new World(pool(), 6, SeededRandomness.create(seed), rules);
     const { prefill, decode } = world.copies();
@@ -47,7 +47,7 @@
     }
     // The change is no longer required, so that the next holder returns the engine to placement at once.
     world.declared = pool({ models, copies: { prefill, decode } });
-    world.pass(wait);
+    world.pass(waitTime);
     const next = new Holder(world, 20);
     for (let round = 0; round < 10; round++) {
         next.round();
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/steps.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/steps.spec.ts
@@ -18,10 +18,10 @@
     models = [current],
     state: Partial<EngineState> = {},
 ): EngineSample {
-    return { announcement: announce(id, { role, models, abilities: able }), state: { role, ...state } };
+    return { announcement: announce(id, { role, models, abilities }), state: { role, ...state } };
 }
 
-const able = { ...announce("x").abilities, changesRole: true };
+const abilities = { ...announce("x").abilities, changesRole: true };
 
 function stateOf({ announcement, state }: EngineSample): EngineState {
     const models = announcement.models.map(model => ({ ...model, phase: "warm" as const, loadingAdapters: [] }));
@@ -114,10 +114,14 @@
     });
 
     it("keeps an engine's last version until a declared one is warm there", () => {
-        const behind = [engine("p-0", "prefill", both), engine("d-0", "decode", both), engine("d-1", "decode", [old])];
+        const enginesWithOldVersion = [
+            engine("p-0", "prefill", both),
+            engine("d-0", "decode", both),
+            engine("d-1", "decode", [old]),
+        ];
         const models = [{ ...current, phase: "loading" as const, loadingAdapters: [] }];
         const loading = ["d-2", "d-3"].map(id => engine(id, "decode", [], { models }));
-        const actions = summarize(new StaticPool(wantsDecode, [...behind, ...loading]).rounds(6));
+        const actions = summarize(new StaticPool(wantsDecode, [...enginesWithOldVersion, ...loading]).rounds(6));
         expect(actions).to.include("unload d-0").and.not.include("unload d-1").and.not.include("load d-1");
     });
 
--- a/packages/basilpaddle/src/node/coordination/orders/orderOutcome.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderOutcome.ts
@@ -2,10 +2,10 @@
 import type { ObservedEngine, OpenOrder, OrderOutcome } from "./orderState.js";
 
 /**
- * The outcome of an open order that a reading proves; undefined if it proves nothing yet.
+ * The outcome of an open order as proven by a reading of its engine; undefined if the reading doesn't prove one yet.
  *
- * After a lost answer the outcome is derived from the engine's state. Resending the order instead would, at an engine that
- * doesn't deduplicate by order identifier, load a model twice or abort running requests a second time.
+ * If the answer was lost, the outcome is derived from the engine's state. If the order were sent again instead, an engine that
+ * doesn't deduplicate by order identifier would load a model twice or abort running requests a second time.
  */
 export function outcomeFromReading(open: OpenOrder, engine: ObservedEngine | undefined): OrderOutcome | undefined {
     if (engine === undefined || engine.announcement.incarnation !== open.incarnation) {
--- a/packages/basilpaddle/src/node/coordination/orders/orderService.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderService.ts
@@ -6,8 +6,8 @@
 import type { OpenOrder, OrderLimits } from "./orderState.js";
 import { OrderTerm } from "./orderTerm.js";
 
-/** Dependencies and settings of the order service. */
-export type OrderServiceParts = {
+/** Options of the order service. */
+export type OrderServiceOptions = {
     readonly control: ControlClient;
     /** Creates the client of an engine; the service owns it and closes it. */
     readonly engineAt: (url: string) => Engine;
@@ -34,26 +34,29 @@
     private currentRound: Promise<void> = Promise.resolve();
     private closed = false;
 
-    private constructor(private readonly parts: OrderServiceParts) {
-        const settle = parts.timing.viewLease * (1 + parts.timing.clockDrift);
-        this.limits = Object.freeze({ ...defaultLimits, ...parts.limits, settle });
-        this.interval = parts.interval ?? defaultIntervalMilliseconds;
-        this.engines = EngineClients.create(parts.engineAt);
-        this.unsubscribe = parts.control.onView(() => this.handleViewChange());
+    private constructor(private readonly options: OrderServiceOptions) {
+        const settle = options.timing.viewLease * (1 + options.timing.clockDrift);
+        this.limits = Object.freeze({ ...defaultLimits, ...options.limits, settle });
+        this.interval = options.interval ?? defaultIntervalMilliseconds;
+        this.engines = EngineClients.create(options.engineAt);
+        this.unsubscribe = options.control.onView(() => this.handleViewChange());
         this.handleViewChange();
     }
 
     /** Watches the view and starts a term when this daemon acquires the orders lease. */
-    static create(parts: OrderServiceParts): OrderService {
-        return new OrderService(parts);
+    static create(options: OrderServiceOptions): OrderService {
+        return new OrderService(options);
     }
 
-    /** Orders of this daemon whose outcome is not known yet. */
+    /** Orders sent by this daemon whose outcome is not known yet. */
     openOrders(): readonly OpenOrder[] {
         return this.term?.openOrders() ?? [];
     }
 
-    /** Starts no further orders and waits for those already sent: at most half the order timeout, plus their audit records. */
+    /**
+     * Sends no further orders, and waits for those already sent: at most half the order timeout, plus their audit
+     * records.
+     */
     async close(): Promise<void> {
         this.closed = true;
         this.unsubscribe();
@@ -76,25 +79,25 @@
     }
 
     /**
-     * Starts a term after a wait. The previous holder may consider its lease valid for one more view lease, and an order
-     * that it sends at the end of that may take effect until an order timeout later. Engines that don't check fencing
-     * numbers would execute the orders of both daemons, so not even their state is read before then.
+     * Starts a term after a delay. The previous holder may consider its lease valid for one more view lease, and an order that
+     * it sends at the end of that time may take effect up to one order timeout later. Engines that don't check fencing numbers
+     * would execute the orders of both daemons, so not even their state is read before the delay has passed.
      */
     private beginTerm(fence: number): void {
         const term = OrderTerm.create(fence, {
-            ...this.parts,
+            ...this.options,
             engines: this.engines,
             limits: this.limits,
             mayOrder: () => this.mayOrder(fence),
         });
         const initialDelay = this.limits.settle + this.limits.orderTimeout;
-        this.parts.logger.info("acquired the orders lease", { fence, firstOrderIn: initialDelay });
+        this.options.logger.info("acquired the orders lease", { fence, firstOrderIn: initialDelay });
         this.term = term;
         this.schedule(term, initialDelay);
     }
 
     private schedule(term: OrderTerm, milliseconds: number): void {
-        this.cancelTimer = this.parts.clock.after(milliseconds, () => {
+        this.cancelTimer = this.options.clock.after(milliseconds, () => {
             this.currentRound = this.round(term);
         });
     }
@@ -105,8 +108,8 @@
             await this.engines.closeUnused(this.currentEngineUrls());
         }
         catch (error) {
-            // A failed round must not stop the rounds after it: the pools would then stay unchanged without any report.
-            this.parts.logger.error("order round failed", error);
+            // A failed round must not prevent later rounds: the pools would remain unchanged, and nothing would report it.
+            this.options.logger.error("order round failed", error);
         }
         if (term === this.term && !this.closed) {
             this.schedule(term, this.interval);
@@ -114,17 +117,17 @@
     }
 
     private currentEngineUrls(): ReadonlySet<string> {
-        const backends = Object.values(this.parts.control.view().backends);
+        const backends = Object.values(this.options.control.view().backends);
         return new Set(backends.filter(({ state }) => state !== "gone").map(({ announcement }) => announcement.url));
     }
 
     private mayOrder(fence: number): boolean {
-        return !this.closed && this.ownFence() === fence && this.parts.control.mayStart();
+        return !this.closed && this.ownFence() === fence && this.options.control.mayStart();
     }
 
     private ownFence(): number | undefined {
-        const lease = this.parts.control.view().leases[ordersLease];
-        const session = this.parts.control.session();
+        const lease = this.options.control.view().leases[ordersLease];
+        const session = this.options.control.session();
         const isOwn = lease?.holder.daemon === session.daemon && lease.holder.incarnation === session.incarnation;
         return isOwn ? lease.fence : undefined;
     }
--- a/packages/basilpaddle/src/node/coordination/orders/orderState.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderState.ts
@@ -1,6 +1,6 @@
 import type { Announcement, EngineState, Order, View } from "../../protocol/index.js";
 
-/** State reported by an engine, and the monotonic milliseconds at which it was requested. */
+/** State that an engine reported, and the monotonic milliseconds at which it was requested. */
 export type EngineReading = { readonly state: EngineState; readonly askedAt: number; };
 
 /** Outcome of an order as recorded in the audit trail. */
@@ -15,14 +15,14 @@
     readonly cause: string;
     /** `started`: the engine is executing it. `uncertain`: its answer was lost and the state has not been read since. */
     readonly phase: "sent" | "started" | "uncertain";
-    /** Monotonic milliseconds; a reading that was requested earlier proves nothing about the order. */
+    /** Monotonic milliseconds. A reading that was requested earlier doesn't prove the outcome of the order. */
     readonly readableAt: number;
 };
 
 /** Progress of waiting until no attempt that started before a change of the view can still reach an engine. */
 export type QuiescenceWait = {
     /** Monotonic milliseconds at which the change was first seen in the view. */
-    readonly since: number;
+    readonly firstSeenAt: number;
     /** Attempts that must end first; undefined until every daemon must have applied the change. */
     readonly waitingFor: readonly AwaitedAttempt[] | undefined;
 };
@@ -31,13 +31,13 @@
 export type AwaitedAttempt = { readonly attempt: string; readonly engine: string; readonly missedReadings: number; };
 
 /** Number of failures of an order, and the monotonic milliseconds before which it is not retried. */
-export type OrderRetry = { readonly count: number; readonly notBefore: number; };
+export type OrderRetry = { readonly count: number; readonly retryAt: number; };
 
 /** State of the reconciler between two steps. It is discarded with the lease; the next holder reads the engines instead. */
 export type ReconcilerState = {
     /** By engine identifier. */
     readonly open: ReadonlyMap<string, OpenOrder>;
-    /** By engine identifier and the order, or the role change, that waits. */
+    /** By engine identifier, and the order or role change that waits for quiescence. */
     readonly quiescence: ReadonlyMap<string, QuiescenceWait>;
     /** By engine identifier and order. */
     readonly retries: ReadonlyMap<string, OrderRetry>;
@@ -62,9 +62,9 @@
 export type OrderLimits = {
     /** Maximum number of concurrent loads over all pools. @default 2 */
     readonly concurrentLoads: number;
-    /** Time after sending within which an order can take effect; its answer is awaited for half of it. @default 4000 */
+    /** Time after sending within which an order can take effect. Half of it is the timeout of its answer. @default 4000 */
     readonly orderTimeout: number;
-    /** Time for which a daemon may go on using an older view: the view lease plus its clock drift. */
+    /** Maximum time for which a daemon may use an older view after a change: the view lease plus its clock drift. */
     readonly settle: number;
     /** Delay before the first retry of a refused or failed order; doubles per failure, up to 64 times. @default 1000 */
     readonly retryPause: number;
@@ -83,7 +83,7 @@
     return { open: new Map(), quiescence: new Map(), retries: new Map(), issuedOrders: 0 };
 }
 
-/** Description of an order as in the audit trail. */
+/** Describes an order for the audit trail. */
 export function describeOrder(order: Order): string {
     switch (order.action) {
         case "load":
--- a/packages/basilpaddle/src/node/coordination/orders/poolPlan.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/poolPlan.ts
@@ -5,13 +5,13 @@
 /** The role of an engine. */
 export type Role = EngineState["role"];
 
-/** An order that a pool requires, and its reason. */
+/** An order that is required to bring a pool to its declaration, and the reason for it. */
 export type RequiredOrder = { readonly engine: ObservedEngine; readonly order: Order; readonly cause: string; };
 
-/** An engine to be removed from placement or returned to it, and the reason. */
+/** An engine to be drained, which removes it from placement, or to be returned to placement, and the reason. */
 export type RequiredDrain = { readonly engine: ObservedEngine; readonly draining: boolean; readonly cause: string; };
 
-/** A version to be named as the one that new attempts run. */
+/** A version that the view should name for new attempts from now on. */
 export type RequiredMove = { readonly pool: string; readonly model: string; readonly version: string; };
 
 /** A pool's declaration and its actual state. */
@@ -46,7 +46,7 @@
     );
 }
 
-/** Loads that the pool requires, those for the role with the fewest warm copies first. */
+/** Loads that the pool requires. Those for the role with the fewest warm copies come first. */
 export function requiredLoads({ declared, engines, name }: PoolState): RequiredOrder[] {
     const loads = declared.models.flatMap(model => {
         const warm = (role: Role) =>
@@ -65,10 +65,10 @@
                 copies: copies[roleOf(engine)],
             }));
     });
-    return loads.sort((one, other) => one.copies - other.copies);
+    return loads.sort((first, other) => first.copies - other.copies);
 }
 
-/** Versions to be named for new attempts instead of those that the view names. */
+/** Versions that the view should name for new attempts, where they differ from those that it names now. */
 export function requiredMoves({ name: pool, declared, engines, named }: PoolState): RequiredMove[] {
     const ready = engines.filter(({ state }) => state === "ready").map(({ announcement }) => announcement);
     const models = [...new Set(declared.models.map(({ name }) => name))];
@@ -95,20 +95,20 @@
 
 /**
  * Whether the version is neither declared nor served. While the served version isn't the named one, it is derived from the
- * versions that engines carry, and an unload could remove the version that is served next.
+ * versions that engines have loaded, and an unload could remove the version that would be served next.
  */
 function isRetired({ declared, named, served }: PoolState, model: string, version: string): boolean {
-    const versions = declared.models.filter(({ name }) => name === model).map(kept => kept.version);
+    const versions = declared.models.filter(({ name }) => name === model).map(declaredModel => declaredModel.version);
     if (versions.length === 0) {
         return true;
     }
-    const isNamed = named[model] !== undefined && named[model] === served.get(model);
-    return isNamed && named[model] !== version && !versions.includes(version);
+    const isNamedServed = named[model] !== undefined && named[model] === served.get(model);
+    return isNamedServed && named[model] !== version && !versions.includes(version);
 }
 
 /**
- * The required drains and role change. At most one engine of a pool changes its role at a time, so that the floor is
- * checked against the actual state and not against changes that may be in progress.
+ * The required drains and role change. At most one engine of a pool changes its role at a time: with several changes in
+ * progress, the floor could not be checked against the actual state.
  */
 export function requiredRoleChange(
     pool: PoolState,
@@ -126,12 +126,13 @@
         };
     }
     if (changing.reading === undefined || changing.reading.state.role !== roleOf(changing)) {
-        // Its announcement doesn't have its new role yet: returned to placement, it would get work of its former role.
+        // Its announcement doesn't contain the new role yet. If it were returned to placement, it would get work of its
+        // old role.
         return { drains, change: undefined };
     }
     const role = roleOf(changing);
-    if (!needsChange(pool, role) || !canSpare(pool, changing)) {
-        const cause = "no change of its role is wanted any more";
+    if (!shouldChangeRole(pool, role) || !canRemove(pool, changing)) {
+        const cause = "its role change is no longer required";
         return { drains: [...drains, { engine: changing, draining: false, cause }], change: undefined };
     }
     const order = { action: "changeRole", role: oppositeRole[role] } as const;
@@ -149,15 +150,15 @@
 }
 
 /**
- * Whether the pool keeps its floor without the engine, or is below the floor even with it. Both roles are checked, since
- * the served version may depend on this one engine.
+ * Whether the pool keeps its floor without the engine, or is below the floor even with it. Both roles are checked, because
+ * the served version may depend on this engine.
  */
-function canSpare(pool: PoolState, engine: ObservedEngine): boolean {
+function canRemove(pool: PoolState, engine: ObservedEngine): boolean {
     const others = pool.engines.filter(other => other !== engine);
-    const without = withEngines(pool, others);
-    const withIt = withEngines(pool, [...others, { ...engine, state: "ready" }]);
+    const poolWithout = withEngines(pool, others);
+    const poolWith = withEngines(pool, [...others, { ...engine, state: "ready" }]);
     return (["prefill", "decode"] as const).every(role =>
-        servingCopies(without, role) >= Math.min(servingCopies(withIt, role), pool.declared.floor[role])
+        servingCopies(poolWithout, role) >= Math.min(servingCopies(poolWith, role), pool.declared.floor[role])
     );
 }
 
@@ -166,22 +167,27 @@
 }
 
 function roleCandidate(pool: PoolState): ObservedEngine | undefined {
-    const role = (["prefill", "decode"] as const).find(candidate => needsChange(pool, candidate));
+    const role = (["prefill", "decode"] as const).find(candidate => shouldChangeRole(pool, candidate));
     const candidates = pool.engines.filter(engine =>
         engine.state === "ready" && engine.announcement.role === role && engine.announcement.abilities.changesRole
-        && engine.reading?.state.role === role && canSpare(pool, engine)
+        && engine.reading?.state.role === role && canRemove(pool, engine)
     );
-    return candidates.sort((one, other) => one.reading!.state.active.length - other.reading!.state.active.length)[0];
+    return candidates.sort((first, other) =>
+        first.reading!.state.active.length - other.reading!.state.active.length
+    )[0];
 }
 
-/** Whether the role has too many copies and the other one too few. Engines count as long as the view contains them. */
-function needsChange({ engines, declared }: PoolState, role: Role): boolean {
-    const count = (counted: Role) => engines.filter(engine => roleOf(engine) === counted).length;
+/** Whether the role has too many copies and the other one too few. All ready and draining engines count. */
+function shouldChangeRole({ engines, declared }: PoolState, role: Role): boolean {
+    const count = (countedRole: Role) => engines.filter(engine => roleOf(engine) === countedRole).length;
     const other = oppositeRole[role];
     return count(role) > declared.copies[role] && count(other) < declared.copies[other];
 }
 
-/** Whether the engine has a declared version of the model warm, or none is declared. Until then it keeps its last version. */
+/**
+ * Whether the engine has a declared version of the model warm, or none is declared. Before that its last version isn't
+ * unloaded.
+ */
 function hasSuccessor(engine: ObservedEngine, declared: Pool, name: string): boolean {
     const successors = declared.models.filter(model => model.name === name);
     return successors.length === 0 || successors.some(({ version }) => isWarm(engine, name, version, []));
--- a/packages/basilpaddle/src/node/coordination/orders/quiescence.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/quiescence.ts
@@ -1,12 +1,15 @@
 import type { AwaitedAttempt, ObservedEngine, QuiescenceWait } from "./orderState.js";
 
 /**
- * Number of consecutive rounds of readings that an attempt must be missing from before it counts as ended. Engines are
- * read concurrently but not at the same instant: between prefill and import, one round can miss an attempt at both engines.
+ * Number of consecutive rounds of readings without an attempt after which it counts as ended. Engines are read concurrently
+ * but not at the same instant, so that one round can miss an attempt at both engines between its prefill and its import.
  */
-const missedReadingsToEnd = 2;
+const requiredMissedReadings = 2;
 
-/** The engine of each active attempt of a pool in one round of readings. Computed once for all waits of the pool. */
+/**
+ * The engine of each active attempt of a pool in one round of readings. Computed once per round for all waits of the
+ * pool.
+ */
 export class PoolActivity {
     readonly engineByAttempt = new Map<string, string>();
     readonly unreadEngines = new Set<string>();
@@ -35,31 +38,31 @@
 /**
  * Advances the wait for attempts that may still use an engine after a change of the view made daemons stop selecting it.
  *
- * Once the change is older than a view lease (`settle` milliseconds), no daemon starts an attempt based on an older view.
- * Attempts that started before then are at the engine, or at a prefill engine of the pool before their transfer to the
- * engine; they are recorded once and waited for.
+ * Once the change is older than `staleViewTime` milliseconds, no daemon starts an attempt based on an older view. Attempts
+ * that started before are at the engine, or at a prefill engine of the pool before their transfer to the engine. They are
+ * recorded once, and the wait ends when all of them have ended.
  */
 export function advanceQuiescence(
     wait: QuiescenceWait | undefined,
     engine: ObservedEngine,
     activity: PoolActivity,
     now: number,
-    settle: number,
+    staleViewTime: number,
 ): QuiescenceWait {
     if (wait === undefined) {
-        return { since: now, waitingFor: undefined };
+        return { firstSeenAt: now, waitingFor: undefined };
     }
     if (wait.waitingFor !== undefined) {
         return { ...wait, waitingFor: remainingAttempts(wait.waitingFor, activity) };
     }
-    const sources = activity.engines.filter(other =>
+    const relevantEngines = activity.engines.filter(other =>
         other.announcement.id === engine.announcement.id || other.announcement.role === "prefill"
     );
-    const settledAt = wait.since + settle;
-    const areAllReadSince = sources.every(({ reading, state }) =>
-        state === "gone" || reading !== undefined && reading.askedAt >= settledAt
+    const staleViewsExpireAt = wait.firstSeenAt + staleViewTime;
+    const isEveryReadingRecent = relevantEngines.every(({ reading, state }) =>
+        state === "gone" || reading !== undefined && reading.askedAt >= staleViewsExpireAt
     );
-    return areAllReadSince ? { ...wait, waitingFor: sources.flatMap(awaitedAttemptsAt) } : wait;
+    return isEveryReadingRecent ? { ...wait, waitingFor: relevantEngines.flatMap(awaitedAttemptsAt) } : wait;
 }
 
 function awaitedAttemptsAt(engine: ObservedEngine): AwaitedAttempt[] {
@@ -74,7 +77,8 @@
     const remaining: AwaitedAttempt[] = [];
     for (const awaited of waitingFor) {
         const currentEngine = engineByAttempt.get(awaited.attempt);
-        // Most attempts haven't moved. They allocate no new object, as there is one for each attempt and unload.
+        // Most attempts are still at the same engine. Their objects are reused, as there is one for each attempt and
+        // unload.
         if (
             currentEngine === awaited.engine && awaited.missedReadings === 0
             || currentEngine === undefined && unreadEngines.has(awaited.engine)
@@ -84,7 +88,7 @@
         else if (currentEngine !== undefined) {
             remaining.push({ ...awaited, engine: currentEngine, missedReadings: 0 });
         }
-        else if (awaited.missedReadings + 1 < missedReadingsToEnd) {
+        else if (awaited.missedReadings + 1 < requiredMissedReadings) {
             remaining.push({ ...awaited, missedReadings: awaited.missedReadings + 1 });
         }
     }
--- a/packages/basilpaddle/src/node/coordination/orders/reconciler.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/reconciler.ts
@@ -23,13 +23,13 @@
 } from "./poolPlan.js";
 import { advanceQuiescence, isQuiescent, PoolActivity } from "./quiescence.js";
 
-/** Limits the retry delay to 64 times the first one. */
-const maximumRetryDoublings = 6;
+/** Number of times that the retry delay doubles, so that its maximum is 64 times the first delay. */
+const maxRetryDoublings = 6;
 
 /** Result of a reconciler step: the next state and the actions to execute. */
 export type ReconcilerStep = { readonly state: ReconcilerState; readonly actions: readonly ReconcilerAction[]; };
 
-/** Result of sending an order, as far as it is known. `notSent`: the order never left this daemon. */
+/** Result of sending an order, as far as it is known. `notSent`: no byte of the order left this daemon. */
 export type OrderSendResult = OrderOutcome | "started" | "notSent";
 
 /** Result of sending an order, and the monotonic milliseconds at which it was sent. */
@@ -46,18 +46,19 @@
 
     /** Computes one round from its readings, keyed by engine identifier. */
     step(
-        before: ReconcilerState,
+        previousState: ReconcilerState,
         view: View,
         readings: ReadonlyMap<string, EngineReading>,
         now: number,
     ): ReconcilerStep {
         const engines = observeEngines(view, readings);
-        const round = RoundPlanner.create(before, this.fence, this.limits, now);
+        const round = RoundPlanner.create(previousState, this.fence, this.limits, now);
         round.closeFinishedOrders(engines);
         const pools = poolStatesOf(view, engines.values());
         const waits = new Map<string, QuiescenceWait>();
         for (const pool of pools) {
-            // Moving traffic changes which engines count towards the floor; other changes wait until the view contains the move.
+            // A traffic move changes which engines count towards the floor, so other changes wait until the view contains
+            // it.
             if (!round.planTrafficMoves(pool)) {
                 round.planRoleChange(pool, waits);
                 round.planUnloads(pool, waits);
@@ -69,26 +70,27 @@
 
     /** Records the result of sending an order. */
     recordSendResult(
-        before: ReconcilerState,
+        previousState: ReconcilerState,
         order: OpenOrder,
         { result, sentAt }: SentOrder,
         now: number,
     ): ReconcilerState {
-        const open = new Map(before.open);
+        const open = new Map(previousState.open);
         if (result === "started") {
             open.set(order.engine, { ...order, phase: "started", readableAt: now });
-            return { ...before, open };
+            return { ...previousState, open };
         }
         if (result === "unknown") {
-            // The answer may be lost while the order is still in transit. Only a reading after the order timeout proves
-            // whether it took effect. The timeout counts from sending, since recording it in the audit trail comes first.
+            // The order may still be in transit. Only a reading after the order timeout proves whether it took effect.
+            // The timeout counts from sending and not from the order's creation, because it is first recorded in the
+            // audit trail.
             open.set(order.engine, { ...order, phase: "uncertain", readableAt: sentAt + this.limits.orderTimeout });
-            return { ...before, open };
+            return { ...previousState, open };
         }
         open.delete(order.engine);
-        const failed = result === "refused" || result === "failed";
-        const retries = failed ? withRetry(before.retries, order, this.limits, now) : before.retries;
-        return { ...before, open, retries };
+        const hasFailed = result === "refused" || result === "failed";
+        const retries = hasFailed ? withRetry(previousState.retries, order, this.limits, now) : previousState.retries;
+        return { ...previousState, open, retries };
     }
 }
 
@@ -101,23 +103,23 @@
     private issuedOrders: number;
 
     private constructor(
-        private readonly before: ReconcilerState,
+        private readonly previousState: ReconcilerState,
         private readonly fence: number,
         private readonly limits: OrderLimits,
         private readonly now: number,
     ) {
-        this.open = new Map(before.open);
-        this.retries = before.retries;
-        this.issuedOrders = before.issuedOrders;
+        this.open = new Map(previousState.open);
+        this.retries = previousState.retries;
+        this.issuedOrders = previousState.issuedOrders;
     }
 
-    static create(before: ReconcilerState, fence: number, limits: OrderLimits, now: number): RoundPlanner {
-        return new RoundPlanner(before, fence, limits, now);
+    static create(previousState: ReconcilerState, fence: number, limits: OrderLimits, now: number): RoundPlanner {
+        return new RoundPlanner(previousState, fence, limits, now);
     }
 
     /** Closes open orders whose outcome is proven by a reading. */
     closeFinishedOrders(engines: ReadonlyMap<string, ObservedEngine>): void {
-        for (const open of this.before.open.values()) {
+        for (const open of this.previousState.open.values()) {
             const outcome = outcomeFromReading(open, engines.get(open.engine));
             if (outcome === undefined) {
                 continue;
@@ -149,24 +151,24 @@
             }
         }
         if (change !== undefined) {
-            const idle = change.engine.reading?.state.active.length === 0;
+            const isIdle = change.engine.reading?.state.active.length === 0;
             const wait = this.trackQuiescence(`drain/${change.engine.announcement.id}`, change.engine, pool, waits);
-            if (idle && isQuiescent(wait)) {
+            if (isIdle && isQuiescent(wait)) {
                 this.issueOrder(change);
             }
         }
     }
 
     planUnloads(pool: PoolState, waits: Map<string, QuiescenceWait>): void {
-        for (const unload of requiredUnloads(pool)) {
-            const key = `${unload.engine.announcement.id}/${describeOrder(unload.order)}`;
-            if (isQuiescent(this.trackQuiescence(key, unload.engine, pool, waits))) {
-                this.issueOrder(unload);
+        for (const requiredUnload of requiredUnloads(pool)) {
+            const key = `${requiredUnload.engine.announcement.id}/${describeOrder(requiredUnload.order)}`;
+            if (isQuiescent(this.trackQuiescence(key, requiredUnload.engine, pool, waits))) {
+                this.issueOrder(requiredUnload);
             }
         }
     }
 
-    /** Loads of all pools share the weight store, so that more concurrent loads would only delay each of them. */
+    /** Loads of all pools read from the same weight store, so that more concurrent loads would only delay each other. */
     planLoads(pools: readonly PoolState[], engines: readonly ObservedEngine[]): void {
         const loading = new Set(
             engines.filter(({ reading }) => reading?.state.models.some(isLoading)).map(({ announcement }) =>
@@ -178,12 +180,12 @@
                 loading.add(engine);
             }
         }
-        for (const load of pools.flatMap(requiredLoads)) {
+        for (const requiredLoad of pools.flatMap(requiredLoads)) {
             if (loading.size >= this.limits.concurrentLoads) {
                 return;
             }
-            const { id } = load.engine.announcement;
-            if (!loading.has(id) && this.issueOrder(load)) {
+            const { id } = requiredLoad.engine.announcement;
+            if (!loading.has(id) && this.issueOrder(requiredLoad)) {
                 loading.add(id);
             }
         }
@@ -201,7 +203,13 @@
         waits: Map<string, QuiescenceWait>,
     ): QuiescenceWait {
         const activity = this.activityOf(pool);
-        const wait = advanceQuiescence(this.before.quiescence.get(key), engine, activity, this.now, this.limits.settle);
+        const wait = advanceQuiescence(
+            this.previousState.quiescence.get(key),
+            engine,
+            activity,
+            this.now,
+            this.limits.settle,
+        );
         waits.set(key, wait);
         return wait;
     }
@@ -214,8 +222,8 @@
 
     private issueOrder({ engine, order, cause }: RequiredOrder): boolean {
         const { id, incarnation } = engine.announcement;
-        const notBefore = this.retries.get(retryKey(id, order))?.notBefore ?? 0;
-        if (this.open.has(id) || this.now < notBefore) {
+        const retryAt = this.retries.get(retryKey(id, order))?.retryAt ?? 0;
+        if (this.open.has(id) || this.now < retryAt) {
             return false;
         }
         this.issuedOrders += 1;
@@ -242,15 +250,15 @@
             continue;
         }
         const reading = readings.get(id);
-        const current = reading?.state.id === id && reading.state.incarnation === announcement.incarnation;
-        engines.set(id, { announcement, state, reading: current ? reading : undefined });
+        const isCurrent = reading?.state.id === id && reading.state.incarnation === announcement.incarnation;
+        engines.set(id, { announcement, state, reading: isCurrent ? reading : undefined });
     }
     return engines;
 }
 
-function poolStatesOf(view: View, all: Iterable<ObservedEngine>): PoolState[] {
+function poolStatesOf(view: View, engines: Iterable<ObservedEngine>): PoolState[] {
     const byPool = new Map<string, ObservedEngine[]>();
-    for (const engine of all) {
+    for (const engine of engines) {
         const { pool } = engine.announcement;
         byPool.set(pool, [...byPool.get(pool) ?? [], engine]);
     }
@@ -277,6 +285,6 @@
 ): ReadonlyMap<string, OrderRetry> {
     const key = retryKey(engine, order);
     const count = (retries.get(key)?.count ?? 0) + 1;
-    const pause = limits.retryPause * 2 ** Math.min(count - 1, maximumRetryDoublings);
-    return new Map(retries).set(key, { count, notBefore: now + pause });
+    const delay = limits.retryPause * 2 ** Math.min(count - 1, maxRetryDoublings);
+    return new Map(retries).set(key, { count, retryAt: now + delay });
 }
--- a/packages/basilpaddle/src/node/coordination/orders/servedVersion.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/servedVersion.ts
@@ -1,6 +1,6 @@
 import type { Announcement, Pool, View } from "../../protocol/index.js";
 
-/** Fraction of a role's ready engines that must have a declared version warm before traffic moves to it. */
+/** Fraction of a role's ready engines that must have a declared version warm before traffic is moved to that version. */
 const warmFraction = 0.75;
 
 type Role = "prefill" | "decode";
@@ -10,10 +10,10 @@
  * The version of a model that new attempts run. It is derived from the view only, so that all daemons with the same view
  * agree.
  *
- * It is the version that the holder of the orders lease has named, as long as a pair of engines (prefill and decode)
- * carries it, and otherwise the version that most pairs carry. The loaded models alone don't decide it: a version that is
- * being unloaded would be served again whenever enough engines with the new one restart or drain. Undefined if no pair
- * carries any version.
+ * It is the version that the holder of the orders lease has named, as long as a pair of engines (prefill and decode) has it
+ * loaded, and otherwise the version that most pairs have loaded. The loaded models alone don't decide it: a version that is
+ * being unloaded would be served again whenever enough engines with the new one restart or drain. Undefined if no pair has
+ * the same version loaded.
  */
 export function servedVersion(view: View, poolName: string, model: string): string | undefined {
     const pool = view.configuration.declaration.pools[poolName];
@@ -35,7 +35,7 @@
 
 /**
  * The version that should be named: a declared one as soon as enough ready engines of both roles have it warm
- * (`warmFraction`). Moving traffic earlier would send that of the whole pool to the first warm copy, and waiting for the
+ * (`warmFraction`). Moving traffic earlier would send the traffic of the whole pool to the first warm copy. Waiting for the
  * last copy would let one engine that can't load the version block the rollout of the pool.
  */
 export function versionToServe(
@@ -63,7 +63,7 @@
 function coverage(engines: readonly Announcement[], pool: Pool | undefined, model: string, version: string) {
     const count = (role: Role): Coverage => {
         const ready = engines.filter(engine => engine.role === role);
-        const warm = ready.filter(engine => carriesVersion(engine, model, version)).length;
+        const warm = ready.filter(engine => hasVersion(engine, model, version)).length;
         return { warm, needed: Math.max(1, pool?.floor[role] ?? 1, Math.ceil(ready.length * warmFraction)) };
     };
     return { prefill: count("prefill"), decode: count("decode") };
@@ -79,9 +79,10 @@
     model: string,
 ): string | undefined {
     const declared = declaredVersions(pool, model);
-    const carried = engines.flatMap(({ models }) => models).filter(({ name }) => name === model);
-    // Declared versions come first and win ties. The others are sorted, so that the order of announcements has no effect.
-    const others = [...new Set(carried.map(({ version }) => version))].sort();
+    const loadedModels = engines.flatMap(({ models }) => models).filter(({ name }) => name === model);
+    // Declared versions come first and are preferred at equal counts. The others are sorted, so that the order of
+    // announcements has no effect.
+    const others = [...new Set(loadedModels.map(({ version }) => version))].sort();
     let best: { readonly version: string; readonly pairs: number; } | undefined;
     for (const version of new Set([...declared, ...others])) {
         const { prefill, decode } = coverage(engines, pool, model, version);
@@ -93,6 +94,6 @@
     return best?.version;
 }
 
-function carriesVersion(engine: Announcement, model: string, version: string): boolean {
-    return engine.models.some(carried => carried.name === model && carried.version === version);
+function hasVersion(engine: Announcement, model: string, version: string): boolean {
+    return engine.models.some(loaded => loaded.name === model && loaded.version === version);
 }
