--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/decisions.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/decisions.spec.ts
@@ -38,8 +38,8 @@
     it("splits by weight, with the same result for the same identifier", () => {
         const split = table.match("other.example", "/")!;
         const selected = Array.from({ length: 2_000 }, (_, number) => table.serviceOf(split, `id-${number}`)?.name);
-        const part = selected.filter(name => name === "t").length / selected.length;
-        expect(part).to.be.within(0.07, 0.13);
+        const fractionOfT = selected.filter(name => name === "t").length / selected.length;
+        expect(fractionOfT).to.be.within(0.07, 0.13);
         expect(table.serviceOf(split, "id-7")?.name).to.equal(selected[7]);
     });
 });
@@ -63,8 +63,8 @@
     });
 
     it("is refused with a timeout of 0", () => {
-        const wrong = { version: 1, routes: [{ ...route({}), timeout: 0 }], services, limits };
-        expect(trafficSchema.safeParse(wrong).success).to.equal(false);
+        const zeroTimeout = { version: 1, routes: [{ ...route({}), timeout: 0 }], services, limits };
+        expect(trafficSchema.safeParse(zeroTimeout).success).to.equal(false);
     });
 });
 
@@ -76,10 +76,10 @@
         let requests = 0;
         for (let now = 10_000; now < 40_000; now += 10) {
             const gateway = gateways[(now / 10) % 8]!;
-            gateway.request(now);
+            gateway.recordRequest(now);
             requests += 1;
             for (let again = 0; again < 3; again++) {
-                if (gateway.take(now, 8)) {
+                if (gateway.takeRetry(now, 8)) {
                     taken.push(now);
                 }
             }
@@ -93,15 +93,15 @@
 
     it("accepts the return of a retry that reached no server", () => {
         const budget = ServiceRetryBudget.create({ ratio: 0, window: 1_000, slack: 2 });
-        expect([budget.take(5_000, 1), budget.take(5_001, 1)]).to.deep.equal([true, false]);
-        budget.giveBack(5_002);
-        expect(budget.take(5_003, 1)).to.equal(true);
+        expect([budget.takeRetry(5_000, 1), budget.takeRetry(5_001, 1)]).to.deep.equal([true, false]);
+        budget.returnRetry(5_002);
+        expect(budget.takeRetry(5_003, 1)).to.equal(true);
     });
 
     it("doesn't count retries older than the window", () => {
         const budget = ServiceRetryBudget.create({ ratio: 0, window: 1_000, slack: 2 });
-        expect([budget.take(5_000, 1), budget.take(5_001, 1)]).to.deep.equal([true, false]);
-        expect(budget.take(6_200, 1)).to.equal(true);
+        expect([budget.takeRetry(5_000, 1), budget.takeRetry(5_001, 1)]).to.deep.equal([true, false]);
+        expect(budget.takeRetry(6_200, 1)).to.equal(true);
     });
 });
 
@@ -119,7 +119,7 @@
         let lent = 0;
         for (let number = 0; number < 100; number++) {
             const now = 20_000 + number * 20;
-            const own = gateways[number * 7 % 40]!.take(now, gatewayCount);
+            const own = gateways[number * 7 % 40]!.takeRetry(now, gatewayCount);
             local += own ? 1 : 0;
             lent += !own && shared.lend(now, undefined) ? 1 : 0;
         }
@@ -133,7 +133,7 @@
         const taken: number[] = [];
         for (let now = 11_000; now < 40_000; now += 7) {
             const gateway = gateways[now % 191]!;
-            if (gateway.take(now, 191) || shared.lend(now, undefined)) {
+            if (gateway.takeRetry(now, 191) || shared.lend(now, undefined)) {
                 taken.push(now);
             }
         }
@@ -155,12 +155,12 @@
     // lends as much again meanwhile.
     it("stays within the allowance with two leaders, if the retries lent by the first aren't reported yet", () => {
         const gateways = Array.from({ length: 5 }, () => ServiceRetryBudget.create({ ...rules, ratio: 0 }));
-        const before = SharedRetryBudget.create(rules, 0);
-        const after = SharedRetryBudget.create(rules, 50_000);
+        const previousLeader = SharedRetryBudget.create(rules, 0);
+        const newLeader = SharedRetryBudget.create(rules, 50_000);
         let taken = 0;
         for (let now = 49_000; now < 51_000; now += 2) {
-            const own = gateways[now / 2 % 5]!.take(now, 5);
-            const lent = now < 50_000 ? before.lend(now, undefined) : after.lend(now, 0);
+            const own = gateways[now / 2 % 5]!.takeRetry(now, 5);
+            const lent = now < 50_000 ? previousLeader.lend(now, undefined) : newLeader.lend(now, 0);
             taken += Number(own) + Number(lent);
         }
         expect(taken).to.be.at.most(rules.slack);
@@ -192,9 +192,9 @@
             const server = choice.choose(servers, none, now)!;
             const position = servers.indexOf(server);
             counts[position]! += 1;
-            choice.began(server.id);
+            choice.recordStart(server.id);
             const failed = (counts[position]! * failing[position]!) % 1 + failing[position]! >= 1;
-            choice.ended(server, failed ? "failed" : "answered", times[position]!, now + times[position]!);
+            choice.recordOutcome(server, failed ? "failed" : "answered", times[position]!, now + times[position]!);
         }
         return counts.map(count => count / calls);
     }
@@ -213,8 +213,8 @@
 
     it("sends no calls to an unreachable server for a while", () => {
         const choice = ServerChoice.create("a");
-        choice.began("x");
-        choice.ended(servers[0]!, "unreachable", 400, 1_000);
+        choice.recordStart("x");
+        choice.recordOutcome(servers[0]!, "unreachable", 400, 1_000);
         expect(choice.choose(servers, none, 1_100)?.id).not.to.equal("x");
         expect(choice.choose([servers[0]!], none, 1_100)?.id).to.equal("x");
     });
@@ -223,7 +223,7 @@
         const choice = ServerChoice.create("a");
         const chosen = servers.map(() => {
             const server = choice.choose(servers, none, 1_000)!;
-            choice.began(server.id);
+            choice.recordStart(server.id);
             return server.id;
         });
         expect(new Set(chosen).size).to.equal(3);
@@ -234,11 +234,11 @@
     it("changes engines of the largest failure domains until both stages have their share of the work", () => {
         const changes = planStages(engines(5, 8), rule);
         expect(changes.map(change => change.stage)).to.deep.equal(["decode", "decode"]);
-        const left = new Set(
+        const remainingDomains = new Set(
             engines(5, 8).filter(engine => !changes.some(change => change.engine.id === engine.id))
                 .filter(engine => engine.stage === "prefill").map(engine => engine.failureDomain),
         );
-        expect([...left].sort()).to.deep.equal(["a", "b", "c"]);
+        expect([...remainingDomains].sort()).to.deep.equal(["a", "b", "c"]);
     });
 
     it("changes nothing if the stages are right, and makes one engine a prefill engine if there is none", () => {
@@ -250,12 +250,12 @@
     // Guards against one stage staying full while the other is idle: long prompts with short answers, or the reverse, on a
     // pool whose stages were planned for typical requests. The plan used constants only, and never added a prefill engine.
     it("follows the observed resources of requests", () => {
-        const long = { prefillTime: 400, holdTime: 2_000, cacheTokens: 12_000 };
+        const long = { prefillTime: 400, allocationTime: 2_000, cacheTokens: 12_000 };
         expect(planStages(engines(3, 10), rule, long).map(change => change.stage)).to.deep.equal([
             "prefill",
             "prefill",
         ]);
-        const short = { prefillTime: 30, holdTime: 4_000, cacheTokens: 3_000 };
+        const short = { prefillTime: 30, allocationTime: 4_000, cacheTokens: 3_000 };
         expect(planStages(engines(4, 9), rule, short).map(change => change.stage)).to.deep.equal([
             "decode",
             "decode",
@@ -264,13 +264,13 @@
     });
 
     it("changes nothing if the stages are off by one engine, as the averages of a burst may suggest", () => {
-        const slightly = { prefillTime: 130, holdTime: 3_200, cacheTokens: 3_670 };
+        const slightly = { prefillTime: 130, allocationTime: 3_200, cacheTokens: 3_670 };
         expect(planStages(engines(3, 10), rule, slightly)).to.deep.equal([]);
         expect(planStages(engines(4, 9), rule, slightly)).to.deep.equal([]);
     });
 
     it("never takes the last decode engine", () => {
-        const long = { prefillTime: 10_000, holdTime: 100, cacheTokens: 1_000 };
+        const long = { prefillTime: 10_000, allocationTime: 100, cacheTokens: 1_000 };
         expect(planStages(engines(1, 2), rule, long).length).to.equal(1);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/directoryWatcher.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/directoryWatcher.spec.ts
@@ -37,11 +37,11 @@
     it("discovers all directories from one, and reports a majority only once it reaches one", async () => {
         directories.all[1]!.reachable = false;
         directories.all[2]!.reachable = false;
-        const made = watch(names.slice(0, 1));
-        await until(() => made.gateways() === 2);
-        expect(made.reachesMajority()).to.equal(false);
+        const created = watch(names.slice(0, 1));
+        await until(() => created.gateways() === 2);
+        expect(created.reachesMajority()).to.equal(false);
         directories.all[2]!.reachable = true;
-        await until(() => made.reachesMajority());
+        await until(() => created.reachesMajority());
     });
 
     it("never applies an older configuration, whichever directory sends it", async () => {
@@ -60,8 +60,8 @@
     // directory in its failure domain, which sends it configurations, is partitioned from the group.
     it("fetches a newer configuration from another directory if the preferred one doesn't have it", async () => {
         directories.all[1]!.failureDomain = "b";
-        const made = watch(names);
-        await until(() => made.reachesMajority());
+        const created = watch(names);
+        await until(() => created.reachesMajority());
         directories.all[0]!.version = 9;
         await until(() => documents.includes(9));
         expect(directories.all[1]!.documentsSent).to.equal(0);
@@ -71,7 +71,7 @@
         directories.all[0]!.leader = names[0]!;
         directories.all[1]!.leader = names[2]!;
         directories.all[2]!.leader = names[2]!;
-        const made = watch(names);
-        await until(() => made.reachesMajority() && made.leader() === names[2]);
+        const created = watch(names);
+        await until(() => created.reachesMajority() && created.leader() === names[2]);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/fakes.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/fakes.ts
@@ -8,7 +8,7 @@
 } from "../../../protocol/index.js";
 
 /** A backend server's announcement, with defaults for the fields that a test doesn't set. */
-export function announced(given: Partial<ServerAnnouncement> & { readonly id: string; }): ServerAnnouncement {
+export function announced(overrides: Partial<ServerAnnouncement> & { readonly id: string; }): ServerAnnouncement {
     return {
         service: "pool",
         address: "10.0.0.1:80",
@@ -16,19 +16,19 @@
         slots: 96,
         state: "ready",
         sequence: 1,
-        ...given,
+        ...overrides,
     };
 }
 
 /** Announcements of one pool's engines, with the given number for each stage. */
 export function engines(prefill: number, decode: number): ServerAnnouncement[] {
-    const of = (stage: "prefill" | "decode", count: number): ServerAnnouncement[] => {
+    const enginesOfStage = (stage: "prefill" | "decode", count: number): ServerAnnouncement[] => {
         return Array.from({ length: count }, (_, number) => {
             const address = `10.0.0.${number}:${stage === "prefill" ? 80 : 81}`;
             return announced({ id: `${stage}-${number}`, address, stage, failureDomain: ["a", "b", "c"][number % 3]! });
         });
     };
-    return [...of("prefill", prefill), ...of("decode", decode)];
+    return [...enginesOfStage("prefill", prefill), ...enginesOfStage("decode", decode)];
 }
 
 /** The rule of the test pool's engines. */
@@ -43,7 +43,7 @@
 };
 
 /** A typical placement request: 3,200 prompt tokens, 900 tokens of answer, first event due within 900 ms. */
-export function typicalPlacementRequest(attempt: string, given: Partial<PlacementRequest> = {}): PlacementRequest {
+export function typicalPlacementRequest(attempt: string, overrides: Partial<PlacementRequest> = {}): PlacementRequest {
     return {
         attempt,
         gateway: "gateway",
@@ -56,7 +56,7 @@
         patienceWithin: 3_600,
         avoid: [],
         resumed: false,
-        ...given,
+        ...overrides,
     };
 }
 
@@ -71,7 +71,7 @@
 }
 
 /** A route, with defaults for the fields that a test doesn't set. */
-export function route(given: Partial<TrafficRoute>): TrafficRoute {
+export function route(overrides: Partial<TrafficRoute>): TrafficRoute {
     return {
         name: "r",
         host: "h.example",
@@ -84,6 +84,6 @@
         attempts: 1,
         prompts: false,
         resumable: false,
-        ...given,
+        ...overrides,
     };
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/latestIncarnations.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/latestIncarnations.spec.ts
@@ -7,9 +7,9 @@
 import { announced, rule, typicalPlacementRequest } from "./fakes.js";
 
 /** An announcement of the incarnation of server `i` with the given start time; undefined for one that announces none. */
-function incarnation(startedAt: number | undefined, given: Partial<ServerAnnouncement> = {}): ServerAnnouncement {
+function incarnation(startedAt: number | undefined, overrides: Partial<ServerAnnouncement> = {}): ServerAnnouncement {
     const id = incarnationOf("i", startedAt);
-    return announced({ id, ...startedAt === undefined ? {} : { name: "i", startedAt }, ...given });
+    return announced({ id, ...startedAt === undefined ? {} : { name: "i", startedAt }, ...overrides });
 }
 
 function ready(table: InstanceTable): string[] {
@@ -28,16 +28,16 @@
     });
 
     it("isn't affected by delayed announcements of the previous incarnation, in whichever order they arrive", () => {
-        const late = [
+        const delayed = [
             incarnation(1_000, { sequence: 401 }),
             incarnation(1_000, { sequence: 402, state: "draining" }),
             incarnation(1_000, { sequence: 402, state: "silent" }),
             incarnation(1_000, { sequence: 402, state: "left" }),
         ];
         const after = InstanceTable.create();
-        [incarnation(2_000), ...late].forEach(announcement => after.apply(announcement));
+        [incarnation(2_000), ...delayed].forEach(announcement => after.apply(announcement));
         const before = InstanceTable.create();
-        [...late, incarnation(2_000)].forEach(announcement => before.apply(announcement));
+        [...delayed, incarnation(2_000)].forEach(announcement => before.apply(announcement));
         expect([ready(after), ready(before)]).to.deep.equal([["i@2000"], ["i@2000"]]);
     });
 
@@ -81,17 +81,17 @@
     // The previous incarnation was full and had failed: neither may keep requests from the new one.
     it("starts without the allocations and failures of the previous incarnation", () => {
         const queue = PlacementQueue.create(leaderPlacementTuning);
-        const small = { ...rule, slots: 1 };
+        const singleSlotRule = { ...rule, slots: 1 };
         const failing = [
             incarnation(1_000, { stage: "decode" }),
             announced({ id: "full", stage: "decode", address: "10.0.0.2:1" }),
         ];
-        queue.setEngines(failing, small);
+        queue.setEngines(failing, singleSlotRule);
         expect(queue.ask(typicalPlacementRequest("first", { avoid: ["full"] }), 0)).to.have.length(1);
         expect(queue.ask(typicalPlacementRequest("second"), 0)).to.have.length(1);
         queue.release("first", { failed: "i@1000" }, 1);
         expect(queue.ask(typicalPlacementRequest("third"), 2)).to.deep.equal([]);
-        queue.setEngines([incarnation(2_000, { stage: "decode" }), failing[1]!], small);
+        queue.setEngines([incarnation(2_000, { stage: "decode" }), failing[1]!], singleSlotRule);
         const [placed] = queue.review(30);
         expect(placed).to.include({ kind: "placed", attempt: "third", decode: "i@2000" });
     });
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/linkQuality.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/linkQuality.spec.ts
@@ -32,7 +32,7 @@
             for (const number of [0, 1]) {
                 count += 1;
                 const every = stallEvery[domain];
-                links.event(engine(domain, number), every !== undefined && count % every === 0, now);
+                links.countEvent(engine(domain, number), every !== undefined && count % every === 0, now);
             }
         }
     }
@@ -46,7 +46,7 @@
     it("counts pauses as stalls that are longer than a run's typical pause", () => {
         const pauses = StallDetector.create();
         let now = 0;
-        const after = (pause: number): boolean => pauses.event(now += pause);
+        const after = (pause: number): boolean => pauses.recordEvent(now += pause);
         expect([after(0), after(typicalPause), after(typicalPause), after(packetLossPause), after(1)]).to.deep.equal([
             false,
             false,
@@ -56,7 +56,7 @@
         ]);
         const slow = StallDetector.create();
         now = 0;
-        const stalls = Array.from({ length: 20 }, () => slow.event(now += 280)).filter(stalled => stalled);
+        const stalls = Array.from({ length: 20 }, () => slow.recordEvent(now += 280)).filter(stalled => stalled);
         expect(stalls, "a slow engine's typical pauses").to.deep.equal([]);
     });
 
@@ -70,12 +70,12 @@
         expect(simulateStreams({ near: 25, far: 25, other: 25 }, 4_000).stalls(4_000)).to.deep.equal([]);
         const links = simulateStreams({}, 1_000);
         for (let now = 1_000; now < 2_000; now += typicalPause) {
-            links.event(engine("far", 0), true, now);
+            links.countEvent(engine("far", 0), true, now);
         }
         expect(links.stalls(2_000)).to.deep.equal([]);
         const single = LinkQuality.create();
         for (let now = 0; now < 4_000; now += typicalPause) {
-            domains.forEach(domain => single.event(engine(domain, 0), domain === "far" && now % 400 === 0, now));
+            domains.forEach(domain => single.countEvent(engine(domain, 0), domain === "far" && now % 400 === 0, now));
         }
         expect(single.stalls(4_000), "a domain with one engine").to.deep.equal([]);
     });
@@ -90,8 +90,8 @@
         const links = LinkQuality.create();
         for (let now = 0; now < 12_000; now += 200) {
             const number = Math.floor(now / 200);
-            links.event(engine("near", 0), false, now);
-            links.event(engine("far", number % 3), number % 20 < 3, now);
+            links.countEvent(engine("near", 0), false, now);
+            links.countEvent(engine("far", number % 3), number % 20 < 3, now);
         }
         const [first] = links.stalls(12_000);
         expect(first?.failureDomain).to.equal("far");
@@ -116,7 +116,7 @@
     function placementDomains(queue: PlacementQueue, count: number, linkStalls: LinkStalls): string[] {
         return Array.from({ length: count }, (_, number) => {
             const decisions = queue.ask(typicalPlacementRequest(`d-${number}`, { linkStalls }), number);
-            // Otherwise the queue of prompts would move the other requests elsewhere, whatever the links are like.
+            // Otherwise the queue of prompts would move the other requests to other engines, regardless of the links.
             if (linkStalls.length > 0) {
                 queue.prefillCompleted(`d-${number}`, number);
             }
@@ -143,7 +143,7 @@
         const servers = domains.map(domain => announced({ id: domain, failureDomain: domain }));
         const chosen = Array.from({ length: 6 }, () => {
             const server = choice.choose(servers, new Set(), 4_000)!;
-            choice.began(server.id);
+            choice.recordStart(server.id);
             return server.id;
         });
         expect(chosen.slice(0, 1)).to.deep.equal(["near"]);
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/membershipOfServers.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/membershipOfServers.spec.ts
@@ -42,7 +42,7 @@
 // their heartbeats to a second directory, and later to the first one again. The second one announces them as silent; the
 // first one receives heartbeats without a change, which aren't forwarded, so that nothing corrects the silent state.
 describe("the silence of a backend server at one directory", () => {
-    const movedServer = (): { readonly first: Announcements; readonly second: Announcements; } => {
+    const createMovedServer = (): { readonly first: Announcements; readonly second: Announcements; } => {
         const first = Announcements.create(1_000);
         const second = Announcements.create(1_000);
         first.apply(announced({ id: "i", sequence: 1 }), 0);
@@ -55,7 +55,7 @@
     };
 
     it("is refuted by another directory that receives its heartbeats", () => {
-        const { first, second } = movedServer();
+        const { first, second } = createMovedServer();
         const [silent] = second.changedAfter(0);
         const before = first.latestChange();
         expect([silent!.state, first.refutes(silent!)]).to.deep.equal(["silent", true]);
@@ -65,7 +65,7 @@
     });
 
     it("remains if no directory has a newer heartbeat, or all have missed it", () => {
-        const { first, second } = movedServer();
+        const { first, second } = createMovedServer();
         const [silent] = second.changedAfter(0);
         expect(first.refutes({ ...silent!, sequence: 8 })).to.equal(false);
         first.markSilent(20_000);
@@ -77,7 +77,7 @@
 // Guards against all requests going to the first backend servers that send a heartbeat, for a second after a power loss of
 // all hosts: directories restart without any known server, and heartbeats arrive one by one over their interval.
 describe("backend servers that are restored after a restart of their directories", () => {
-    const restored = (): Announcements => {
+    const createRestored = (): Announcements => {
         const announcements = Announcements.create(1_000);
         ["i", "j"].forEach(id => announcements.restoreServer(announced({ id, sequence: 40 }), 0));
         return announcements;
@@ -98,7 +98,7 @@
     });
 
     it("are announced at once, and again with their first heartbeat", () => {
-        const announcements = restored();
+        const announcements = createRestored();
         expect(announcements.changedAfter(0).map(one => [one.id, one.state])).to.deep.equal([["i", "ready"], [
             "j",
             "ready",
@@ -108,7 +108,7 @@
     });
 
     it("are silent after two missed heartbeats", () => {
-        const announcements = restored();
+        const announcements = createRestored();
         announcements.apply(announced({ id: "i", sequence: 41 }), 500);
         expect(announcements.markSilent(1_900)).to.equal(false);
         expect(announcements.markSilent(2_100)).to.equal(true);
@@ -116,7 +116,7 @@
     });
 
     it("aren't marked silent if another directory receives their heartbeats", () => {
-        const announcements = restored();
+        const announcements = createRestored();
         announcements.confirm(announced({ id: "j", sequence: 41 }));
         announcements.confirm(announced({ id: "i", sequence: 40 }));
         expect(announcements.markSilent(2_100)).to.equal(true);
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/outlierDetector.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/outlierDetector.spec.ts
@@ -7,7 +7,7 @@
 
 const domains = ["a", "b", "c", "d", "e"];
 const servers = domains.map(domain => announced({ id: `server-${domain}`, service: "s", failureDomain: domain }));
-const none = new Set<string>();
+const noServers = new Set<string>();
 /** Milliseconds of a successful call, of a hanging call until its caller's timeout, and between two reports of call counts. */
 const callTime = 86;
 const callerTimeout = 2_000;
@@ -32,16 +32,16 @@
     let hungCalls = 0;
     const end = (gateway: Gateway, server: ServerAnnouncement, open: OpenCall, hung: boolean, now: number): void => {
         const outcome = hung ? "failed" : "answered";
-        gateway.choice.ended(server, outcome, now - open.startedAt, now);
-        gateway.tally.ended(open, outcome, now);
+        gateway.choice.recordOutcome(server, outcome, now - open.startedAt, now);
+        gateway.tally.recordOutcome(open, outcome, now);
     };
     const call = (gateway: Gateway, now: number): void => {
-        const server = gateway.choice.choose(servers, none, now)!;
+        const server = gateway.choice.choose(servers, noServers, now)!;
         const hangs = now > 2_000 && server.id === "server-b";
         sentCalls += now > 2_000 ? 1 : 0;
         hungCalls += hangs ? 1 : 0;
-        gateway.choice.began(server.id);
-        const open = gateway.tally.began(server, now);
+        gateway.choice.recordStart(server.id);
+        const open = gateway.tally.recordStart(server, now);
         const at = now + (hangs ? callerTimeout : callTime);
         endings.push({ at, end: () => end(gateway, server, open, hangs, at) });
     };
@@ -80,9 +80,9 @@
         detector.addCalls([calls("x", 20, 20), calls("y", 38, 3), calls("z", 40, 2)], 1_000);
         expect(detector.updateEjections(1_000)).to.equal(true);
         expect(detector.ejected()).to.deep.equal(["x"]);
-        const alike = OutlierDetector.create();
-        alike.addCalls([calls("x", 20, 20), calls("y", 22, 18), calls("z", 21, 20)], 1_000);
-        expect(alike.updateEjections(1_000)).to.equal(false);
+        const equalDetector = OutlierDetector.create();
+        equalDetector.addCalls([calls("x", 20, 20), calls("y", 22, 18), calls("z", 21, 20)], 1_000);
+        expect(equalDetector.updateEjections(1_000)).to.equal(false);
     });
 
     it("never ejects more than half of a service's servers", () => {
@@ -103,11 +103,11 @@
 
     it("counts a hanging call once, and not a call whose caller disconnected", () => {
         const tally = CallTally.create();
-        const hung = tally.began(servers[0]!, 0);
-        tally.dropped(tally.began(servers[1]!, 0));
+        const hung = tally.recordStart(servers[0]!, 0);
+        tally.discardCall(tally.recordStart(servers[1]!, 0));
         expect(tally.takeCounts(100)).to.deep.equal([]);
         expect(tally.takeCounts(1_000)).to.deep.equal([{ id: "server-a", service: "s", answered: 0, failed: 1 }]);
-        tally.ended(hung, "failed", 2_000);
+        tally.recordOutcome(hung, "failed", 2_000);
         expect(tally.takeCounts(2_500)).to.deep.equal([]);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/placementQueue.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/placementQueue.spec.ts
@@ -4,7 +4,7 @@
 import { PlacementQueue } from "../placementQueue.js";
 import { announced, engines, placed, refused, rule, typicalPlacementRequest } from "./fakes.js";
 
-function pool(prefill: number, decode: number, share = 1): PlacementQueue {
+function createQueue(prefill: number, decode: number, share = 1): PlacementQueue {
     const queue = PlacementQueue.create({ fill: 1, share });
     queue.setEngines(engines(prefill, decode), rule);
     return queue;
@@ -13,79 +13,91 @@
 /** Time for which a run occupies its engine. */
 const runMilliseconds = 3_200;
 
-type ReplayOutcome = {
-    readonly waited: Map<string, number>;
-    readonly refusedAfter: Map<string, number>;
-    readonly most: number;
+type SimulationOutcome = {
+    readonly waitTimes: Map<string, number>;
+    readonly refusalTimes: Map<string, number>;
+    readonly maxAllocatedTokens: number;
 };
 
 /** Simulates arrivals, one every `gapAt(time)` ms, of runs that each end after `runMilliseconds`. */
-function replay(queue: PlacementQueue, length: number, gapAt: (time: number) => number): ReplayOutcome {
-    const waited = new Map<string, number>();
-    const refusedAfter = new Map<string, number>();
+function simulateArrivals(
+    queue: PlacementQueue,
+    length: number,
+    intervalAt: (time: number) => number,
+): SimulationOutcome {
+    const waitTimes = new Map<string, number>();
+    const refusalTimes = new Map<string, number>();
     const arrivedAt = new Map<string, number>();
     const ends: { readonly at: number; readonly attempt: string; }[] = [];
-    let most = 0;
-    let next = 0;
-    const take = (decisions: readonly PlacementDecision[], now: number): void => {
+    let maxAllocatedTokens = 0;
+    let nextArrival = 0;
+    const recordDecisions = (decisions: readonly PlacementDecision[], now: number): void => {
         for (const decision of decisions) {
             const after = now - arrivedAt.get(decision.attempt)!;
             if (decision.kind === "placed") {
-                waited.set(decision.attempt, after);
+                waitTimes.set(decision.attempt, after);
                 ends.push({ at: now + runMilliseconds, attempt: decision.attempt });
             }
             else {
-                refusedAfter.set(decision.attempt, after);
+                refusalTimes.set(decision.attempt, after);
             }
         }
     };
     for (let now = 0; now < length; now += 5) {
         while (ends.length > 0 && ends[0]!.at <= now) {
-            take(queue.release(ends.shift()!.attempt, {}, now), now);
+            recordDecisions(queue.release(ends.shift()!.attempt, {}, now), now);
         }
-        for (; next <= now; next += gapAt(next)) {
-            const attempt = `at-${Math.round(next)}`;
+        for (; nextArrival <= now; nextArrival += intervalAt(nextArrival)) {
+            const attempt = `at-${Math.round(nextArrival)}`;
             arrivedAt.set(attempt, now);
-            take(queue.ask(typicalPlacementRequest(attempt), now), now);
+            recordDecisions(queue.ask(typicalPlacementRequest(attempt), now), now);
         }
-        take(queue.review(now), now);
-        most = Math.max(most, ...queue.counts().heldTokens.values());
+        recordDecisions(queue.review(now), now);
+        maxAllocatedTokens = Math.max(maxAllocatedTokens, ...queue.counts().heldTokens.values());
     }
-    return { waited, refusedAfter, most };
+    return { waitTimes, refusalTimes, maxAllocatedTokens };
 }
 
 describe("the placement queue", () => {
     it("places a request at once while there is room, at a prefill and a decode engine in one failure domain", () => {
-        const [decision] = pool(3, 3).ask(typicalPlacementRequest("one"), 0);
+        const [decision] = createQueue(3, 3).ask(typicalPlacementRequest("one"), 0);
         expect(decision).to.include({ kind: "placed", attempt: "one" });
         const { prefill, decode } = decision as Extract<PlacementDecision, { kind: "placed"; }>;
         expect(prefill!.split("-")[1]).to.equal(decode.split("-")[1]);
     });
 
     it("never allocates more of an engine's KV cache than it has, in a burst of twice the load", () => {
-        const { most } = replay(pool(3, 10), 20_000, time => time > 5_000 && time < 9_000 ? 38 : 80);
-        expect(most).to.be.at.most(rule.cacheTokens);
+        const { maxAllocatedTokens } = simulateArrivals(
+            createQueue(3, 10),
+            20_000,
+            time => time > 5_000 && time < 9_000 ? 38 : 80,
+        );
+        expect(maxAllocatedTokens).to.be.at.most(rule.cacheTokens);
     });
 
     // Load: 12.5 requests a second, and 26 a second for 4 s, on 10 engines with room for 80 runs of 3.2 s: 25 a second.
     it("serves most of a burst in time, and refuses no request that can still be served", () => {
-        const { waited, refusedAfter } = replay(pool(3, 10), 20_000, time => time > 5_000 && time < 9_000 ? 38 : 80);
-        const late = [...waited.values()].filter(wait => wait > 700).length;
-        expect(refusedAfter.size).to.equal(0);
-        expect(late / waited.size).to.be.below(0.1);
+        const { waitTimes, refusalTimes } = simulateArrivals(
+            createQueue(3, 10),
+            20_000,
+            time => time > 5_000 && time < 9_000 ? 38 : 80,
+        );
+        const late = [...waitTimes.values()].filter(wait => wait > 700).length;
+        expect(refusalTimes.size).to.equal(0);
+        expect(late / waitTimes.size).to.be.below(0.1);
     });
 
     // Load: twice the capacity of the pool, for 12 s. A request that waits beyond its caller's timeout is lost.
     it("refuses early during a lasting overload, and serves the others before their timeout", () => {
-        const { waited, refusedAfter } = replay(pool(3, 10), 12_000, () => 20);
-        const late = [...waited.values()].filter(wait => wait > 3_600).length;
-        expect(refusedAfter.size).to.be.above(0);
+        const { waitTimes, refusalTimes } = simulateArrivals(createQueue(3, 10), 12_000, () => 20);
+        const late = [...waitTimes.values()].filter(wait => wait > 3_600).length;
+        expect(refusalTimes.size).to.be.above(0);
         expect(late).to.equal(0);
-        expect(Math.max(...refusedAfter.values())).to.be.below(3_600);
+        expect(Math.max(...refusalTimes.values())).to.be.below(3_600);
     });
 
     it("refuses a request at once that can't be served before its caller's timeout, with a retry-after time", () => {
-        const queue = pool(1, 1);
+        const queue = createQueue(1, 1);
         for (let number = 0; number < 8; number++) {
             queue.ask(typicalPlacementRequest(`held-${number}`), 0);
         }
@@ -95,7 +107,7 @@
     });
 
     it("moves requests that can't meet their target behind those that still can", () => {
-        const queue = pool(1, 1);
+        const queue = createQueue(1, 1);
         for (let number = 0; number < 8; number++) {
             queue.ask(typicalPlacementRequest(`held-${number}`), 0);
         }
@@ -106,7 +118,7 @@
     });
 
     it("lets a small request overtake one that doesn't fit, for a limited time", () => {
-        const queue = pool(1, 1);
+        const queue = createQueue(1, 1);
         for (let number = 0; number < 7; number++) {
             queue.ask(typicalPlacementRequest(`held-${number}`), 0);
             // Otherwise the queue of prompts alone makes the large request late, and no engine is reserved for late ones.
@@ -121,7 +133,7 @@
     // least loaded engine is reserved for a large request, although enough room is freed only after its target. The large
     // request is late anyway, and so are those that were delayed for it.
     it("lets others overtake a request that would miss its target even with an engine reserved for it", () => {
-        const queue = pool(1, 1);
+        const queue = createQueue(1, 1);
         for (let number = 0; number < 8; number++) {
             queue.ask(typicalPlacementRequest(`held-${number}`), 0);
             queue.prefillCompleted(`held-${number}`, 0);
@@ -134,7 +146,7 @@
     // announcements only. Engines that are ordered to become prefill engines finish their current runs and reject others, but
     // are announced as decode engines until the change is complete.
     it("places nothing at an engine that was ordered to change its stage, until the change or the timeout of the order", () => {
-        const queue = pool(1, 2);
+        const queue = createQueue(1, 2);
         queue.recordStageOrder("decode-0", "prefill", 1_000);
         const decodes = (from: number, now: number): Set<string> => {
             const decisions = Array.from(
@@ -150,7 +162,7 @@
 
     // Guards against first events that are a second late while prompts queue at prefill engines and decode engines are idle.
     it("lets a decode engine run the prefill itself if the queue of the prefill engines is long", () => {
-        const queue = pool(1, 10);
+        const queue = createQueue(1, 10);
         const decisions = Array.from(
             { length: 14 },
             (_, number) => queue.ask(typicalPlacementRequest(`p-${number}`), 0),
@@ -163,8 +175,8 @@
     // engines have room for prefills as well: gateways placed locally while there was no leader and queued prefills, but the
     // new leader counts only those that it assigned itself, and sees short queues.
     it("uses the actual prefill times if others assign prefills to an engine too", () => {
-        const sent = (prefillMilliseconds: number): number => {
-            const queue = pool(2, 10);
+        const countSeparatePrefills = (prefillMilliseconds: number): number => {
+            const queue = createQueue(2, 10);
             let atPrefill = 0;
             for (let number = 0; number < 60; number++) {
                 const now = number * 100;
@@ -177,24 +189,24 @@
             }
             return atPrefill;
         };
-        expect(sent(130)).to.equal(60);
-        expect(sent(1_000)).to.be.below(45);
+        expect(countSeparatePrefills(130)).to.equal(60);
+        expect(countSeparatePrefills(1_000)).to.be.below(45);
     });
 
     it("names no prefill engine if none is ready", () => {
-        const [decision] = pool(0, 2).ask(typicalPlacementRequest("one"), 0);
+        const [decision] = createQueue(0, 2).ask(typicalPlacementRequest("one"), 0);
         expect(decision).to.deep.include({ kind: "placed", prefill: undefined });
     });
 
     it("keeps requests waiting for a pool without announced engines", () => {
-        const queue = pool(0, 0);
+        const queue = createQueue(0, 0);
         expect(queue.ask(typicalPlacementRequest("one"), 0)).to.deep.equal([]);
         queue.setEngines(engines(1, 1), rule);
         expect(placed(queue.review(500))).to.deep.equal(["one"]);
     });
 
     it("uses silent engines if no other is left", () => {
-        const queue = pool(0, 0);
+        const queue = createQueue(0, 0);
         queue.setEngines(engines(1, 2).map(engine => ({ ...engine, state: "silent" as const })), rule);
         expect(placed(queue.ask(typicalPlacementRequest("one"), 0))).to.deep.equal(["one"]);
         const [silent, ready] = engines(0, 2);
@@ -204,13 +216,13 @@
     });
 
     it("refuses requests if no engine is announced after a while", () => {
-        const queue = pool(0, 0);
+        const queue = createQueue(0, 0);
         queue.ask(typicalPlacementRequest("one"), 0);
         expect(refused(queue.review(2_000))).to.deep.equal(["one"]);
     });
 
     it("avoids a failed engine, for the request itself and for a while for all", () => {
-        const queue = pool(1, 2);
+        const queue = createQueue(1, 2);
         const first = queue.ask(typicalPlacementRequest("one"), 0)[0] as Extract<
             PlacementDecision,
             { kind: "placed"; }
@@ -226,7 +238,7 @@
     });
 
     it("places a resumed run before all that haven't started", () => {
-        const queue = pool(1, 1);
+        const queue = createQueue(1, 1);
         for (let number = 0; number < 8; number++) {
             queue.ask(typicalPlacementRequest(`held-${number}`), 0);
         }
@@ -236,7 +248,7 @@
     });
 
     it("allocates only its share if every gateway places locally", () => {
-        const queue = pool(1, 2, 0.25);
+        const queue = createQueue(1, 2, 0.25);
         const decisions = Array.from({ length: 8 }, (_, number) => queue.ask(typicalPlacementRequest(`p-${number}`), 0))
             .flat();
         expect(placed(decisions).length).to.equal(4);
@@ -245,7 +257,7 @@
     // Guards against a pool that appears full although its engines are idle: the report of a run's end was lost with its
     // connection, or a gateway crashed.
     it("releases placements that their gateway doesn't list, and those of a gateway that is gone", () => {
-        const queue = pool(1, 1);
+        const queue = createQueue(1, 1);
         queue.ask(typicalPlacementRequest("known", { gateway: "g" }), 0);
         queue.ask(typicalPlacementRequest("lost", { gateway: "g" }), 0);
         queue.reconcile(
@@ -260,17 +272,17 @@
     });
 
     it("adds the placements of a previous leader at a new one", () => {
-        const queue = pool(1, 1);
-        const held = Array.from(
+        const queue = createQueue(1, 1);
+        const reported = Array.from(
             { length: 8 },
             (_, number) => ({ demand: typicalPlacementRequest(`h-${number}`), decode: "decode-0" }),
         );
-        queue.reconcile("gateway", held, 1_500, 0);
+        queue.reconcile("gateway", reported, 1_500, 0);
         expect(placed(queue.ask(typicalPlacementRequest("next"), 1))).to.deep.equal([]);
     });
 
     it("drops an engine's runs with the engine", () => {
-        const queue = pool(1, 1);
+        const queue = createQueue(1, 1);
         queue.ask(typicalPlacementRequest("one"), 0);
         queue.setEngines([announced({ id: "decode-9", stage: "decode" })], rule);
         expect(queue.counts().heldTokens.get("decode-9")).to.equal(0);
@@ -280,7 +292,7 @@
         const step = fc.record({ kind: fc.constantFrom("ask", "release", "withdraw", "review"), number: fc.nat(30) });
         fc.assert(
             fc.property(fc.array(step, { maxLength: 200 }), steps => {
-                const queue = pool(2, 3);
+                const queue = createQueue(2, 3);
                 steps.forEach(({ kind, number }, at) => {
                     const now = at * 20;
                     const attempt = `p-${number}`;
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/runRejections.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/runRejections.spec.ts
@@ -7,23 +7,27 @@
 describe("blame for a rejected run", () => {
     it("falls on a decode engine that rejects runs of several prefill engines", () => {
         const rejections = RunRejections.create();
-        const blamed = ["p1", "p2", "p3", "p1"].map((prefill, at) => rejections.blame(prefill, "full", at));
-        expect(blamed).to.deep.equal(["full", "full", "full", "full"]);
+        const faultyEngines = ["p1", "p2", "p3", "p1"].map((prefill, at) =>
+            rejections.recordRejection(prefill, "full", at)
+        );
+        expect(faultyEngines).to.deep.equal(["full", "full", "full", "full"]);
     });
 
     it("falls on a prefill engine whose runs are rejected by several decode engines", () => {
         const rejections = RunRejections.create();
-        const blamed = ["d1", "d2", "d3"].map((decode, at) => rejections.blame("expiring", decode, at));
-        expect(blamed).to.deep.equal(["d1", "expiring", "expiring"]);
+        const faultyEngines = ["d1", "d2", "d3"].map((decode, at) =>
+            rejections.recordRejection("expiring", decode, at)
+        );
+        expect(faultyEngines).to.deep.equal(["d1", "expiring", "expiring"]);
     });
 
     it("falls on the decode engine if it ran the prefill itself", () => {
-        expect(RunRejections.create().blame(undefined, "d", 0)).to.equal("d");
+        expect(RunRejections.create().recordRejection(undefined, "d", 0)).to.equal("d");
     });
 
     it("doesn't count rejections older than the window", () => {
         const rejections = RunRejections.create();
-        rejections.blame("expiring", "d1", 0);
-        expect(rejections.blame("expiring", "d2", 5_000)).to.equal("d2");
+        rejections.recordRejection("expiring", "d1", 0);
+        expect(rejections.recordRejection("expiring", "d2", 5_000)).to.equal("d2");
     });
 });
--- a/packages/basilpaddle/src/node/coordination/gateway/announcements.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/announcements.ts
@@ -2,15 +2,15 @@
 import { LatestIncarnations } from "./latestIncarnations.js";
 
 /** Number of missed heartbeats after which a backend server counts as silent. */
-const missedHeartbeatLimit = 3;
-/** How long a backend server that has left is remembered; no message about it is in flight for longer. */
+const maxMissedHeartbeats = 3;
+/** How long a backend server that has left is kept; delayed messages about it arrive within this time. */
 const leftRetentionMilliseconds = 60_000;
 
 /**
- * The same limit for a backend server restored after a restart of this directory: it sends its heartbeats to this or
- * another directory as soon as one accepts connections again.
+ * The same limit for a backend server restored after a restart of this directory. It is lower because the server sends its
+ * heartbeats to this or another directory as soon as one accepts connections again.
  */
-const restoredMissedHeartbeatLimit = 2;
+const maxMissedHeartbeatsAfterRestore = 2;
 
 type AnnouncementEntry = {
     announced: ServerAnnouncement;
@@ -42,9 +42,9 @@
         if (this.incarnations.isOutdated(announced)) {
             return false;
         }
-        const before = this.incarnations.recordLatest(announced);
-        if (before !== undefined) {
-            this.markLeft(before, now);
+        const previousId = this.incarnations.recordLatest(announced);
+        if (previousId !== undefined) {
+            this.markLeft(previousId, now);
         }
         const known = this.entries.get(announced.id);
         if (known !== undefined && known.announced.state === "left") {
@@ -69,7 +69,7 @@
      * all requests.
      */
     restoreServer(announced: ServerAnnouncement, now: number): void {
-        const receivedAt = now - (missedHeartbeatLimit - restoredMissedHeartbeatLimit) * this.heartbeat;
+        const receivedAt = now - (maxMissedHeartbeats - maxMissedHeartbeatsAfterRestore) * this.heartbeat;
         this.incarnations.recordLatest(announced);
         this.entries.set(announced.id, {
             announced,
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Applies an announcement from another directory: a backend server that sends it heartbeats needs no restored entry here,
-     * which would soon mark the server silent.
+     * Applies an announcement from another directory. If the backend server sends its heartbeats there, the restored entry
+     * here is removed; otherwise this directory would soon mark the server silent.
      */
     confirm(other: ServerAnnouncement): void {
         const known = this.entries.get(other.id);
@@ -126,7 +126,7 @@
             if (state === "left" && now - known.receivedAt > leftRetentionMilliseconds) {
                 this.entries.delete(id);
             }
-            const silent = now - known.receivedAt > missedHeartbeatLimit * this.heartbeat;
+            const silent = now - known.receivedAt > maxMissedHeartbeats * this.heartbeat;
             if (silent && (state === "ready" || state === "draining")) {
                 known.announced = { ...known.announced, state: "silent" };
                 known.changeNumber = this.nextChangeNumber();
@@ -138,9 +138,9 @@
 
     /**
      * Checks the announcement of another directory that a backend server is silent; returns whether this directory has a
-     * newer heartbeat and therefore announces the server again. A backend server that switched to this directory is silent
-     * at the previous one. Its heartbeats are no change here and aren't forwarded, so that all gateways would consider it
-     * silent until something else changes, and a pool would appear to have no engine.
+     * newer heartbeat and therefore announces the server again. A backend server that switched to this directory becomes
+     * silent at the previous one. Here its heartbeats contain no change and aren't forwarded, so without this check all
+     * gateways would consider it silent until its state changes, and a pool could appear to have no engine.
      */
     refutes(other: ServerAnnouncement): boolean {
         const known = this.entries.get(other.id);
--- a/packages/basilpaddle/src/node/coordination/gateway/callTally.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/callTally.ts
@@ -2,26 +2,26 @@
 import type { CallOutcome } from "./serverChoice.js";
 
 /** Weight of one call in the moving average of a service's response times. */
-const meanTimeWeight = 0.1;
+const responseTimeWeight = 0.1;
 /** Assumed response time of a service until a call has been answered. */
 const initialMeanMilliseconds = 50;
 /**
- * Multiple of the mean response time, and minimum time, after which an open call counts as failed: calls to a server that
- * hangs never end.
+ * An open call counts as failed after this multiple of the service's mean response time, but not before the minimum: calls
+ * to a server that hangs never end.
  */
-const hangFactor = 4;
-const minimumHangMilliseconds = 300;
+const hangTimeoutFactor = 4;
+const minHangMilliseconds = 300;
 
 /** A call in progress. */
 export type OpenCall = { readonly server: ServerAnnouncement; readonly startedAt: number; isCounted: boolean; };
 
 /**
  * Counts answered and failed calls of this gateway to plain services; the leader sums the counts of all gateways. With
- * hundreds of gateways, each makes one call in a second or two and would by itself detect a failing server too late.
+ * hundreds of gateways, each makes one call every second or two, too few to detect a failing server in time by itself.
  */
 export class CallTally {
     private readonly open = new Set<OpenCall>();
-    private readonly meanTimes = new Map<string, number>();
+    private readonly meanResponseTimes = new Map<string, number>();
     private counts = new Map<string, { service: string; answered: number; failed: number; }>();
 
     static create(): CallTally {
@@ -29,37 +29,37 @@
     }
 
     /** Records the start of a call. */
-    began(server: ServerAnnouncement, now: number): OpenCall {
+    recordStart(server: ServerAnnouncement, now: number): OpenCall {
         const call = { server, startedAt: now, isCounted: false };
         this.open.add(call);
         return call;
     }
 
     /** Records the outcome of a call, unless it was already counted as failed. */
-    ended(call: OpenCall, outcome: CallOutcome, now: number): void {
+    recordOutcome(call: OpenCall, outcome: CallOutcome, now: number): void {
         this.open.delete(call);
         const { service } = call.server;
         if (outcome === "answered") {
-            const mean = this.meanTimes.get(service) ?? initialMeanMilliseconds;
-            this.meanTimes.set(service, mean + meanTimeWeight * (now - call.startedAt - mean));
+            const mean = this.meanResponseTimes.get(service) ?? initialMeanMilliseconds;
+            this.meanResponseTimes.set(service, mean + responseTimeWeight * (now - call.startedAt - mean));
         }
         if (!call.isCounted) {
-            this.count(call, outcome === "answered");
+            this.addCount(call, outcome === "answered");
         }
     }
 
     /** Discards an open call whose caller disconnected: it says nothing about the server. */
-    dropped(call: OpenCall): void {
+    discardCall(call: OpenCall): void {
         this.open.delete(call);
     }
 
     /** Returns the counts since the previous call and resets them. */
     takeCounts(now: number): ServerCalls[] {
         for (const call of this.open) {
-            const mean = this.meanTimes.get(call.server.service) ?? initialMeanMilliseconds;
-            if (!call.isCounted && now - call.startedAt > Math.max(minimumHangMilliseconds, hangFactor * mean)) {
+            const mean = this.meanResponseTimes.get(call.server.service) ?? initialMeanMilliseconds;
+            if (!call.isCounted && now - call.startedAt > Math.max(minHangMilliseconds, hangTimeoutFactor * mean)) {
                 call.isCounted = true;
-                this.count(call, false);
+                this.addCount(call, false);
             }
         }
         const counts = [...this.counts].map(([id, count]) => ({ id, ...count }));
@@ -67,7 +67,7 @@
         return counts;
     }
 
-    private count(call: OpenCall, isAnswered: boolean): void {
+    private addCount(call: OpenCall, isAnswered: boolean): void {
         const { id, service } = call.server;
         const count = this.counts.get(id) ?? { service, answered: 0, failed: 0 };
         this.counts.set(id, count);
--- a/packages/basilpaddle/src/node/coordination/gateway/directoryWatcher.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/directoryWatcher.ts
@@ -18,14 +18,14 @@
  * directories, and every request waits until a directory is reached.
  */
 const initialBackoffMilliseconds = 100;
-const maximumBackoffMilliseconds = 250;
-/** How long the preferred directory has to send a newer configuration before it is requested from another one. */
+const maxBackoffMilliseconds = 250;
+/** How long to wait for a newer configuration from the preferred directory before requesting it from another one. */
 const documentGraceMilliseconds = 150;
 /** Timeout of a request for a configuration. */
 const documentTimeoutMilliseconds = 1_000;
 /** How long the highest gateway count is kept: two windows of the retry allowance that the gateways share. */
 const gatewayCountRetentionMilliseconds = 20_000;
-/** How long after the start gateway counts may be too low, and the number of gateways assumed meanwhile. */
+/** How long after the start the reported gateway counts may be too low, and the number of gateways assumed until then. */
 const defaultSettleMilliseconds = 4_000;
 const assumedGateways = 100;
 /** Timeout and number of attempts of a crash report to a directory: its link may fail, or it may be starting. */
@@ -33,9 +33,9 @@
 const reportAttempts = 8;
 /** How long crash records are collected for one report: one engine's crash ends dozens of runs. */
 const reportDelayMilliseconds = 10;
-/** Maximum number of records resent to a directory that has restarted: hundreds of gateways do so at once. */
-const maximumResentRecords = 200;
-/** How long after no other directory names it any more an unreachable directory is dropped. */
+/** Maximum number of records that are resent to a directory after its restart: hundreds of gateways resend theirs at once. */
+const maxResentRecords = 200;
+/** An unreachable directory is dropped after this time without being listed as a member by any other directory. */
 const forgetAfterMilliseconds = 20_000;
 
 /** Options of a directory watcher. */
@@ -52,7 +52,7 @@
     /** Milliseconds after the start in which the gateway count may be too low. @default 4000 */
     readonly settleTime?: number | undefined;
     readonly onAnnounced: (announced: ServerAnnouncement) => void;
-    /** Retries that this gateway borrowed within the last window, reported for the sake of a new leader. @default none */
+    /** Retries that this gateway borrowed within the last window; a new leader counts them as lent. @default none */
     readonly borrowed?: () => WatchRequest["borrowed"];
     /** Called with records of requests during which backend servers crashed. */
     readonly onCrashes: (records: readonly CrashRecord[]) => void;
@@ -78,22 +78,22 @@
     members: readonly string[];
     leader: string | undefined;
     ejected: readonly string[];
-    lastNamedAt: number;
+    lastListedAt: number;
 };
 
 /**
- * Watches all directories of the deployment in parallel and discovers them from those that it reaches. Each directory
- * sends only the announcements that it received itself, so that they travel a single hop and the loss of one directory
- * doesn't withhold those of the others.
+ * Watches all directories of the deployment in parallel, and discovers them from the member lists of those that it reaches.
+ * Each directory sends only the announcements that it received itself: they travel a single hop, and the loss of one
+ * directory doesn't affect the announcements of the others.
  */
 export class DirectoryWatcher {
     private readonly directories = new Map<string, WatchedDirectory>();
     private version = -1;
-    private highestCount = 1;
-    private highestCountAt = 0;
+    private highestGatewayCount = 1;
+    private highestGatewayCountAt = 0;
     private readonly startedAt: number;
     private closed = false;
-    private unreported: CrashRecord[] = [];
+    private unreportedCrashes: CrashRecord[] = [];
 
     private constructor(private readonly options: DirectoryWatcherOptions) {
         this.startedAt = options.clock.monotonic();
@@ -107,13 +107,13 @@
 
     /** Name of the leader according to most of the reached directories. */
     leader(): string | undefined {
-        const votes = new Map<string, number>();
-        for (const directory of this.reached()) {
+        const votesByLeader = new Map<string, number>();
+        for (const directory of this.reachedDirectories()) {
             if (directory.leader !== undefined) {
-                votes.set(directory.leader, (votes.get(directory.leader) ?? 0) + 1);
+                votesByLeader.set(directory.leader, (votesByLeader.get(directory.leader) ?? 0) + 1);
             }
         }
-        return [...votes].sort(([, one], [, other]) => other - one)[0]?.[0];
+        return [...votesByLeader].sort(([, one], [, other]) => other - one)[0]?.[0];
     }
 
     /** Ejected backend servers of plain services according to the leader; empty while the leader isn't reached. */
@@ -129,38 +129,40 @@
 
     /** Number of gateways of the deployment, including this one. */
     gateways(): number {
-        return Math.max(1, ...this.reached().map(directory => directory.gateways));
+        return Math.max(1, ...this.reachedDirectories().map(directory => directory.gateways));
     }
 
     /**
      * Highest recent gateway count. A directory that has just started counts only the gateways that have reconnected so far;
-     * with that count each gateway would take a share of the common allowance that is many times too large.
+     * with that count each gateway's share of the common retry allowance would be many times too large.
      */
     highestRecentGateways(): number {
         const now = this.options.clock.monotonic();
         const current = this.gateways();
-        if (current >= this.highestCount || now - this.highestCountAt > gatewayCountRetentionMilliseconds) {
-            this.highestCount = current;
-            this.highestCountAt = now;
+        if (
+            current >= this.highestGatewayCount || now - this.highestGatewayCountAt > gatewayCountRetentionMilliseconds
+        ) {
+            this.highestGatewayCount = current;
+            this.highestGatewayCountAt = now;
         }
-        const settled = this.reached().some(directory => directory.gatewaysSettled);
+        const settled = this.reachedDirectories().some(directory => directory.gatewaysSettled);
         const unsettled = !settled && now - this.startedAt < (this.options.settleTime ?? defaultSettleMilliseconds);
-        return unsettled ? Math.max(this.highestCount, assumedGateways) : this.highestCount;
+        return unsettled ? Math.max(this.highestGatewayCount, assumedGateways) : this.highestGatewayCount;
     }
 
     /** Whether more than half of the named members answered their last watch request. */
     reachesMajority(): boolean {
-        const reached = this.reached();
-        const named = new Set(reached.flatMap(directory => directory.members));
-        return reached.filter(directory => named.has(directory.name)).length * 2 > named.size;
+        const reached = this.reachedDirectories();
+        const listedMembers = new Set(reached.flatMap(directory => directory.members));
+        return reached.filter(directory => listedMembers.has(directory.name)).length * 2 > listedMembers.size;
     }
 
     /** Reports requests during which backend servers crashed to every directory, not only the leader: any may fail next. */
     report(records: readonly CrashRecord[]): void {
-        if (this.unreported.length === 0) {
-            this.options.clock.after(reportDelayMilliseconds, () => this.sendReport());
+        if (this.unreportedCrashes.length === 0) {
+            this.options.clock.after(reportDelayMilliseconds, () => this.sendCrashReports());
         }
-        this.unreported.push(...records);
+        this.unreportedCrashes.push(...records);
     }
 
     /** Stops watching. */
@@ -169,7 +171,7 @@
         this.directories.forEach(directory => directory.link.close());
     }
 
-    private reached(): WatchedDirectory[] {
+    private reachedDirectories(): WatchedDirectory[] {
         return [...this.directories.values()].filter(directory => directory.reached);
     }
 
@@ -178,7 +180,7 @@
         for (const name of names) {
             const known = this.directories.get(name);
             if (known !== undefined) {
-                known.lastNamedAt = now;
+                known.lastListedAt = now;
                 continue;
             }
             const address = parseAddress(name);
@@ -199,39 +201,39 @@
                 members: [],
                 leader: undefined,
                 ejected: [],
-                lastNamedAt: now,
+                lastListedAt: now,
             };
             this.directories.set(name, directory);
-            void this.follow(directory);
+            void this.watchUntilForgotten(directory);
         }
     }
 
-    private async follow(directory: WatchedDirectory): Promise<void> {
+    private async watchUntilForgotten(directory: WatchedDirectory): Promise<void> {
         let backoff = initialBackoffMilliseconds;
-        while (!this.closed && this.isNamed(directory)) {
-            const watched = await this.watch(directory);
-            if (watched !== undefined) {
+        while (!this.closed && this.isListed(directory)) {
+            const update = await this.sendWatchRequest(directory);
+            if (update !== undefined) {
                 backoff = initialBackoffMilliseconds;
-                this.applyUpdate(directory, watched);
+                this.applyUpdate(directory, update);
                 continue;
             }
             this.markUnreachable(directory);
             await new Promise<void>(resolve => this.options.clock.after(backoff, resolve));
-            backoff = Math.min(maximumBackoffMilliseconds, 2 * backoff);
+            backoff = Math.min(maxBackoffMilliseconds, 2 * backoff);
             this.addDirectories(this.options.seeds());
         }
         directory.link.close();
         this.directories.delete(directory.name);
     }
 
-    private async watch(directory: WatchedDirectory): Promise<WatchUpdate | undefined> {
+    private async sendWatchRequest(directory: WatchedDirectory): Promise<WatchUpdate | undefined> {
         const { name, observer } = this.options;
         const wantsDocument = this.wantsDocument(directory);
         const borrowed = this.options.borrowed?.() ?? [];
         const answer = await directory.link.request({
             kind: "watch",
             gateway: name,
-            // A directory that isn't asked for the document must not answer each watch at once because it has a newer one.
+            // A directory with a newer document answers at once. Unless the document is wanted from it, that must not happen.
             version: wantsDocument ? this.version : Math.max(this.version, directory.version),
             incarnation: directory.incarnation,
             cursor: directory.cursor,
@@ -244,55 +246,55 @@
         return parsed.success ? parsed.data : undefined;
     }
 
-    private applyUpdate(directory: WatchedDirectory, watched: WatchUpdate): void {
+    private applyUpdate(directory: WatchedDirectory, update: WatchUpdate): void {
         if (!directory.reached) {
-            this.options.logger.info("a directory is reached", { directory: directory.name, version: watched.version });
+            this.options.logger.info("a directory is reached", { directory: directory.name, version: update.version });
         }
-        if (directory.incarnation !== watched.incarnation) {
+        if (directory.incarnation !== update.incarnation) {
             this.resendKnownCrashes(directory);
         }
         directory.reached = true;
-        directory.incarnation = watched.incarnation;
-        directory.cursor = watched.cursor;
-        directory.crashCursor = watched.crashCursor ?? 0;
-        directory.failureDomain = watched.failureDomain;
-        directory.gateways = watched.gateways;
-        directory.gatewaysSettled = watched.gatewaysSettled ?? false;
-        directory.version = watched.version;
-        directory.members = watched.members;
-        directory.leader = watched.leader;
-        directory.ejected = watched.ejected ?? [];
-        this.addDirectories(watched.members);
-        watched.announced.forEach(announced => this.options.onAnnounced(announced));
-        if (watched.crashes !== undefined) {
-            this.options.onCrashes(watched.crashes);
+        directory.incarnation = update.incarnation;
+        directory.cursor = update.cursor;
+        directory.crashCursor = update.crashCursor ?? 0;
+        directory.failureDomain = update.failureDomain;
+        directory.gateways = update.gateways;
+        directory.gatewaysSettled = update.gatewaysSettled ?? false;
+        directory.version = update.version;
+        directory.members = update.members;
+        directory.leader = update.leader;
+        directory.ejected = update.ejected ?? [];
+        this.addDirectories(update.members);
+        update.announced.forEach(announced => this.options.onAnnounced(announced));
+        if (update.crashes !== undefined) {
+            this.options.onCrashes(update.crashes);
         }
-        if (watched.document !== undefined) {
-            this.applyDocument(watched.document.version, watched.document.packed);
+        if (update.document !== undefined) {
+            this.applyDocument(update.document.version, update.document.packed);
         }
-        else if (watched.version > this.version && this.options.onDocument !== undefined) {
+        else if (update.version > this.version && this.options.onDocument !== undefined) {
             this.options.clock.after(
                 documentGraceMilliseconds,
-                () => void this.fetchDocument(directory, watched.version),
+                () => void this.fetchDocument(directory, update.version),
             );
         }
     }
 
-    private sendReport(): void {
-        const records = this.unreported;
-        this.unreported = [];
-        this.directories.forEach(directory => void this.deliver(directory, { kind: "crashes", records }));
+    private sendCrashReports(): void {
+        const records = this.unreportedCrashes;
+        this.unreportedCrashes = [];
+        this.directories.forEach(directory => void this.sendCrashReport(directory, { kind: "crashes", records }));
     }
 
     private resendKnownCrashes(directory: WatchedDirectory): void {
-        const records = this.options.knownCrashes().slice(0, maximumResentRecords);
+        const records = this.options.knownCrashes().slice(0, maxResentRecords);
         if (records.length > 0) {
-            void this.deliver(directory, { kind: "crashes", records: [...records] });
+            void this.sendCrashReport(directory, { kind: "crashes", records: [...records] });
         }
     }
 
-    private async deliver(directory: WatchedDirectory, report: CrashReport): Promise<void> {
-        for (let turn = 0; turn < reportAttempts && !this.closed; turn++) {
+    private async sendCrashReport(directory: WatchedDirectory, report: CrashReport): Promise<void> {
+        for (let attempt = 0; attempt < reportAttempts && !this.closed; attempt++) {
             const answer = await directory.link.request(report, reportTimeoutMilliseconds);
             if (answer.isRight()) {
                 return;
@@ -320,8 +322,8 @@
         if (this.options.onDocument === undefined) {
             return false;
         }
-        const nearby = this.reached().filter(other => other.failureDomain === this.options.failureDomain);
-        const [preferred] = nearby.length > 0 ? nearby : this.reached();
+        const nearby = this.reachedDirectories().filter(other => other.failureDomain === this.options.failureDomain);
+        const [preferred] = nearby.length > 0 ? nearby : this.reachedDirectories();
         return this.version < 0 || preferred === undefined || preferred === directory;
     }
 
@@ -348,8 +350,8 @@
         }
     }
 
-    private isNamed(directory: WatchedDirectory): boolean {
-        return directory.reached || this.options.clock.monotonic() - directory.lastNamedAt < forgetAfterMilliseconds
+    private isListed(directory: WatchedDirectory): boolean {
+        return directory.reached || this.options.clock.monotonic() - directory.lastListedAt < forgetAfterMilliseconds
             || this.options.seeds().includes(directory.name);
     }
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/engineLoad.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/engineLoad.ts
@@ -8,7 +8,7 @@
 const prefillOverheadMilliseconds = 10;
 /** Weight of one prefill in the moving average of the time per token. */
 const tokenTimeWeight = 0.1;
-/** Prefills that took longer than the expected time by this factor were delayed by something else and aren't counted. */
+/** A prefill that takes longer than expected by this factor was delayed by something else; it isn't averaged. */
 const outlierFactor = 4;
 /** Score penalty of a full engine over an empty one: larger batches take longer for each token. */
 const loadPenaltyMilliseconds = 60;
@@ -16,20 +16,23 @@
 const crossDomainPenaltyMilliseconds = 80;
 /** Initial and maximum time for which an engine receives no work after a failure. */
 const initialPauseMilliseconds = 800;
-const maximumPauseMilliseconds = 8_000;
-/** How long an engine receives no work after a rejected run: about the time until a run of a full engine ends. */
+const maxPauseMilliseconds = 8_000;
+/** How long an engine receives no work after a rejected run: about the time until one of a full engine's runs ends. */
 const rejectionPauseMilliseconds = 400;
 
-/** Ratio of actual to expected duration of a prefill without prefills from elsewhere: hosts and network paths differ. */
+/**
+ * Ratio of actual to expected prefill duration that is normal even if no other daemon assigns prefills to the engine: hosts
+ * and network paths differ.
+ */
 const expectedDelayFactor = 1.5;
 /**
- * Additional delay factor of one engine's prefills: its bounds, the weight of one prefill, and the half-life of the factor.
- * An engine may also run prefills that this instance doesn't know: those of gateways that placed locally while there was no
- * leader. Just after an election, prefills therefore take long although the leader sees short queues.
+ * Delay factor of one engine's prefills: its bounds, the weight of one prefill, and its half-life. It accounts for prefills
+ * that this instance didn't assign: gateways place locally while there is no leader, so that just after an election prefills
+ * take long although the leader knows of short queues only.
  */
-const minimumDelayFactor = 1;
-const maximumDelayFactor = 4;
-const delayWeight = 0.3;
+const minDelayFactor = 1;
+const maxDelayFactor = 4;
+const delayFactorWeight = 0.3;
 const delayHalfLifeMilliseconds = 2_000;
 
 /** KV cache tokens and slots of one engine that may be allocated. */
@@ -46,15 +49,15 @@
 /** The tracked state of one engine: its announcement, and the runs and prefills assigned to it. */
 export class EngineLoad {
     /** Allocated tokens of KV cache. */
-    tokens = 0;
+    allocatedTokens = 0;
     private readonly allocations = new Map<string, number>();
     private readonly prefills = new Map<string, PendingPrefill>();
     private prefillTokens = 0;
     private prefillingSince = 0;
-    private tokenTime = defaultPrefillMillisecondsPerToken;
-    private failures = 0;
+    private millisecondsPerToken = defaultPrefillMillisecondsPerToken;
+    private consecutiveFailures = 0;
     private pausedUntil = 0;
-    private delayFactor = minimumDelayFactor;
+    private delayFactor = minDelayFactor;
     private delayMeasuredAt = 0;
     private stageOrder: { readonly stage: ServerAnnouncement["stage"]; readonly until: number; } | undefined;
 
@@ -78,7 +81,7 @@
      * itself as ready in its old stage until the change is complete; prefills for rejected runs would be wasted.
      * `until`: when the order is considered failed.
      */
-    noteStageOrder(stage: ServerAnnouncement["stage"], until: number): void {
+    setStageOrder(stage: ServerAnnouncement["stage"], until: number): void {
         this.stageOrder = { stage, until };
     }
 
@@ -92,12 +95,12 @@
         if (this.allocations.size === 0) {
             return true;
         }
-        return this.allocations.size < capacity.slots && this.tokens + request.cacheTokens <= capacity.tokens;
+        return this.allocations.size < capacity.slots && this.allocatedTokens + request.cacheTokens <= capacity.tokens;
     }
 
     /** Score penalty for the engine's load, in milliseconds. */
     loadPenalty(capacity: EngineCapacity): number {
-        return loadPenaltyMilliseconds * this.tokens / Math.max(1, capacity.tokens);
+        return loadPenaltyMilliseconds * this.allocatedTokens / Math.max(1, capacity.tokens);
     }
 
     /** Score penalty for transferring the KV cache to the decode engine, in milliseconds. */
@@ -108,7 +111,7 @@
     /** Allocates KV cache for a run. */
     addRun(attempt: string, tokens: number): void {
         this.allocations.set(attempt, tokens);
-        this.tokens += tokens;
+        this.allocatedTokens += tokens;
     }
 
     /** Frees a run's KV cache. */
@@ -116,7 +119,7 @@
         const tokens = this.allocations.get(attempt);
         if (tokens !== undefined) {
             this.allocations.delete(attempt);
-            this.tokens = this.allocations.size === 0 ? 0 : this.tokens - tokens;
+            this.allocatedTokens = this.allocations.size === 0 ? 0 : this.allocatedTokens - tokens;
         }
     }
 
@@ -132,46 +135,48 @@
 
     /** Records a completed prefill, and updates the time per token if no other prefill was pending meanwhile. */
     prefillCompleted(attempt: string, now: number): void {
-        const work = this.prefills.get(attempt);
+        const prefill = this.prefills.get(attempt);
         if (
-            work !== undefined && this.prefills.size === 1 && work.addedAt === this.prefillingSince && work.tokens > 0
+            prefill !== undefined && this.prefills.size === 1 && prefill.addedAt === this.prefillingSince
+            && prefill.tokens > 0
         ) {
-            const seen = Math.max(0, now - work.addedAt - prefillOverheadMilliseconds) / work.tokens;
-            if (seen < outlierFactor * this.tokenTime) {
-                this.tokenTime += tokenTimeWeight * (seen - this.tokenTime);
+            const observed = Math.max(0, now - prefill.addedAt - prefillOverheadMilliseconds) / prefill.tokens;
+            if (observed < outlierFactor * this.millisecondsPerToken) {
+                this.millisecondsPerToken += tokenTimeWeight * (observed - this.millisecondsPerToken);
             }
         }
-        if (work !== undefined) {
-            this.noteDelay(work.expectedMilliseconds, now - work.addedAt, now);
+        if (prefill !== undefined) {
+            this.updateDelayFactor(prefill.expectedMilliseconds, now - prefill.addedAt, now);
         }
-        this.dropPrefill(attempt, now);
-        this.noteSuccess();
+        this.removePrefill(attempt, now);
+        this.recordSuccess();
     }
 
-    /** Removes a prefill that has completed or was given up. */
-    dropPrefill(attempt: string, now: number): void {
-        const work = this.prefills.get(attempt);
-        if (work !== undefined) {
+    /** Removes a prefill that has completed or was abandoned. */
+    removePrefill(attempt: string, now: number): void {
+        const prefill = this.prefills.get(attempt);
+        if (prefill !== undefined) {
             this.prefills.delete(attempt);
-            this.prefillTokens -= work.tokens;
+            this.prefillTokens -= prefill.tokens;
             this.prefillingSince = now;
         }
     }
 
     /** Expected milliseconds until the pending prefills are complete. */
     queueDelay(now: number): number {
-        const work = this.prefillTokens * this.tokenTime + this.prefills.size * prefillOverheadMilliseconds;
-        return Math.max(0, this.prefillingSince + work - now, this.prefills.size > 0 ? work / 2 : 0);
+        const totalWork = this.prefillTokens * this.millisecondsPerToken
+            + this.prefills.size * prefillOverheadMilliseconds;
+        return Math.max(0, this.prefillingSince + totalWork - now, this.prefills.size > 0 ? totalWork / 2 : 0);
     }
 
     /** Expected milliseconds until a new prefill is complete, after the pending ones and those that others assigned. */
     prefillDelay(tokens: number, now: number): number {
-        return (this.queueDelay(now) + this.prefillTime(tokens)) * this.currentDelay(now);
+        return (this.queueDelay(now) + this.prefillTime(tokens)) * this.currentDelayFactor(now);
     }
 
     /** Expected milliseconds of a prefill, without the time in the queue. */
     prefillTime(tokens: number): number {
-        return tokens * this.tokenTime + prefillOverheadMilliseconds;
+        return tokens * this.millisecondsPerToken + prefillOverheadMilliseconds;
     }
 
     /** Expected milliseconds until a decode engine completes a prefill itself: at about half the speed, after its pending ones. */
@@ -180,38 +185,39 @@
     }
 
     /** Records a failure and pauses the engine. One with a stalled link appears idle and would otherwise receive more runs. */
-    noteFailure(now: number): void {
+    recordFailure(now: number): void {
         if (now >= this.pausedUntil) {
-            this.pausedUntil = now + Math.min(maximumPauseMilliseconds, initialPauseMilliseconds * 2 ** this.failures);
-            this.failures += 1;
+            this.pausedUntil = now
+                + Math.min(maxPauseMilliseconds, initialPauseMilliseconds * 2 ** this.consecutiveFailures);
+            this.consecutiveFailures += 1;
         }
     }
 
-    /** Records a rejected run for which this engine is at fault: it is full, or its KV caches expire. */
-    noteRejection(now: number): void {
+    /** Pauses the engine after a rejected run for which it is at fault: it is full, or its KV caches expire. */
+    recordRejection(now: number): void {
         this.pausedUntil = Math.max(this.pausedUntil, now + rejectionPauseMilliseconds);
     }
 
     /** Records successful work, which ends a pause. */
-    noteSuccess(): void {
-        this.failures = 0;
+    recordSuccess(): void {
+        this.consecutiveFailures = 0;
         this.pausedUntil = 0;
     }
 
     /** Updates the delay factor by the expected and the actual duration of a prefill. */
-    private noteDelay(expected: number, taken: number, now: number): void {
+    private updateDelayFactor(expected: number, actual: number, now: number): void {
         const seen = Math.min(
-            maximumDelayFactor,
-            Math.max(minimumDelayFactor, taken / (expectedDelayFactor * Math.max(1, expected))),
+            maxDelayFactor,
+            Math.max(minDelayFactor, actual / (expectedDelayFactor * Math.max(1, expected))),
         );
-        const current = this.currentDelay(now);
-        this.delayFactor = current + delayWeight * (seen - current);
+        const current = this.currentDelayFactor(now);
+        this.delayFactor = current + delayFactorWeight * (seen - current);
         this.delayMeasuredAt = now;
     }
 
-    private currentDelay(now: number): number {
-        return minimumDelayFactor
-            + (this.delayFactor - minimumDelayFactor)
+    private currentDelayFactor(now: number): number {
+        return minDelayFactor
+            + (this.delayFactor - minDelayFactor)
                 * 0.5 ** ((now - this.delayMeasuredAt) / delayHalfLifeMilliseconds);
     }
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/enginePool.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/enginePool.ts
@@ -13,15 +13,15 @@
 const decodePrefillPenaltyMilliseconds = 200;
 
 /**
- * Score penalty of an engine whose streams are all late because of the link: a late answer is worth a fifth of one in time,
- * which is about the cost of waiting past the target.
+ * Score penalty of an engine whose streams are all late because of the link. A late answer is worth a fifth of one in time,
+ * so this is about as costly as waiting past the target.
  */
 const lateAnswerPenaltyMilliseconds = 600;
 /** Events of an answer, each of which may stall: an answer of 900 tokens in events of 11 or 13 tokens has about this many. */
 const eventsPerAnswer = 70;
 /** Packets of a prefill call, and the delay that a lost one causes. */
 const packetsPerCall = 4;
-const packetLossDelayMilliseconds = 250;
+const lostPacketDelayMilliseconds = 250;
 
 /** Parameters of placement. */
 export type PlacementTuning = {
@@ -30,29 +30,29 @@
     /** Fraction of each engine that this instance may allocate: 1 if no other instance places requests. */
     readonly share: number;
     /**
-     * Maximum random penalty in milliseconds for each pair of request and engine. Gateways that place locally all see idle
-     * engines: without the penalty they choose the same ones first, and most runs are rejected. @default 0
+     * Maximum random score penalty in milliseconds for each pair of request and engine. To gateways that place locally all
+     * engines appear idle: without the penalty they choose the same ones first, and most runs are rejected. @default 0
      */
     readonly scatter?: number;
     /**
-     * Penalty in milliseconds of an engine in another failure domain than the gateway. It isn't used for local placement:
-     * gateways that place locally don't know of each other, and those of one domain would fill only that domain's engines.
+     * Score penalty in milliseconds of an engine in another failure domain than the gateway. It isn't used for local
+     * placement: gateways don't know each other's local placements, and those of one domain would fill only its engines.
      * @default 0
      */
     readonly farWeight?: number;
 };
 
 /**
- * Tuning of a leader, which places the requests of all gateways. The penalty of engines in other domains is half of that of
- * full ones, so that engines in the gateway's domain fill up only a little more: fewer streams cross a link when it begins
- * to lose packets. A run is allocated the cache that it needs at its end, but on average uses it for half of its answer, so
- * that slightly more than the whole cache can be allocated before runs are preempted.
+ * Tuning of a leader, which places the requests of all gateways. The penalty of an engine in another domain is half of the
+ * penalty of a full one. Engines in the gateway's domain are therefore filled only slightly more than others, but fewer
+ * streams cross a link when it begins to lose packets. A run is allocated the cache that it needs at its end; on average it
+ * uses only half of the part for its answer, so slightly more than the whole cache can be allocated without preemptions.
  */
 export const leaderPlacementTuning: PlacementTuning = { fill: 1.1, share: 1, farWeight: 30 };
 
 /**
- * Tuning of local placement by a gateway, without its share. The allocations of all gateways together must fit the engines,
- * and their shares are uneven.
+ * Tuning of local placement by a gateway, without its share. It leaves a margin, since the allocations of all gateways
+ * together must fit the engines and the gateways use their shares unevenly.
  */
 export const localPlacementTuning: Omit<PlacementTuning, "share"> = { fill: 0.9, scatter: 100 };
 
@@ -64,12 +64,12 @@
     readonly prefillTime: number;
 };
 
-/** The decode engine that will likely be the first with room for a request. */
+/** The decode engine that is expected to be the first with room for a request. */
 export type LeastLoadedEngine = {
     readonly id: string;
     /** Tokens of KV cache that must be freed before the request fits, and those that may be allocated in total. */
     readonly missingTokens: number;
-    readonly tokens: number;
+    readonly capacityTokens: number;
 };
 
 /** Tracks the load of one pool's engines and selects engines for requests. */
@@ -89,9 +89,9 @@
     /** Replaces the announcements of the pool's engines and the rule that applies to all of them. */
     setEngines(announced: readonly ServerAnnouncement[], rule: EngineRule): void {
         this.rule = rule;
-        const named = new Set(announced.map(engine => engine.id));
+        const announcedIds = new Set(announced.map(engine => engine.id));
         for (const id of this.engines.keys()) {
-            if (!named.has(id)) {
+            if (!announcedIds.has(id)) {
                 this.engines.delete(id);
             }
         }
@@ -116,7 +116,7 @@
     }
 
     /** The best engines for a request; undefined if no decode engine that isn't reserved for another request has room. */
-    best(request: PlacementRequest, now: number, reserved: ReadonlySet<string>): EnginePair | undefined {
+    bestPair(request: PlacementRequest, now: number, reserved: ReadonlySet<string>): EnginePair | undefined {
         const capacity = this.engineCapacity();
         const decodes = this.usable("decode", request.avoid, now).filter(engine => {
             return engine.hasRoom(request, capacity) && !reserved.has(engine.id);
@@ -127,16 +127,17 @@
         // Without a healthy prefill engine a decode engine runs the prefill; a prefill engine that just failed would fail again.
         const prefills = this.healthyEngines("prefill", request.avoid, now).map(engine => {
             const time = engine.prefillDelay(request.promptTokens, now);
-            const stall = stallRateOf(request.linkStalls, engine.announced.failureDomain) * packetsPerCall
-                * packetLossDelayMilliseconds;
-            return { engine, time, score: time + stall + this.randomPenalty(request, engine) };
+            const stallDelay = stallRateOf(request.linkStalls, engine.announced.failureDomain) * packetsPerCall
+                * lostPacketDelayMilliseconds;
+            return { engine, time, score: time + stallDelay + this.randomPenalty(request, engine) };
         });
         const scoredDecodes = decodes.map(engine => {
             const { failureDomain } = engine.announced;
-            const far = failureDomain === request.failureDomain ? 0 : this.tuning.farWeight ?? 0;
-            const late = lateAnswerPenaltyMilliseconds
+            const domainPenalty = failureDomain === request.failureDomain ? 0 : this.tuning.farWeight ?? 0;
+            const lateAnswerPenalty = lateAnswerPenaltyMilliseconds
                 * lateProbability(stallRateOf(request.linkStalls, failureDomain));
-            const score = engine.loadPenalty(capacity) + far + late + this.randomPenalty(request, engine);
+            const score = engine.loadPenalty(capacity) + domainPenalty + lateAnswerPenalty
+                + this.randomPenalty(request, engine);
             return { engine, time: 0, score };
         });
         const separate = bestSeparatePair(bestPerDomain(prefills), bestPerDomain(scoredDecodes));
@@ -156,12 +157,17 @@
     /** The decode engine with the fewest allocated tokens that isn't reserved for another request; undefined if there is none. */
     leastLoaded(request: PlacementRequest, now: number, reserved: ReadonlySet<string>): LeastLoadedEngine | undefined {
         const engines = this.usable("decode", request.avoid, now).filter(engine => !reserved.has(engine.id));
-        const engine = lowestScore(engines.map(candidate => ({ engine: candidate, score: candidate.tokens })))?.engine;
+        const engine = lowestScore(engines.map(candidate => ({ engine: candidate, score: candidate.allocatedTokens })))
+            ?.engine;
         if (engine === undefined) {
             return undefined;
         }
         const { tokens } = this.engineCapacity();
-        return { id: engine.id, missingTokens: engine.tokens + request.cacheTokens - tokens, tokens };
+        return {
+            id: engine.id,
+            missingTokens: engine.allocatedTokens + request.cacheTokens - tokens,
+            capacityTokens: tokens,
+        };
     }
 
     /** Records the KV cache and the prefill of a request at its engines. */
@@ -173,16 +179,16 @@
     /** Frees the KV cache of a request and removes its prefill. */
     release(pair: EnginePair, attempt: string, now: number): void {
         this.engines.get(pair.decode)?.removeRun(attempt);
-        this.engines.get(pair.prefill ?? pair.decode)?.dropPrefill(attempt, now);
+        this.engines.get(pair.prefill ?? pair.decode)?.removePrefill(attempt, now);
     }
 
     /** Returns a function from prompt tokens to expected milliseconds until the prefill, at the engine with the shortest queue. */
     prefillForecast(now: number): (promptTokens: number) => number {
         const engines = [...this.engines.values()].filter(({ announced }) => announced.stage === "prefill");
-        const soonest = lowestScore(engines.map(engine => ({ engine, score: engine.queueDelay(now) })));
-        return soonest === undefined
+        const shortestQueue = lowestScore(engines.map(engine => ({ engine, score: engine.queueDelay(now) })));
+        return shortestQueue === undefined
             ? promptTokens => promptTokens * defaultPrefillMillisecondsPerToken
-            : promptTokens => soonest.score + soonest.engine.prefillTime(promptTokens);
+            : promptTokens => shortestQueue.score + shortestQueue.engine.prefillTime(promptTokens);
     }
 
     /** Mean milliseconds of work of a prefill over the pool's prefill engines. */
@@ -201,20 +207,20 @@
     freeTokens(now: number): number {
         const capacity = this.engineCapacity();
         return this.usable("decode", [], now).reduce(
-            (sum, engine) => sum + Math.max(0, capacity.tokens - engine.tokens),
+            (sum, engine) => sum + Math.max(0, capacity.tokens - engine.allocatedTokens),
             0,
         );
     }
 
     /** Allocated tokens of KV cache by engine. */
-    heldTokens(): ReadonlyMap<string, number> {
-        return new Map([...this.engines].map(([id, engine]) => [id, engine.tokens]));
+    allocatedTokensByEngine(): ReadonlyMap<string, number> {
+        return new Map([...this.engines].map(([id, engine]) => [id, engine.allocatedTokens]));
     }
 
     /**
      * Engines of a stage that may receive work: healthy ones, else those that failed recently or should be avoided, else
-     * silent ones. Silent engines are likely gone, but a directory that a network partition separates from them reports the
-     * same.
+     * silent ones. Silent engines have probably terminated, but they are reported as silent as well if a network partition
+     * separates their directory from them.
      */
     private usable(stage: ServerAnnouncement["stage"], avoid: readonly string[], now: number): EngineLoad[] {
         const healthy = this.healthyEngines(stage, avoid, now);
@@ -258,10 +264,10 @@
     return 1 - (1 - stallRate) ** eventsPerAnswer;
 }
 
-type Scored = { readonly engine: EngineLoad; readonly score: number; };
-type Candidate = Scored & { readonly time: number; };
+type ScoredEngine = { readonly engine: EngineLoad; readonly score: number; };
+type Candidate = ScoredEngine & { readonly time: number; };
 
-function lowestScore<T extends Scored>(candidates: readonly T[]): T | undefined {
+function lowestScore<T extends ScoredEngine>(candidates: readonly T[]): T | undefined {
     let lowest: T | undefined;
     for (const candidate of candidates) {
         if (lowest === undefined || candidate.score < lowest.score) {
--- a/packages/basilpaddle/src/node/coordination/gateway/instanceTable.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/instanceTable.ts
@@ -4,17 +4,17 @@
 import { LatestIncarnations } from "./latestIncarnations.js";
 
 /** Number of ended incarnations to remember, so that a delayed heartbeat doesn't restore one of them. */
-const endedIncarnationLimit = 8_192;
+const maxEndedIncarnations = 8_192;
 /** Order of states that arrive with the same sequence number: the later one in an incarnation's lifecycle wins. */
 const stateRank: Record<ServerAnnouncement["state"], number> = { ready: 0, silent: 1, draining: 2, left: 3 };
 
 /**
  * The tracked state of all backend servers at a gateway. Announcements arrive from several directories, delayed and out of
- * order: for each incarnation the highest sequence number wins, and an incarnation that has ended never comes back.
+ * order: for each incarnation the highest sequence number wins, and an incarnation that has ended is never restored.
  */
 export class InstanceTable {
     private readonly instances = new Map<string, ServerAnnouncement>();
-    private readonly ended = new LRUCache<string, true>({ max: endedIncarnationLimit });
+    private readonly ended = new LRUCache<string, true>({ max: maxEndedIncarnations });
     private readonly incarnations = LatestIncarnations.create();
     private readonly byService = new Map<string, readonly ServerAnnouncement[]>();
     /** The incarnation that was announced last at each address. */
@@ -29,9 +29,9 @@
         if (this.ended.has(announced.id) || this.incarnations.isOutdated(announced)) {
             return false;
         }
-        const before = this.incarnations.recordLatest(announced);
-        if (before !== undefined) {
-            this.end(before);
+        const previousId = this.incarnations.recordLatest(announced);
+        if (previousId !== undefined) {
+            this.end(previousId);
         }
         const known = this.instances.get(announced.id);
         if (known !== undefined && !supersedes(announced, known)) {
@@ -74,8 +74,8 @@
         return this.ended.has(id);
     }
 
-    /** Whether the incarnation is known to be gone: it ended, is silent, or a later incarnation has its address. */
-    isGone(id: string): boolean {
+    /** Whether the incarnation is considered lost: it is unknown, ended or silent, or a later incarnation has its address. */
+    isLost(id: string): boolean {
         const instance = this.instances.get(id);
         return instance === undefined || instance.state === "silent" || this.isSuperseded(instance);
     }
@@ -96,17 +96,17 @@
     }
 
     /**
-     * Backend servers of a service that may receive new requests. Silent ones are returned only if none is ready: they are
-     * likely gone, but a directory that a network partition separates from them reports the same.
+     * Backend servers of a service that may receive new requests. Silent ones are returned only if none is ready: they have
+     * probably terminated, but are reported as silent as well if a network partition separates their directory from them.
      */
     usable(service: string): readonly ServerAnnouncement[] {
         const known = this.byService.get(service);
         if (known !== undefined) {
             return known;
         }
-        const ofService = this.all().filter(instance => instance.service === service);
-        const ready = ofService.filter(instance => instance.state === "ready");
-        const usable = ready.length > 0 ? ready : ofService.filter(instance => instance.state === "silent");
+        const serversOfService = this.all().filter(instance => instance.service === service);
+        const ready = serversOfService.filter(instance => instance.state === "ready");
+        const usable = ready.length > 0 ? ready : serversOfService.filter(instance => instance.state === "silent");
         this.byService.set(service, usable);
         return usable;
     }
--- a/packages/basilpaddle/src/node/coordination/gateway/latestIncarnations.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/latestIncarnations.ts
@@ -2,7 +2,7 @@
 import { type ServerAnnouncement, serverName } from "../../protocol/index.js";
 
 /** Number of names to remember: several times the backend servers of a large deployment. */
-const maximumNames = 8_192;
+const maxNames = 8_192;
 /** Start time of an incarnation that announces none: it sorts before all that do. */
 const noStartTime = -1;
 
@@ -14,7 +14,7 @@
  * earlier incarnation nor affect the newer one.
  */
 export class LatestIncarnations {
-    private readonly latestByName = new LRUCache<string, KnownIncarnation>({ max: maximumNames });
+    private readonly latestByName = new LRUCache<string, KnownIncarnation>({ max: maxNames });
 
     static create(): LatestIncarnations {
         return new LatestIncarnations();
--- a/packages/basilpaddle/src/node/coordination/gateway/linkQuality.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/linkQuality.ts
@@ -14,21 +14,21 @@
 const typicalPauseFactor = 1.5;
 /** Weight of one pause in the moving average of a run's pauses. */
 const pauseWeight = 0.2;
-/** Rates below this are negligible and are left out of placement requests. */
-const minimumRate = 0.001;
+/** Rates below this are omitted from placement requests. */
+const minRate = 0.001;
 
 /** A count that decays exponentially over time. */
 class DecayingCount {
     private value = 0;
-    private at = 0;
+    private updatedAt = 0;
 
     add(now: number): void {
         this.value = this.current(now) + 1;
-        this.at = now;
+        this.updatedAt = now;
     }
 
     current(now: number): number {
-        return this.value * 0.5 ** ((now - this.at) / countHalfLifeMilliseconds);
+        return this.value * 0.5 ** ((now - this.updatedAt) / countHalfLifeMilliseconds);
     }
 }
 
@@ -51,7 +51,7 @@
     }
 
     /** Records an event; returns whether a stall preceded it. */
-    event(now: number): boolean {
+    recordEvent(now: number): boolean {
         const pause = this.lastEventAt === undefined ? undefined : now - this.lastEventAt;
         this.lastEventAt = now;
         if (pause === undefined) {
@@ -81,7 +81,7 @@
  * 200 ms, so that hardly any stream of seventy events over such a link is in time, while engines in the gateway's own
  * domain serve all of theirs in time. No component reports this: health checks pass and connections stay up. A fixed
  * preference for engines in the same domain would be costly when links are healthy and the domain's own engines are full or
- * gone; so the preference follows the observed stalls and ends with them.
+ * lost; so the preference is derived from the observed stalls and ends with them.
  */
 export class LinkQuality {
     private readonly engines = new Map<string, EngineStallCounts>();
@@ -91,7 +91,7 @@
     }
 
     /** Records an event of an engine's stream, and whether it stalled. */
-    event(engine: ServerAnnouncement, stalled: boolean, now: number): void {
+    countEvent(engine: ServerAnnouncement, stalled: boolean, now: number): void {
         let record = this.engines.get(engine.id);
         if (record === undefined) {
             record = new EngineStallCounts(engine.failureDomain);
@@ -112,16 +112,16 @@
         const rates = [...this.byDomain()].map(([failureDomain, records]) => {
             return { failureDomain, rate: stallRate(records, now) };
         });
-        const least = Math.min(...rates.map(({ rate }) => rate));
+        const lowestRate = Math.min(...rates.map(({ rate }) => rate));
         return rates
-            .map(({ failureDomain, rate }) => ({ failureDomain, rate: rate - least }))
-            .filter(({ rate }) => rate >= minimumRate);
+            .map(({ failureDomain, rate }) => ({ failureDomain, rate: rate - lowestRate }))
+            .filter(({ rate }) => rate >= minRate);
     }
 
     /** Removes engines that have sent no event for a long time. */
     private dropIdleEngines(now: number): void {
         this.engines.forEach((record, id) => {
-            if (record.events.current(now) < minimumRate) {
+            if (record.events.current(now) < minRate) {
                 this.engines.delete(id);
             }
         });
@@ -146,8 +146,8 @@
 function stallRate(records: readonly EngineStallCounts[], now: number): number {
     const stalls = records.map(record => record.stalls.current(now));
     const events = records.reduce((sum, record) => sum + record.events.current(now), 0);
-    const counted = stalls.reduce((sum, count) => sum + count, 0) - Math.max(...stalls);
-    return counted / (priorEvents + events);
+    const stallsWithoutWorst = stalls.reduce((sum, count) => sum + count, 0) - Math.max(...stalls);
+    return stallsWithoutWorst / (priorEvents + events);
 }
 
 /** The stall rate of one failure domain; 0 if it isn't listed. */
--- a/packages/basilpaddle/src/node/coordination/gateway/placementForecast.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/placementForecast.ts
@@ -1,21 +1,21 @@
 import type { TypicalRequest } from "./stagePlan.js";
 
-/** Assumed time for which a run occupies its engine until runs have ended. */
-const initialHoldMilliseconds = 3_000;
+/** Time for which a run occupies its engine, assumed until runs have ended. */
+const initialAllocationMilliseconds = 3_000;
 /** Weight of one run in the moving averages. */
 const meanWeight = 0.05;
 /** Minimum weight of one run in the typical request, and the number of runs before the typical request is available. */
 const requestMeanWeight = 0.01;
-const minimumRuns = 100;
+const minRuns = 100;
 /** Time from the end of a prefill to the first event at the gateway, and from there to the caller. */
 const firstEventOverheadMilliseconds = 60;
-/** Bounds of the ratio of actual to expected prefill time: one delayed prefill must not make all others appear late. */
-const minimumDelayFactor = 0.5;
-const maximumDelayFactor = 4;
+/** Bounds of the ratio of actual to expected prefill time: one delayed prefill must not make all forecasts too late. */
+const minDelayFactor = 0.5;
+const maxDelayFactor = 4;
 
 /** Forecasts how long a request waits for its placement, and then for its first event, from past requests. */
 export class PlacementForecast {
-    private meanHoldTime = initialHoldMilliseconds;
+    private meanAllocationTime = initialAllocationMilliseconds;
     /** Moving average of the ratio of actual to expected prefill time. */
     private delayFactor = 1;
     private meanRequest: TypicalRequest | undefined;
@@ -26,35 +26,35 @@
     }
 
     /** Records the resources that a successful run used in the pool. */
-    noteRun(run: TypicalRequest): void {
-        this.meanHoldTime += meanWeight * (run.holdTime - this.meanHoldTime);
+    recordRun(run: TypicalRequest): void {
+        this.meanAllocationTime += meanWeight * (run.allocationTime - this.meanAllocationTime);
         this.runs += 1;
         const { meanRequest } = this;
-        const mean = (before: number, now: number): number =>
-            before + Math.max(requestMeanWeight, 1 / this.runs) * (now - before);
+        const updatedMean = (previous: number, latest: number): number =>
+            previous + Math.max(requestMeanWeight, 1 / this.runs) * (latest - previous);
         this.meanRequest = meanRequest === undefined ? run : {
-            prefillTime: mean(meanRequest.prefillTime, run.prefillTime),
-            holdTime: mean(meanRequest.holdTime, run.holdTime),
-            cacheTokens: mean(meanRequest.cacheTokens, run.cacheTokens),
+            prefillTime: updatedMean(meanRequest.prefillTime, run.prefillTime),
+            allocationTime: updatedMean(meanRequest.allocationTime, run.allocationTime),
+            cacheTokens: updatedMean(meanRequest.cacheTokens, run.cacheTokens),
         };
     }
 
     /** Mean resources of a request in the pool; undefined until enough runs have ended. */
     typicalRequest(): TypicalRequest | undefined {
-        return this.runs < minimumRuns ? undefined : this.meanRequest;
+        return this.runs < minRuns ? undefined : this.meanRequest;
     }
 
     /** Records the expected and the actual duration of a prefill, in milliseconds. */
-    notePrefill(expected: number, taken: number): void {
+    recordPrefill(expected: number, actual: number): void {
         if (expected > 0) {
-            const delay = Math.min(maximumDelayFactor, Math.max(minimumDelayFactor, taken / expected));
-            this.delayFactor += meanWeight * (delay - this.delayFactor);
+            const ratio = Math.min(maxDelayFactor, Math.max(minDelayFactor, actual / expected));
+            this.delayFactor += meanWeight * (ratio - this.delayFactor);
         }
     }
 
-    /** Expected milliseconds until the given tokens, in addition to those free now, are freed in a pool of the given capacity. */
-    wait(tokens: number, capacity: number): number {
-        return capacity === 0 ? Number.POSITIVE_INFINITY : Math.max(0, tokens) * this.meanHoldTime / capacity;
+    /** Expected milliseconds until the given number of allocated tokens has been freed, in a pool of the given capacity. */
+    expectedWait(tokens: number, capacity: number): number {
+        return capacity === 0 ? Number.POSITIVE_INFINITY : Math.max(0, tokens) * this.meanAllocationTime / capacity;
     }
 
     /** Expected milliseconds of a prefill, corrected by the recent ratio of actual to expected time. */
--- a/packages/basilpaddle/src/node/coordination/gateway/placementQueue.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/placementQueue.ts
@@ -15,13 +15,13 @@
 const reviewIntervalMilliseconds = 25;
 /**
  * How long a request that doesn't fit may be overtaken at all engines. After that the least loaded engine is reserved for
- * it: otherwise small requests would use all room that is freed, and large prompts would starve. Only that engine is
- * reserved, since delaying all requests until the large one fits would leave room at the other engines unused. It is
- * reserved only if the request can then meet its target: see `isWorthReserving`.
+ * it: otherwise small requests would use all room that is freed, and large ones would starve. Only one engine is reserved,
+ * since delaying all requests until the large one fits would leave room at the other engines unused. It is reserved only
+ * if the request can then meet its target: see `isWorthReserving`.
  */
 const overtakingMilliseconds = 50;
-/** Number of requests that don't fit before dispatch stops looking further; it bounds the time for a long queue. */
-const maximumSkipped = 6;
+/** Number of requests that don't fit after which a dispatch stops; it bounds the time for a long queue. */
+const maxSkipped = 6;
 /** How much later a request sorts for each step of its priority number. */
 const priorityStepMilliseconds = 60;
 /** Margin by which the forecast must be earlier than the caller's timeout for a request to stay in the queue. */
@@ -30,13 +30,13 @@
 const retryAfterSpreadMilliseconds = 700;
 /**
  * How long a request waits while no engine is known: after a restart of all directories the engines' heartbeats arrive
- * again within a second or so, and a caller that is refused at once would use its only retry before that.
+ * again within about a second, and a caller that is refused at once would use its only retry before that.
  */
 const unknownPoolTimeoutMilliseconds = 1_800;
 /** Retry-after time of requests that are refused because no engine is ready. */
 const noEngineRetryAfterMilliseconds = 1_000;
 /** How long a placement is kept if its gateway never reports its end. */
-const maximumHoldMilliseconds = 60_000;
+const maxPlacementMilliseconds = 60_000;
 /** Sort key offset that moves requests that can't meet their target behind all that still can. */
 const lateKeyOffset = 1e9;
 
@@ -47,7 +47,7 @@
     readonly targetAt: number;
     readonly timeoutAt: number;
     late: boolean;
-    key: number;
+    sortKey: number;
 };
 
 /** Forecast for a pool at one point in time. */
@@ -74,8 +74,8 @@
  * tenth of a second, and the result of a prefill is kept for only half a second. So a prefill doesn't start before its run
  * has room at a decode engine, counted in tokens and in slots, and requests wait for room in this queue, where they can be
  * withdrawn, rather than in an engine's queue. In a burst, requests that can still meet their target go first, in the order
- * of their targets. Those that can't wait behind them until their caller's timeout, since a late answer is worth more than
- * none. Those that can't be served before the timeout are refused at once with a retry-after time.
+ * of their targets. Requests that will miss their target wait behind them until their caller's timeout, since a late answer
+ * is worth more than none. Requests that can't be served before the timeout are refused at once with a retry-after time.
  */
 export class PlacementQueue {
     private readonly placements = new Map<string, Placement>();
@@ -102,14 +102,14 @@
 
     /** Records an order to change an engine's stage; the engine receives no work until the change is announced or `until`. */
     recordStageOrder(engine: string, stage: ServerAnnouncement["stage"], until: number): void {
-        this.pool.engine(engine)?.noteStageOrder(stage, until);
+        this.pool.engine(engine)?.setStageOrder(stage, until);
     }
 
     /** Queues a request. The decisions returned, here and by the other methods, may concern other requests as well. */
     ask(request: PlacementRequest, now: number): PlacementDecision[] {
-        const held = this.placements.get(request.attempt);
-        if (held !== undefined) {
-            return [placedDecision(held)];
+        const existing = this.placements.get(request.attempt);
+        if (existing !== undefined) {
+            return [placedDecision(existing)];
         }
         if (this.queue.some(waiting => waiting.request.attempt === request.attempt)) {
             return [];
@@ -120,7 +120,7 @@
             targetAt: now + request.targetWithin,
             timeoutAt: now + request.patienceWithin,
             late: false,
-            key: now + request.targetWithin + request.priority * priorityStepMilliseconds
+            sortKey: now + request.targetWithin + request.priority * priorityStepMilliseconds
                 - (request.resumed ? lateKeyOffset : 0),
         };
         this.enqueue(waiting);
@@ -134,8 +134,8 @@
         }
         this.reviewedAt = now;
         for (const [attempt, placement] of this.placements) {
-            if (now - placement.placedAt > maximumHoldMilliseconds) {
-                this.free(attempt, now);
+            if (now - placement.placedAt > maxPlacementMilliseconds) {
+                this.removePlacement(attempt, now);
             }
         }
         return [...this.dispatch(now), ...this.reorder(now)];
@@ -152,50 +152,50 @@
         const placement = this.placements.get(attempt);
         if (placement !== undefined && !placement.isPrefilled) {
             placement.isPrefilled = true;
-            this.forecast.notePrefill(placement.prefillTime, now - placement.placedAt);
+            this.forecast.recordPrefill(placement.prefillTime, now - placement.placedAt);
             this.pool.engine(placement.prefill ?? placement.decode)?.prefillCompleted(attempt, now);
         }
     }
 
     /** Releases the placement of a run that has ended, and records its outcome. */
     release(attempt: string, end: PlacementOutcome, now: number): PlacementDecision[] {
-        const placement = this.free(attempt, now);
+        const placement = this.removePlacement(attempt, now);
         if (end.failed !== undefined) {
-            this.pool.engine(end.failed)?.noteFailure(now);
+            this.pool.engine(end.failed)?.recordFailure(now);
         }
         else if (end.turnedAwayBy !== undefined) {
-            const blamed = this.rejections.blame(end.readBy, end.turnedAwayBy, now);
-            this.pool.engine(blamed)?.noteRejection(now);
+            const faultyEngine = this.rejections.recordRejection(end.readBy, end.turnedAwayBy, now);
+            this.pool.engine(faultyEngine)?.recordRejection(now);
         }
         else if (placement !== undefined) {
-            this.forecast.noteRun({
+            this.forecast.recordRun({
                 prefillTime: this.pool.prefillWork(placement.request.promptTokens),
-                holdTime: now - placement.placedAt,
+                allocationTime: now - placement.placedAt,
                 cacheTokens: placement.request.cacheTokens,
             });
-            this.pool.engine(placement.decode)?.noteSuccess();
+            this.pool.engine(placement.decode)?.recordSuccess();
         }
         return this.dispatch(now);
     }
 
     /**
-     * Adds placements that a gateway holds and this instance doesn't know, such as those of a previous leader, and releases
-     * those older than `grace` milliseconds that the gateway doesn't list.
+     * Compares the placements with those that a gateway reports. Adds the reported ones that this instance doesn't know, such
+     * as those of a previous leader, and releases unreported ones older than `grace` milliseconds.
      */
     reconcile(
         gateway: string,
-        held: readonly { readonly demand: PlacementRequest; readonly decode: string; }[],
+        reported: readonly { readonly demand: PlacementRequest; readonly decode: string; }[],
         grace: number,
         now: number,
     ): PlacementDecision[] {
-        const named = new Set(held.map(({ demand }) => demand.attempt));
+        const reportedAttempts = new Set(reported.map(({ demand }) => demand.attempt));
         for (const [attempt, placement] of this.placements) {
             const stale = placement.request.gateway === gateway && now - placement.placedAt > grace;
-            if (stale && !named.has(attempt)) {
-                this.free(attempt, now);
+            if (stale && !reportedAttempts.has(attempt)) {
+                this.removePlacement(attempt, now);
             }
         }
-        for (const { demand, decode } of held) {
+        for (const { demand, decode } of reported) {
             if (!this.placements.has(demand.attempt)) {
                 this.allocate(
                     { request: demand, prefill: undefined, decode, placedAt: now, prefillTime: 0, isPrefilled: true },
@@ -206,7 +206,7 @@
         return this.dispatch(now);
     }
 
-    /** Drops the queued requests and the placements of a gateway that is gone. */
+    /** Removes the queued requests and the placements of a gateway that has disconnected. */
     dropGateway(gateway: string, now: number): PlacementDecision[] {
         this.queue = this.queue.filter(waiting => waiting.request.gateway !== gateway);
         return this.reconcile(gateway, [], 0, now);
@@ -228,12 +228,12 @@
         return {
             waiting: this.queue.length,
             held: this.placements.size,
-            heldTokens: this.pool.heldTokens(),
+            heldTokens: this.pool.allocatedTokensByEngine(),
         };
     }
 
     private enqueue(waiting: WaitingRequest): void {
-        const at = this.queue.findIndex(other => other.key > waiting.key);
+        const at = this.queue.findIndex(other => other.sortKey > waiting.sortKey);
         this.queue.splice(at < 0 ? this.queue.length : at, 0, waiting);
     }
 
@@ -241,9 +241,9 @@
         const decisions: PlacementDecision[] = [];
         const reserved = new Set<string>();
         let skipped = 0;
-        for (let position = 0; position < this.queue.length && skipped < maximumSkipped;) {
+        for (let position = 0; position < this.queue.length && skipped < maxSkipped;) {
             const waiting = this.queue[position]!;
-            const pair = this.pool.best(waiting.request, now, reserved);
+            const pair = this.pool.bestPair(waiting.request, now, reserved);
             if (pair === undefined) {
                 this.reserveEngine(waiting, reserved, now);
                 skipped += 1;
@@ -283,15 +283,15 @@
         engine: LeastLoadedEngine,
         now: number,
     ): boolean {
-        const wait = this.forecast.wait(engine.missingTokens, engine.tokens);
+        const wait = this.forecast.expectedWait(engine.missingTokens, engine.capacityTokens);
         const prefill = this.pool.prefillForecast(now)(request.promptTokens);
         return now + wait + this.forecast.firstEventDelay(prefill) <= targetAt;
     }
 
     /**
      * Whether a request would miss its target even if placed now, while others wait that can still meet theirs. Without
-     * this check a burst leaves a persistent queue behind: each placement goes to the request that is about to miss its
-     * target, and every answer is slightly late although the capacity suffices.
+     * this check the queue of a burst persists: each placement goes to the request that is just missing its target, and
+     * every answer is slightly late although the capacity suffices.
      */
     private isTooLate(waiting: WaitingRequest, pair: EnginePair, now: number): boolean {
         if (waiting.late || waiting.request.resumed || this.queue.every(({ late }) => late)) {
@@ -302,7 +302,7 @@
 
     private requeueAsLate(waiting: WaitingRequest): void {
         waiting.late = true;
-        waiting.key += lateKeyOffset;
+        waiting.sortKey += lateKeyOffset;
         this.enqueue(waiting);
     }
 
@@ -326,7 +326,7 @@
     private reorder(now: number): PlacementDecision[] {
         const refused: PlacementDecision[] = [];
         const kept: WaitingRequest[] = [];
-        const behind: WaitingRequest[] = [];
+        const tooLate: WaitingRequest[] = [];
         const poolForecast = this.forecastPool(now);
         let ahead = 0;
         for (const waiting of this.queue) {
@@ -336,7 +336,7 @@
                 refused.push(this.refusal(waiting, firstEventIn, poolForecast.capacity, now));
             }
             else if (!waiting.late && !request.resumed && now + firstEventIn > waiting.targetAt) {
-                behind.push(waiting);
+                tooLate.push(waiting);
             }
             else {
                 kept.push(waiting);
@@ -344,25 +344,25 @@
             }
         }
         this.queue = kept;
-        behind.forEach(waiting => this.requeueAsLate(waiting));
+        tooLate.forEach(waiting => this.requeueAsLate(waiting));
         return refused;
     }
 
     /** Forecast for the pool: computed once for the whole queue, since a burst queues hundreds of requests. */
     private forecastPool(now: number): PoolForecast {
-        const free = this.pool.freeTokens(now);
+        const freeTokens = this.pool.freeTokens(now);
         const capacity = this.pool.capacity(now);
         const prefill = this.pool.prefillForecast(now);
         const firstEventIn = (request: PlacementRequest, ahead: number): number => {
-            return this.forecast.wait(ahead + request.cacheTokens - free, capacity)
+            return this.forecast.expectedWait(ahead + request.cacheTokens - freeTokens, capacity)
                 + this.forecast.firstEventDelay(prefill(request.promptTokens));
         };
         return { capacity, firstEventIn };
     }
 
     private mayWait(waiting: WaitingRequest, firstEventIn: number, capacity: number, now: number): boolean {
-        const awaitsEngines = capacity === 0 && now - waiting.arrivedAt < unknownPoolTimeoutMilliseconds;
-        return waiting.request.resumed || awaitsEngines
+        const waitsForEngines = capacity === 0 && now - waiting.arrivedAt < unknownPoolTimeoutMilliseconds;
+        return waiting.request.resumed || waitsForEngines
             || now + firstEventIn + timeoutMarginMilliseconds <= waiting.timeoutAt;
     }
 
@@ -371,10 +371,10 @@
         const reason = capacity === 0
             ? "no engine is ready"
             : `the first event would come in ${Math.round(firstEventIn)} ms, after its caller's timeout`;
-        const over = Math.max(0, now + firstEventIn + timeoutMarginMilliseconds - waiting.timeoutAt);
+        const excess = Math.max(0, now + firstEventIn + timeoutMarginMilliseconds - waiting.timeoutAt);
         const comeBackIn = capacity === 0
             ? noEngineRetryAfterMilliseconds
-            : over + hashToFraction(request.attempt) * retryAfterSpreadMilliseconds;
+            : excess + hashToFraction(request.attempt) * retryAfterSpreadMilliseconds;
         return { kind: "refused", attempt: request.attempt, reason, comeBackIn };
     }
 
@@ -384,7 +384,7 @@
         this.pool.allocate(placement, request, now);
     }
 
-    private free(attempt: string, now: number): Placement | undefined {
+    private removePlacement(attempt: string, now: number): Placement | undefined {
         const placement = this.placements.get(attempt);
         if (placement !== undefined) {
             this.placements.delete(attempt);
--- a/packages/basilpaddle/src/node/coordination/gateway/runRejections.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/runRejections.ts
@@ -1,4 +1,4 @@
-/** How long a rejected run counts against its engines. */
+/** How long a rejected run is considered in finding the engine at fault. */
 const rejectionWindowMilliseconds = 2_000;
 
 type RunRejection = { readonly prefill: string | undefined; readonly decode: string; readonly at: number; };
@@ -13,21 +13,25 @@
  * four decode engines rejected 180 of 2,500 runs of a day while healthy prefill engines were paused in turn.
  */
 export class RunRejections {
-    private recent: RunRejection[] = [];
+    private recentRejections: RunRejection[] = [];
 
     static create(): RunRejections {
         return new RunRejections();
     }
 
-    /** Records a rejected run. Returns the identifier of the engine that is more likely at fault. */
-    blame(prefill: string | undefined, decode: string, now: number): string {
-        this.recent = this.recent.filter(one => now - one.at < rejectionWindowMilliseconds);
-        this.recent.push({ prefill, decode, at: now });
+    /** Records a rejected run; returns the identifier of the engine that is more likely at fault. */
+    recordRejection(prefill: string | undefined, decode: string, now: number): string {
+        this.recentRejections = this.recentRejections.filter(one => now - one.at < rejectionWindowMilliseconds);
+        this.recentRejections.push({ prefill, decode, at: now });
         if (prefill === undefined) {
             return decode;
         }
-        const prefillEngines = new Set(this.recent.filter(one => one.decode === decode).map(one => one.prefill));
-        const decodeEngines = new Set(this.recent.filter(one => one.prefill === prefill).map(one => one.decode));
+        const prefillEngines = new Set(
+            this.recentRejections.filter(one => one.decode === decode).map(one => one.prefill),
+        );
+        const decodeEngines = new Set(
+            this.recentRejections.filter(one => one.prefill === prefill).map(one => one.decode),
+        );
         return decodeEngines.size > prefillEngines.size ? prefill : decode;
     }
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/serverChoice.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/serverChoice.ts
@@ -10,16 +10,16 @@
 const failureWeight = 8;
 /** Initial and maximum time for which an unreachable server receives no calls. */
 const initialPauseMilliseconds = 500;
-const maximumPauseMilliseconds = 8_000;
+const maxPauseMilliseconds = 8_000;
 /** Fraction of a service's servers that may be excluded for failures; more would overload the others. */
-const maximumExcludedFraction = 0.5;
+const maxExcludedFraction = 0.5;
 /** Score factor of a server in another failure domain: traffic between domains is charged and takes longer. */
 const otherDomainFactor = 1.15;
 /** Packets of a call in both directions, and the delay that a lost one causes. */
 const packetsPerCall = 4;
-const packetLossDelayMilliseconds = 250;
+const lostPacketDelayMilliseconds = 250;
 /** Maximum number of servers to keep statistics for. */
-const serverLimit = 4_096;
+const maxServers = 4_096;
 
 /** How a call to a server ended. */
 export type CallOutcome =
@@ -37,23 +37,23 @@
     meanTime = initialMeanMilliseconds;
     failureMean = 0;
     pausedUntil = 0;
-    pauses = 0;
+    consecutivePauses = 0;
     rejectedUntil = 0;
-    endedAt = 0;
+    lastEndedAt = 0;
 }
 
 /** How long a server that rejected a call counts as full. */
 const rejectionMilliseconds = 30;
-/** Half-life of a server's statistics while it has no call; otherwise one slow period would exclude the server for good. */
-const memoryHalfLifeMilliseconds = 2_000;
+/** Half-life of a server's statistics while it has no open call; without it one slow period would exclude the server for good. */
+const statisticsHalfLifeMilliseconds = 2_000;
 
 /**
  * Selects a server of a service by statistics of this gateway's own calls: open calls, response times, and failures
  * compared with the service's mean. It avoids servers that become slow, that fail some of their calls while their health
- * checks pass, and that are gone before this is announced. It makes no probe calls.
+ * checks pass, or that have terminated without an announcement yet. It makes no probe calls.
  */
 export class ServerChoice {
-    private readonly records = new LRUCache<string, ServerStatistics>({ max: serverLimit });
+    private readonly records = new LRUCache<string, ServerStatistics>({ max: maxServers });
     private readonly failuresOfService = new Map<string, number>();
 
     private constructor(
@@ -84,7 +84,7 @@
         };
         const healthy = candidates.filter(isHealthy);
         const excluded = servers.length - servers.filter(isHealthy).length;
-        const usable = healthy.length > 0 && excluded <= servers.length * maximumExcludedFraction
+        const usable = healthy.length > 0 && excluded <= servers.length * maxExcludedFraction
             ? healthy
             : candidates;
         const stalls = this.links.stalls(now);
@@ -101,15 +101,15 @@
     }
 
     /** Records the start of a call. */
-    began(id: string): void {
+    recordStart(id: string): void {
         this.record(id).outstanding += 1;
     }
 
     /** Records the outcome and duration of a call. */
-    ended(server: ServerAnnouncement, outcome: CallOutcome, milliseconds: number, now: number): void {
+    recordOutcome(server: ServerAnnouncement, outcome: CallOutcome, milliseconds: number, now: number): void {
         const record = this.record(server.id);
         record.outstanding = Math.max(0, record.outstanding - 1);
-        record.endedAt = now;
+        record.lastEndedAt = now;
         if (outcome === "rejected") {
             record.rejectedUntil = now + rejectionMilliseconds;
             return;
@@ -120,13 +120,13 @@
         this.failuresOfService.set(server.service, mean + meanWeight / 3 * (failed - mean));
         if (outcome === "unreachable") {
             record.pausedUntil = now
-                + Math.min(maximumPauseMilliseconds, initialPauseMilliseconds * 2 ** record.pauses);
-            record.pauses += 1;
+                + Math.min(maxPauseMilliseconds, initialPauseMilliseconds * 2 ** record.consecutivePauses);
+            record.consecutivePauses += 1;
             return;
         }
         record.meanTime += meanWeight * (milliseconds - record.meanTime);
         if (outcome === "answered") {
-            record.pauses = 0;
+            record.consecutivePauses = 0;
             record.pausedUntil = 0;
         }
     }
@@ -138,13 +138,13 @@
 
     private score(server: ServerAnnouncement, stalls: LinkStalls, now: number): number {
         const record = this.record(server.id);
-        const memory = record.outstanding > 0 ? 1 : 0.5 ** ((now - record.endedAt) / memoryHalfLifeMilliseconds);
-        const stall = stallRateOf(stalls, server.failureDomain) * packetsPerCall * packetLossDelayMilliseconds;
-        const time = initialMeanMilliseconds + (record.meanTime - initialMeanMilliseconds) * memory + stall;
-        const excess = Math.max(0, record.failureMean * memory - (this.failuresOfService.get(server.service) ?? 0));
-        const distance = server.failureDomain === this.failureDomain ? 1 : otherDomainFactor;
-        const full = now < record.rejectedUntil ? 2 : 1;
-        return (record.outstanding + 1) * time * (1 + failureWeight * excess) * distance * full;
+        const decay = record.outstanding > 0 ? 1 : 0.5 ** ((now - record.lastEndedAt) / statisticsHalfLifeMilliseconds);
+        const linkStallDelay = stallRateOf(stalls, server.failureDomain) * packetsPerCall * lostPacketDelayMilliseconds;
+        const time = initialMeanMilliseconds + (record.meanTime - initialMeanMilliseconds) * decay + linkStallDelay;
+        const excess = Math.max(0, record.failureMean * decay - (this.failuresOfService.get(server.service) ?? 0));
+        const domainFactor = server.failureDomain === this.failureDomain ? 1 : otherDomainFactor;
+        const fullFactor = now < record.rejectedUntil ? 2 : 1;
+        return (record.outstanding + 1) * time * (1 + failureWeight * excess) * domainFactor * fullFactor;
     }
 
     private record(id: string): ServerStatistics {
--- a/packages/basilpaddle/src/node/coordination/gateway/serviceRetryBudget.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/serviceRetryBudget.ts
@@ -2,7 +2,7 @@
 const windowSlices = 10;
 /**
  * Number of slices to count: those of a whole window and the current one. Without the extra slice, retries from the
- * beginning of a slice would expire up to one slice too early, and some window would contain twice the allowance.
+ * beginning of a slice would expire up to one slice too early, and a window could contain twice the allowance.
  */
 const countedSlices = windowSlices + 1;
 
@@ -25,8 +25,8 @@
  */
 const leaderFraction = 0.2;
 /**
- * The same during a leader's first window: retries that the previous leader lent in its last second haven't been reported
- * yet, and may be all that it had. Together with the gateways' local shares, both leaders must not exceed the slack.
+ * The same during a leader's first window. The previous leader may have lent its whole fraction in its last second, which
+ * gateways haven't reported yet; together with the gateways' local shares, both leaders must not exceed the slack.
  */
 const firstWindowLeaderFraction = 0.1;
 
@@ -48,16 +48,16 @@
     }
 
     /** Records a request of the service. */
-    request(now: number): void {
+    recordRequest(now: number): void {
         this.advanceWindow(now);
         this.requests[this.slice % countedSlices]! += 1;
     }
 
-    /** Takes one retry from the allowance; returns false if none is left. */
-    take(now: number, gateways: number): boolean {
+    /** Takes a retry from this gateway's share of the allowance; returns false if none is left. */
+    takeRetry(now: number, gateways: number): boolean {
         this.advanceWindow(now);
-        const own = sum(this.requests) * this.rules.ratio;
-        const allowed = localFraction * (own + this.rules.slack / Math.max(1, gateways));
+        const ownAllowance = sum(this.requests) * this.rules.ratio;
+        const allowed = localFraction * (ownAllowance + this.rules.slack / Math.max(1, gateways));
         if (sum(this.retries) + 1 > allowed) {
             return false;
         }
@@ -65,14 +65,14 @@
         return true;
     }
 
-    /** Number of retries taken within the last window. */
-    taken(now: number): number {
+    /** Number of retries used within the last window. */
+    usedRetries(now: number): number {
         this.advanceWindow(now);
         return sum(this.retries);
     }
 
-    /** Returns a retry that reached no server. */
-    giveBack(now: number): void {
+    /** Returns a retry to the allowance, since its request reached no server. */
+    returnRetry(now: number): void {
         this.advanceWindow(now);
         const position = this.slice % countedSlices;
         this.retries[position] = Math.max(0, this.retries[position]! - 1);
@@ -100,10 +100,10 @@
  * first window.
  */
 export class SharedRetryBudget {
-    private readonly lent: ServiceRetryBudget;
+    private readonly lentBudget: ServiceRetryBudget;
 
     private constructor(private readonly rules: RetryBudgetRules, private readonly startedAt: number) {
-        this.lent = ServiceRetryBudget.create({
+        this.lentBudget = ServiceRetryBudget.create({
             ratio: 0,
             window: rules.window,
             slack: rules.slack * leaderFraction / localFraction,
@@ -121,14 +121,14 @@
      */
     lend(now: number, borrowed: number | undefined): boolean {
         if (now - this.startedAt > this.rules.window) {
-            return this.lent.take(now, 1);
+            return this.lentBudget.takeRetry(now, 1);
         }
         if (borrowed === undefined) {
             return false;
         }
         // Retries that this leader lent may not be reported yet either.
-        const known = Math.max(borrowed, this.lent.taken(now));
-        return known + 1 <= this.rules.slack * firstWindowLeaderFraction && this.lent.take(now, 1);
+        const known = Math.max(borrowed, this.lentBudget.usedRetries(now));
+        return known + 1 <= this.rules.slack * firstWindowLeaderFraction && this.lentBudget.takeRetry(now, 1);
     }
 }
 
--- a/packages/basilpaddle/src/node/coordination/gateway/stagePlan.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/stagePlan.ts
@@ -4,22 +4,22 @@
 export type TypicalRequest = {
     /** Milliseconds of prefill work for its prompt. */
     readonly prefillTime: number;
-    /** Milliseconds for which its run occupies a decode engine. */
-    readonly holdTime: number;
+    /** Milliseconds for which its run's KV cache is allocated at a decode engine. */
+    readonly allocationTime: number;
     /** Tokens of KV cache that its run occupies. */
     readonly cacheTokens: number;
 };
 
 /** Assumed until a pool has observed requests of its own: prompts of 3,200 tokens and answers of 940. */
-export const assumedRequest: TypicalRequest = { prefillTime: 100, holdTime: 3_200, cacheTokens: 3_670 };
+export const assumedRequest: TypicalRequest = { prefillTime: 100, allocationTime: 3_200, cacheTokens: 3_670 };
 
 /**
  * Number of prefill engines above or below the computed one before an engine changes its stage: a change makes the engine
- * unavailable for seconds, and the averages drift during a burst. The limit for taking a decode engine is higher, since
+ * unavailable for seconds, and the averages drift during a burst. The limit for converting a decode engine is higher, since
  * runs occupy decode engines for seconds, while prompts queue for a shorter time.
  */
-const maximumPrefillSurplus = 0.6;
-const maximumPrefillDeficit = 1.5;
+const maxPrefillSurplus = 0.6;
+const maxPrefillDeficit = 1.5;
 
 /** An engine that should change its stage, and the new stage. */
 export type StageChange = { readonly engine: ServerAnnouncement; readonly stage: "prefill" | "decode"; };
@@ -39,18 +39,21 @@
     if (ready.length < 2) {
         return [];
     }
-    const exact = ready.length * prefillFraction(rule, observed ?? assumedRequest);
-    const wanted = Math.min(ready.length - 1, Math.max(1, Math.round(exact)));
-    const tooMany = prefill.length > wanted
-        && (observed === undefined || prefill.length - exact > maximumPrefillSurplus);
+    const exactPrefillCount = ready.length * prefillFraction(rule, observed ?? assumedRequest);
+    const plannedPrefillCount = Math.min(ready.length - 1, Math.max(1, Math.round(exactPrefillCount)));
+    const tooMany = prefill.length > plannedPrefillCount
+        && (observed === undefined || prefill.length - exactPrefillCount > maxPrefillSurplus);
     if (tooMany) {
-        return takeFromLargestDomains(prefill, prefill.length - wanted).map(engine => ({ engine, stage: "decode" }));
+        return selectFromLargestDomains(prefill, prefill.length - plannedPrefillCount).map(engine => ({
+            engine,
+            stage: "decode",
+        }));
     }
-    const tooFew = observed !== undefined && exact - prefill.length > maximumPrefillDeficit;
+    const tooFew = observed !== undefined && exactPrefillCount - prefill.length > maxPrefillDeficit;
     if (tooFew || prefill.length === 0) {
-        const lacking = tooFew ? wanted - prefill.length : 1;
+        const missing = tooFew ? plannedPrefillCount - prefill.length : 1;
         const most = Math.max(0, decode.length - 1);
-        return takeFromLargestDomains(decode, Math.min(lacking, most)).map(engine => ({ engine, stage: "prefill" }));
+        return selectFromLargestDomains(decode, Math.min(missing, most)).map(engine => ({ engine, stage: "prefill" }));
     }
     return [];
 }
@@ -60,18 +63,18 @@
  * compares the engine time that each stage uses for a typical request.
  */
 function prefillFraction(rule: EngineRule, request: TypicalRequest): number {
-    const heldFraction = Math.max(request.cacheTokens / rule.cacheTokens, 1 / rule.slots);
-    return request.prefillTime / (request.prefillTime + request.holdTime * heldFraction);
+    const allocatedFraction = Math.max(request.cacheTokens / rule.cacheTokens, 1 / rule.slots);
+    return request.prefillTime / (request.prefillTime + request.allocationTime * allocatedFraction);
 }
 
 /**
  * Selects engines one by one from the failure domain that has the most of them; the lowest identifier first, so that the
  * result is deterministic.
  */
-function takeFromLargestDomains(engines: readonly ServerAnnouncement[], count: number): ServerAnnouncement[] {
+function selectFromLargestDomains(engines: readonly ServerAnnouncement[], count: number): ServerAnnouncement[] {
     const remaining = [...engines].sort((one, other) => one.id < other.id ? -1 : 1);
     const selected: ServerAnnouncement[] = [];
-    for (let turn = 0; turn < count; turn++) {
+    for (let index = 0; index < count; index++) {
         const sizes = new Map<string, number>();
         remaining.forEach(engine => sizes.set(engine.failureDomain, (sizes.get(engine.failureDomain) ?? 0) + 1));
         const most = Math.max(...sizes.values());
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/stageOrders.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/stageOrders.spec.ts
@@ -8,7 +8,7 @@
 import { StageOrders } from "../stageOrders.js";
 
 /** Prompts long enough that the plan calls for two more prefill engines. */
-const longPrompts = { prefillTime: 400, holdTime: 2_000, cacheTokens: 12_000 };
+const longPrompts = { prefillTime: 400, allocationTime: 2_000, cacheTokens: 12_000 };
 
 type Scenario = { readonly prefill: number; readonly waiting: (now: number) => number; };
 
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
@@ -82,7 +82,7 @@
         });
         this.crashDetector = CrashDetector.create({
             quarantine: this.quarantinedRequests,
-            isGone: id => this.instances.isGone(id),
+            isGone: id => this.instances.isLost(id),
             listens: probeListening,
             clock,
             logger,
--- a/packages/basilpaddle/src/node/daemon/gateway/retryAllowance.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/retryAllowance.ts
@@ -25,13 +25,13 @@
 
     /** Counts a request of the service. */
     request(service: string): void {
-        this.budget(service).request(this.now());
+        this.budget(service).recordRequest(this.now());
     }
 
     /** Takes one retry; returns false if none is available. */
     async take(service: string): Promise<boolean> {
         const { sharers, borrow, rules } = this.options;
-        if (this.budget(service).take(this.now(), sharers())) {
+        if (this.budget(service).takeRetry(this.now(), sharers())) {
             return true;
         }
         const granted = await borrow(service);
@@ -39,20 +39,20 @@
             const loans = this.loans.get(service)
                 ?? ServiceRetryBudget.create({ ...rules, slack: Number.POSITIVE_INFINITY });
             this.loans.set(service, loans);
-            loans.take(this.now(), 1);
+            loans.takeRetry(this.now(), 1);
         }
         return granted;
     }
 
     /** Number of retries borrowed within the last window, by service. */
     borrowed(): { readonly service: string; readonly count: number; }[] {
-        const loans = [...this.loans].map(([service, taken]) => ({ service, count: taken.taken(this.now()) }));
+        const loans = [...this.loans].map(([service, taken]) => ({ service, count: taken.usedRetries(this.now()) }));
         return loans.filter(({ count }) => count > 0);
     }
 
     /** Returns a retry that didn't reach a server. A borrowed one isn't returned to the leader but added to the own share. */
     giveBack(service: string): void {
-        this.budget(service).giveBack(this.now());
+        this.budget(service).returnRetry(this.now());
     }
 
     private budget(service: string): ServiceRetryBudget {
--- a/packages/basilpaddle/src/node/daemon/gateway/serviceExchange.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/serviceExchange.ts
@@ -125,23 +125,23 @@
         const { request, parts } = this;
         const { clock, choice, tally } = parts;
         const startedAt = clock.monotonic();
-        choice.began(server.id);
-        const call = tally.began(server, startedAt);
+        choice.recordStart(server.id);
+        const call = tally.recordStart(server, startedAt);
         const limit = TimeLimit.create(clock, this.serverTimeout(server), request.disconnected.signal);
         try {
             const sent = await this.sender.send(request, server, this.service, {}, limit.signal);
             const [result, outcome] = await this.classify(server, sent);
             const milliseconds = clock.monotonic() - startedAt;
-            choice.ended(server, request.isGone() ? "answered" : outcome, milliseconds, clock.monotonic());
+            choice.recordOutcome(server, request.isGone() ? "answered" : outcome, milliseconds, clock.monotonic());
             if (!request.isGone()) {
-                tally.ended(call, outcome, clock.monotonic());
+                tally.recordOutcome(call, outcome, clock.monotonic());
             }
             this.path.push(`${server.id} ${outcome} ${Math.round(milliseconds)}`);
             return result;
         }
         finally {
             limit.clear();
-            tally.dropped(call);
+            tally.discardCall(call);
         }
     }
 
--- a/packages/basilpaddle/src/node/daemon/gateway/streamExchange.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/streamExchange.ts
@@ -311,7 +311,7 @@
     private async stream(decode: ServerAnnouncement, answer: BackendAnswer, signal: AbortSignal): Promise<RunEnd> {
         const { request, relay, parts } = this;
         const pauses = StallDetector.create();
-        const onBytes = (): void => parts.links.event(decode, pauses.event(this.now()), this.now());
+        const onBytes = (): void => parts.links.countEvent(decode, pauses.recordEvent(this.now()), this.now());
         const end = await relay.forward(answer, this.canResume() ? idleLimitMilliseconds : undefined, signal, onBytes);
         if (pauses.longest() > (request.route.gap ?? Number.POSITIVE_INFINITY)) {
             this.path.push(`pause ${Math.round(pauses.longest())}`);
