--- a/packages/basilpaddle/src/node/daemon/gateway/__tests__/callerRequest.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/__tests__/callerRequest.spec.ts
@@ -21,7 +21,7 @@
 /** Everything that a caller receives until the connection ends. */
 async function answerOf(act: (request: CallerRequest) => void, head = "GET / HTTP/1.1"): Promise<string> {
     const server = http.createServer((incoming, response) => {
-        const facts = {
+        const metadata = {
             attempt: "a",
             deadlineWithin: undefined,
             promptTokens: 0,
@@ -29,20 +29,20 @@
             expectedTokens: undefined,
         };
         const now = (): number => performance.now();
-        act(CallerRequest.create({ incoming, response, facts, route, body: undefined, arrivedAt: now(), now }));
+        act(CallerRequest.create({ incoming, response, metadata, route, body: undefined, arrivedAt: now(), now }));
     });
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const { port } = server.address() as net.AddressInfo;
     const socket = net.connect(port, "127.0.0.1");
     socket.write(`${head}\r\nHost: h\r\nConnection: close\r\n\r\n`);
-    let read = "";
+    let received = "";
     socket.on("data", chunk => {
-        read += chunk.toString();
+        received += chunk.toString();
     });
     socket.on("error", () => undefined);
     await new Promise(resolve => socket.once("close", resolve));
     server.close();
-    return read;
+    return received;
 }
 
 describe("a caller's request", () => {
--- a/packages/basilpaddle/src/node/daemon/gateway/__tests__/placementClient.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/__tests__/placementClient.spec.ts
@@ -6,7 +6,7 @@
 import { PlacementClient } from "../placementClient.js";
 
 const name = "127.0.0.1:1";
-const open = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 describe("the placement client of a gateway", () => {
     let directories: FakeDirectories;
@@ -47,7 +47,7 @@
         directories.all[0]!.placementMessages.filter(placing => placing.kind === "place").length;
 
     it("gets placements from the leader", async () => {
-        expect(await placements.requestPlacement(typicalPlacementRequest("one"), open)).to.include({
+        expect(await placements.requestPlacement(typicalPlacementRequest("one"), neverAborted)).to.include({
             decode: "by-leader",
             by: "leader",
         });
@@ -57,27 +57,30 @@
     // for the whole timeout, some of them twice.
     it("places locally if the leader doesn't answer, and lets only one request time out", async () => {
         directories.all[0]!.frozen = true;
-        expect(await placements.requestPlacement(typicalPlacementRequest("one"), open)).to.include({ by: "alone" });
+        expect(await placements.requestPlacement(typicalPlacementRequest("one"), neverAborted)).to.include({
+            by: "alone",
+        });
         const before = placementRequests();
         const next = await Promise.all(
             ["two", "three", "four"].map(attempt =>
-                placements.requestPlacement(typicalPlacementRequest(attempt), open)
+                placements.requestPlacement(typicalPlacementRequest(attempt), neverAborted)
             ),
         );
-        expect(next.map(place => place?.kind === "placed" && place.by)).to.deep.equal(["alone", "alone", "alone"]);
+        expect(next.map(grant => grant?.kind === "placed" && grant.by)).to.deep.equal(["alone", "alone", "alone"]);
         expect(placementRequests() - before).to.be.at.most(1);
     });
 
-    // Guards against first events that are 0.4 s late, repeatedly and at every gateway, while a leader is away for seconds:
+    // Guards against first events that are 0.4 s late, repeatedly and at every gateway, while a leader is unresponsive for seconds:
     // after each interval the next request was used to check whether the leader answered again, and waited for the timeout.
     it("doesn't use requests to check whether an unresponsive leader answers again", async () => {
         directories.all[0]!.frozen = true;
-        await placements.requestPlacement(typicalPlacementRequest("one"), open);
+        await placements.requestPlacement(typicalPlacementRequest("one"), neverAborted);
         const before = placementRequests();
         for (let number = 0; number < 12; number++) {
-            expect(await placements.requestPlacement(typicalPlacementRequest(`next-${number}`), open)).to.include({
-                by: "alone",
-            });
+            expect(await placements.requestPlacement(typicalPlacementRequest(`next-${number}`), neverAborted)).to
+                .include({
+                    by: "alone",
+                });
             placements.release(`next-${number}`, {});
             await new Promise(resolve => setTimeout(resolve, 60));
         }
@@ -94,19 +97,20 @@
 
     it("returns to the leader after a while, and reports what was placed in the meantime", async () => {
         directories.all[0]!.frozen = true;
-        await placements.requestPlacement(typicalPlacementRequest("one"), open);
+        await placements.requestPlacement(typicalPlacementRequest("one"), neverAborted);
         directories.all[0]!.frozen = false;
         let number = 0;
         let by: string | undefined;
         while (by !== "leader") {
             number += 1;
-            const place = await placements.requestPlacement(typicalPlacementRequest(`next-${number}`), open);
-            by = place?.kind === "placed" ? place.by : undefined;
+            const grant = await placements.requestPlacement(typicalPlacementRequest(`next-${number}`), neverAborted);
+            by = grant?.kind === "placed" ? grant.by : undefined;
             placements.release(`next-${number}`, {});
             await new Promise(resolve => setTimeout(resolve, 20));
         }
-        const lists = directories.all[0]!.placementMessages.filter(placing => placing.kind === "holdings");
-        expect(lists.some(list => list.kind === "holdings" && list.held.some(held => held.demand.attempt === "one"))).to
+        const reports = directories.all[0]!.placementMessages.filter(placing => placing.kind === "holdings");
+        expect(reports.some(list => list.kind === "holdings" && list.held.some(held => held.demand.attempt === "one")))
+            .to
             .equal(true);
     });
 
@@ -119,12 +123,14 @@
         directory!.leader = undefined;
         await until(() => watcher.leader() === undefined);
         placements = PlacementClient.create({ ...common, watcher });
-        const waiting = placements.requestPlacement(typicalPlacementRequest("one"), open);
-        const since = performance.now();
-        expect(await placements.requestPlacement(typicalPlacementRequest("two"), open)).to.include({ by: "alone" });
-        expect(performance.now() - since).to.be.above(500);
+        const waiting = placements.requestPlacement(typicalPlacementRequest("one"), neverAborted);
+        const startedAt = performance.now();
+        expect(await placements.requestPlacement(typicalPlacementRequest("two"), neverAborted)).to.include({
+            by: "alone",
+        });
+        expect(performance.now() - startedAt).to.be.above(500);
         expect(await waiting).to.include({ by: "alone" });
-        const third = placements.requestPlacement(typicalPlacementRequest("three"), open);
+        const third = placements.requestPlacement(typicalPlacementRequest("three"), neverAborted);
         directory!.leader = name;
         expect(await third).to.include({ by: "leader" });
     });
@@ -136,11 +142,13 @@
         directories.all[0]!.frozen = true;
         const large = { cacheTokens: 34_000 };
         await Promise.all(
-            ["one", "two"].map(attempt => placements.requestPlacement(typicalPlacementRequest(attempt, large), open)),
+            ["one", "two"].map(attempt =>
+                placements.requestPlacement(typicalPlacementRequest(attempt, large), neverAborted)
+            ),
         );
         const third = placements.requestPlacement(
             typicalPlacementRequest("three", { ...large, patienceWithin: 5_000 }),
-            open,
+            neverAborted,
         );
         await new Promise(resolve => setTimeout(resolve, 50));
         directories.all[0]!.frozen = false;
@@ -150,9 +158,9 @@
     it("withdraws the request of a caller that disconnects", async () => {
         const caller = new AbortController();
         directories.all[0]!.frozen = true;
-        const reserved = placements.requestPlacement(typicalPlacementRequest("one"), caller.signal);
+        const placement = placements.requestPlacement(typicalPlacementRequest("one"), caller.signal);
         caller.abort();
-        expect(await reserved).to.equal(undefined);
+        expect(await placement).to.equal(undefined);
         expect(directories.all[0]!.placementMessages.at(-1)).to.deep.equal({ kind: "withdraw", attempt: "one" });
     });
 });
--- a/packages/basilpaddle/src/node/daemon/gateway/__tests__/prefilledPrompt.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/__tests__/prefilledPrompt.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { prefillTimeout } from "../prefilledPrompt.js";
 
-const usual = { left: () => 14_000, facts: { promptTokens: 3_200 } };
+const usual = { remainingTime: () => 14_000, metadata: { promptTokens: 3_200 } };
 
 // Guards against late requests at an unresponsive engine while others are idle: its connections stay open without an answer,
 // and the prefill of any prompt timed out only after a second.
@@ -14,7 +14,7 @@
     it("is longer if prompts queue, and never exceeds the maximum or the remaining time", () => {
         expect(prefillTimeout(usual, 230)).to.be.above(prefillTimeout(usual, 120));
         expect(prefillTimeout(usual, 2_000)).to.equal(prefillTimeout(usual, undefined));
-        expect(prefillTimeout({ ...usual, left: () => 90 }, 120)).to.equal(90);
+        expect(prefillTimeout({ ...usual, remainingTime: () => 90 }, 120)).to.equal(90);
     });
 
     it("tolerates an engine that takes four times as long as forecast", () => {
--- a/packages/basilpaddle/src/node/daemon/gateway/__tests__/retryCharges.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/__tests__/retryCharges.spec.ts
@@ -2,69 +2,69 @@
 import { RetryCharges, type SendOutcome } from "../retryCharges.js";
 
 /** An allowance with a number of retries, and the charges of one request to it. */
-function chargesWith(retries: number): { readonly charges: RetryCharges; readonly left: () => number; } {
-    let left = retries;
+function chargesWith(retries: number): { readonly charges: RetryCharges; readonly retriesLeft: () => number; } {
+    let retriesLeft = retries;
     const charges = RetryCharges.create({
-        take: () => Promise.resolve(left > 0 && left-- > 0),
-        giveBack: () => {
-            left += 1;
+        takeRetry: () => Promise.resolve(retriesLeft > 0 && retriesLeft-- > 0),
+        returnRetry: () => {
+            retriesLeft += 1;
         },
     }, "pool");
-    return { charges, left: () => left };
+    return { charges, retriesLeft: () => retriesLeft };
 }
 
-/** Plays one round that the allowance must permit, with the outcomes of its prefill, if there is one, and of its run. */
-async function round(charges: RetryCharges, read: SendOutcome | undefined, run: SendOutcome): Promise<void> {
-    const sent = (await charges.begin(read !== undefined))!;
+/** Simulates one round that the allowance must permit, with the outcomes of its prefill, if there is one, and of its run. */
+async function runRound(charges: RetryCharges, read: SendOutcome | undefined, run: SendOutcome): Promise<void> {
+    const reports = (await charges.reserve(read !== undefined))!;
     if (read !== undefined) {
-        sent.reportPrefill(read);
+        reports.reportPrefill(read);
     }
-    sent.reportRun(run);
+    reports.reportRun(run);
 }
 
 describe("the charges of a request to the retry allowance", () => {
     it("are zero for a prefill that an engine accepts and the run after it", async () => {
         const { charges } = chargesWith(0);
-        await round(charges, "read", "counted");
-        expect(await charges.begin(false)).to.equal(undefined);
+        await runRound(charges, "read", "counted");
+        expect(await charges.reserve(false)).to.equal(undefined);
     });
 
-    // Guards against sending a service more than its retry allowance permits, as seen with 42 engines of which some had gone:
+    // Guards against sending a service more than its retry allowance permits, as seen with 42 engines of which some had terminated:
     // a prefill failed, a second engine ran the prefill, a third one the run, which was then counted as the first send.
     it("count the run after a failed prefill as a retry", async () => {
-        const { charges, left } = chargesWith(1);
-        await round(charges, "counted", "unreached");
-        await round(charges, "read", "counted");
-        expect(left()).to.equal(0);
-        expect(await charges.begin(false)).to.equal(undefined);
+        const { charges, retriesLeft } = chargesWith(1);
+        await runRound(charges, "counted", "unreached");
+        await runRound(charges, "read", "counted");
+        expect(retriesLeft()).to.equal(0);
+        expect(await charges.reserve(false)).to.equal(undefined);
     });
 
     it("are zero if no connection was established", async () => {
-        const { charges, left } = chargesWith(1);
-        await round(charges, undefined, "counted");
+        const { charges, retriesLeft } = chargesWith(1);
+        await runRound(charges, undefined, "counted");
         for (let number = 0; number < 5; number++) {
-            await round(charges, undefined, "unreached");
+            await runRound(charges, undefined, "unreached");
         }
-        expect(left()).to.equal(1);
-        await round(charges, undefined, "counted");
-        expect(await charges.begin(false)).to.equal(undefined);
+        expect(retriesLeft()).to.equal(1);
+        await runRound(charges, undefined, "counted");
+        expect(await charges.reserve(false)).to.equal(undefined);
     });
 
     it("include a second prefill that is accepted", async () => {
-        const { charges, left } = chargesWith(1);
-        await round(charges, "read", "unreached");
-        await round(charges, "read", "counted");
-        expect(left()).to.equal(0);
-        expect(await charges.begin(false)).to.equal(undefined);
+        const { charges, retriesLeft } = chargesWith(1);
+        await runRound(charges, "read", "unreached");
+        await runRound(charges, "read", "counted");
+        expect(retriesLeft()).to.equal(0);
+        expect(await charges.reserve(false)).to.equal(undefined);
     });
 
     // Guards against a prefill whose run is refused right after it because no retry is left. A prefill fails, or a run is
     // rejected and its cache expires, and the prefill of the next round takes the last retry. The retry for the run was
     // only requested after the prefill.
     it("are refused if a retry is left for the prefill, but none for the run", async () => {
-        const { charges, left } = chargesWith(1);
-        await round(charges, "read", "counted");
-        expect(await charges.begin(true)).to.equal(undefined);
-        expect(left()).to.equal(1);
+        const { charges, retriesLeft } = chargesWith(1);
+        await runRound(charges, "read", "counted");
+        expect(await charges.reserve(true)).to.equal(undefined);
+        expect(retriesLeft()).to.equal(1);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/gateway/awaitEngines.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/awaitEngines.ts
@@ -7,21 +7,21 @@
 const pollMilliseconds = 20;
 
 /**
- * Waits until the engines of a grant are known here or have ended, or the timeout expires: the leader may have received an
- * announcement earlier, from a directory that this gateway hasn't reached yet.
+ * Waits until the engines of a grant are known here or have ended, or the timeout expires. The leader may already have an
+ * announcement that this gateway hasn't received, because it hasn't reached the directory that sends it.
  */
 export async function awaitEngines(
     { instances, clock }: { readonly instances: InstanceTable; readonly clock: Clock; },
     grant: PlacementGrant,
-    isGone: () => boolean,
+    isDisconnected: () => boolean,
 ): Promise<void> {
-    const until = clock.monotonic() + timeoutMilliseconds;
-    const missing = (): boolean => {
+    const deadline = clock.monotonic() + timeoutMilliseconds;
+    const hasUnknownEngine = (): boolean => {
         return [grant.decode, grant.prefill].some(id => {
             return id !== undefined && instances.get(id) === undefined && !instances.hasEnded(id);
         });
     };
-    while (missing() && clock.monotonic() < until && !isGone()) {
+    while (hasUnknownEngine() && clock.monotonic() < deadline && !isDisconnected()) {
         await new Promise<void>(resolve => clock.after(pollMilliseconds, resolve));
     }
 }
--- a/packages/basilpaddle/src/node/daemon/gateway/backendSender.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/backendSender.ts
@@ -15,8 +15,8 @@
 
 const misdirectedStatus = 421;
 
-/** Dependencies that all exchanges share. */
-export type ExchangeDependencies = {
+/** Options shared by all exchanges. */
+export type ExchangeOptions = {
     readonly wire: GatewayWire;
     readonly connections: BackendConnections;
     readonly instances: InstanceTable;
@@ -41,18 +41,18 @@
 /** Result of sending a request to one backend server. */
 export type SendResult =
     /** The head of an answer to this request. */
-    | { readonly kind: "answer"; readonly answer: BackendAnswer; readonly facts: AnswerMetadata; }
+    | { readonly kind: "answer"; readonly answer: BackendAnswer; readonly metadata: AnswerMetadata; }
     /** It has not run there: it was rejected, or nothing was sent. */
     | { readonly kind: "notRun"; readonly cause: string; readonly unreachable: boolean; readonly status?: number; }
     /** It may have run. */
     | { readonly kind: "unknown"; readonly cause: string; };
 
-/** Sends requests to backend servers and classifies the results: to whom an answer belongs, and whether the request ran. */
+/** Sends requests to backend servers and classifies the results: which attempt an answer belongs to, and whether the request ran. */
 export class BackendSender {
-    private constructor(private readonly parts: ExchangeDependencies) {}
+    private constructor(private readonly options: ExchangeOptions) {}
 
-    static create(parts: ExchangeDependencies): BackendSender {
-        return new BackendSender(parts);
+    static create(options: ExchangeOptions): BackendSender {
+        return new BackendSender(options);
     }
 
     /** Sends the caller's request with this system's own headers. */
@@ -60,23 +60,23 @@
         request: CallerRequest,
         server: ServerAnnouncement,
         service: ServiceRule,
-        facts: Omit<RunMetadata, "attempt" | "deadlineWithin" | "instance">,
+        metadata: Omit<RunMetadata, "attempt" | "deadlineWithin" | "instance">,
         signal: AbortSignal,
     ): Promise<SendResult> {
-        const { wire, connections, gateways } = this.parts;
-        const ownHeaders = wire.runHeaders({
-            ...facts,
-            attempt: request.facts.attempt,
-            deadlineWithin: Math.max(1, Math.floor(request.left())),
+        const { wire, connections, gateways } = this.options;
+        const runHeaders = wire.runHeaders({
+            ...metadata,
+            attempt: request.metadata.attempt,
+            deadlineWithin: Math.max(1, Math.floor(request.remainingTime())),
             instance: serverName(server),
         });
-        const replaced = new Set([...wire.reserved, ...Object.keys(ownHeaders).map(name => name.toLowerCase())]);
+        const replacedNames = new Set([...wire.reserved, ...Object.keys(runHeaders).map(name => name.toLowerCase())]);
         const result = await connections.call(
             {
                 server,
                 method: request.method,
                 path: request.target,
-                headers: [...request.headers(replaced), ...Object.entries(ownHeaders).flat()],
+                headers: [...request.headers(replacedNames), ...Object.entries(runHeaders).flat()],
                 body: request.body,
                 signal,
             },
@@ -87,26 +87,27 @@
     }
 
     private classify(request: CallerRequest, server: ServerAnnouncement, answer: BackendAnswer): SendResult {
-        const facts = this.parts.wire.parseAnswer(answer.status, answer.headers);
-        if (facts.attempt !== undefined && facts.attempt !== request.facts.attempt) {
+        const metadata = this.options.wire.parseAnswer(answer.status, answer.headers);
+        if (metadata.attempt !== undefined && metadata.attempt !== request.metadata.attempt) {
             // A second answer to an earlier request on the connection: all later answers would be off by one.
             discard(answer);
-            return { kind: "unknown", cause: `received the answer to another attempt, ${facts.attempt}` };
+            return { kind: "unknown", cause: `received the answer to another attempt, ${metadata.attempt}` };
         }
         if (
-            answer.status === misdirectedStatus && facts.instance !== undefined && facts.instance !== serverName(server)
+            answer.status === misdirectedStatus && metadata.instance !== undefined
+            && metadata.instance !== serverName(server)
         ) {
-            this.parts.logger.warn("another incarnation answers at the address", {
+            this.options.logger.warn("another incarnation answers at the address", {
                 expected: server.id,
-                found: facts.instance,
+                found: metadata.instance,
                 address: server.address,
             });
-            this.parts.instances.end(server.id);
-            this.parts.connections.closeConnections(server.id);
+            this.options.instances.end(server.id);
+            this.options.connections.closeConnections(server.id);
             // Otherwise each gateway would detect it by a request of its own, and spend a retry on it.
-            this.parts.reportEnded(server.id);
+            this.options.reportEnded(server.id);
         }
-        if (facts.notRun) {
+        if (metadata.notRun) {
             drain(answer);
             return {
                 kind: "notRun",
@@ -115,7 +116,7 @@
                 status: answer.status,
             };
         }
-        return { kind: "answer", answer, facts };
+        return { kind: "answer", answer, metadata };
     }
 }
 
--- a/packages/basilpaddle/src/node/daemon/gateway/callerRequest.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/callerRequest.ts
@@ -32,7 +32,7 @@
     private constructor(
         readonly incoming: http.IncomingMessage,
         private readonly response: http.ServerResponse,
-        readonly facts: CallerMetadata,
+        readonly metadata: CallerMetadata,
         readonly route: TrafficRoute,
         readonly body: Buffer | undefined,
         readonly arrivedAt: number,
@@ -46,22 +46,22 @@
         });
     }
 
-    static create(parts: {
+    static create(options: {
         readonly incoming: http.IncomingMessage;
         readonly response: http.ServerResponse;
-        readonly facts: CallerMetadata;
+        readonly metadata: CallerMetadata;
         readonly route: TrafficRoute;
         readonly body: Buffer | undefined;
         readonly arrivedAt: number;
         readonly now: () => number;
     }): CallerRequest {
-        const { incoming, response, facts, route, body, arrivedAt, now } = parts;
-        return new CallerRequest(incoming, response, facts, route, body, arrivedAt, now);
+        const { incoming, response, metadata, route, body, arrivedAt, now } = options;
+        return new CallerRequest(incoming, response, metadata, route, body, arrivedAt, now);
     }
 
     /** Identifier of the attempt, for logs and for the scheduler; empty if the caller sent none. */
     get attempt(): string {
-        return this.facts.attempt ?? "";
+        return this.metadata.attempt ?? "";
     }
 
     get method(): string {
@@ -81,11 +81,11 @@
 
     /** Time by which its answer must be complete: the caller's own limit or the route's, whichever comes first. */
     get deadline(): number {
-        return this.arrivedAt + Math.min(this.facts.deadlineWithin ?? this.route.timeout, this.route.timeout);
+        return this.arrivedAt + Math.min(this.metadata.deadlineWithin ?? this.route.timeout, this.route.timeout);
     }
 
-    /** Milliseconds left until the deadline. */
-    left(): number {
+    /** Milliseconds until the deadline. */
+    remainingTime(): number {
         return this.deadline - this.now();
     }
 
@@ -94,12 +94,12 @@
         return this.now() - this.arrivedAt;
     }
 
-    isGone(): boolean {
+    isDisconnected(): boolean {
         return this.disconnected.signal.aborted;
     }
 
     /** Whether its answer has begun. */
-    hasBegun(): boolean {
+    hasAnswerBegun(): boolean {
         return this.response.headersSent;
     }
 
@@ -115,7 +115,7 @@
 
     /** Sends a backend server's complete answer with its status, headers and framing unchanged. */
     sendAnswer(answer: Pick<BackendAnswer, "status" | "rawHeaders" | "framed">, body: Buffer): void {
-        if (this.isGone()) {
+        if (this.isDisconnected()) {
             return;
         }
         const { status, rawHeaders, framed } = answer;
@@ -142,7 +142,7 @@
 
     /** Forwards bytes of a streamed answer; resolves when the caller's connection accepts more. */
     write(bytes: Buffer): Promise<void> {
-        if (this.isGone() || this.response.write(bytes)) {
+        if (this.isDisconnected() || this.response.write(bytes)) {
             return Promise.resolve();
         }
         return new Promise(resolve => {
@@ -158,7 +158,7 @@
 
     /** Ends a streamed answer as complete. */
     finishStream(): void {
-        if (!this.isGone()) {
+        if (!this.isDisconnected()) {
             this.response.end();
             this.end("answered", "stream");
         }
@@ -169,7 +169,7 @@
      * response would look like a complete answer.
      */
     fail(status: 500 | 502 | 504, cause: string): void {
-        if (this.hasBegun()) {
+        if (this.hasAnswerBegun()) {
             this.end("brokenOff", cause);
             this.response.destroy();
             return;
@@ -192,7 +192,7 @@
     }
 
     private sendOwnAnswer(status: number, cause: string, headers: Record<string, string>): void {
-        if (!this.isGone()) {
+        if (!this.isDisconnected()) {
             writeOwnAnswer(this.response, status, cause, headers);
         }
     }
@@ -218,8 +218,8 @@
 }
 
 /**
- * Reads the whole body before anything is forwarded, so that a request can be sent again complete, and one whose caller
- * disconnects midway has not run. Returns "tooLarge" as soon as the limit is exceeded, undefined if the caller disconnected.
+ * Reads the whole body before anything is forwarded, so that the request can be resent in full, and isn't run at all if its
+ * caller disconnects midway. Returns "tooLarge" as soon as the limit is exceeded, undefined if the caller disconnected.
  */
 export async function readBody(
     incoming: http.IncomingMessage,
--- a/packages/basilpaddle/src/node/daemon/gateway/callerServer.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/callerServer.ts
@@ -43,12 +43,12 @@
         });
         // A socket timeout would cut a stream whose engine sends nothing for a long time.
         server.timeout = 0;
-        const created = new CallerServer(server, options);
-        created.setLimits(initialLimits);
-        server.on("request", (incoming, response) => created.receive(incoming, response));
+        const callerServer = new CallerServer(server, options);
+        callerServer.setLimits(initialLimits);
+        server.on("request", (incoming, response) => callerServer.receive(incoming, response));
         server.on(
             "clientError",
-            (error: NodeJS.ErrnoException, socket) => created.rejectMalformed(error, socket as Socket),
+            (error: NodeJS.ErrnoException, socket) => callerServer.rejectMalformed(error, socket as Socket),
         );
         await new Promise<void>((resolve, reject) => {
             server.once("error", reject);
@@ -57,7 +57,7 @@
                 resolve();
             });
         });
-        return created;
+        return callerServer;
     }
 
     /** Applies the limits of a configuration. */
--- a/packages/basilpaddle/src/node/daemon/gateway/eventSplitter.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/eventSplitter.ts
@@ -40,12 +40,12 @@
 
 /** Offset after the first event and its blank line; 0 if it is incomplete. */
 function eventEnd(bytes: Buffer): number {
-    for (let at = bytes.indexOf(lineFeed); at >= 0; at = bytes.indexOf(lineFeed, at + 1)) {
-        if (bytes[at + 1] === lineFeed) {
-            return at + 2;
+    for (let position = bytes.indexOf(lineFeed); position >= 0; position = bytes.indexOf(lineFeed, position + 1)) {
+        if (bytes[position + 1] === lineFeed) {
+            return position + 2;
         }
-        if (bytes[at + 1] === carriageReturn && bytes[at + 2] === lineFeed) {
-            return at + 3;
+        if (bytes[position + 1] === carriageReturn && bytes[position + 2] === lineFeed) {
+            return position + 3;
         }
     }
     return 0;
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
@@ -14,7 +14,7 @@
 import { DisposableStore, type Metrics } from "../../utils/index.js";
 import { BackendConnections } from "../backends/index.js";
 import type { RoutingOptions } from "../routingOptions.js";
-import type { ExchangeDependencies } from "./backendSender.js";
+import type { ExchangeOptions } from "./backendSender.js";
 import { CallerRequest, readBody, writeOwnAnswer } from "./callerRequest.js";
 import { CallerServer } from "./callerServer.js";
 import type { GatewayWire } from "./gatewayWire.js";
@@ -31,7 +31,7 @@
 const configurationWaitFraction = 0.4;
 /** How long a gateway waits to reach a majority of the directories before it reports ready without one. */
 const majorityTimeoutMilliseconds = 1_500;
-/** Time in which the balancer notices that a gateway is leaving: two probes a second apart, and a margin. */
+/** Time in which the balancer detects that a gateway shuts down: two probes a second apart, and a margin. */
 const balancerNoticeMilliseconds = 2_800;
 /** Time reserved for closing at the end of a shutdown, and the interval of checking for open requests. */
 const shutdownMarginMilliseconds = 600;
@@ -52,16 +52,16 @@
     private readonly tally = CallTally.create();
     private readonly retries: RetryAllowance;
     private readonly connections: BackendConnections;
-    /** Requests that backend servers crashed on. */
+    /** Requests during which backend servers crashed. */
     readonly quarantinedRequests: QuarantinedRequests;
     private readonly crashDetector: CrashDetector;
     private readonly watcher: DirectoryWatcher;
     private readonly placementClient: PlacementClient;
-    private readonly exchangeDependencies: ExchangeDependencies;
+    private readonly exchangeOptions: ExchangeOptions;
     private callerServer!: CallerServer;
     private routeTable: RouteTable | undefined;
     private configuredAt: number | undefined;
-    private leaving = false;
+    private shuttingDown = false;
     private readonly routeTableWaiters = new Set<() => void>();
 
     private constructor(private readonly options: GatewayDaemonOptions) {
@@ -69,7 +69,7 @@
         this.retries = RetryAllowance.create({
             rules: settings.repeats,
             clock,
-            sharers: () => this.watcher.highestRecentGateways(),
+            maxGateways: () => this.watcher.highestRecentGateways(),
             borrow: service => this.placementClient.borrowRetry(service),
         });
         this.connections = BackendConnections.create(logger);
@@ -115,7 +115,7 @@
             logger,
         });
         this.store.add(() => this.placementClient.close());
-        this.exchangeDependencies = {
+        this.exchangeOptions = {
             wire,
             connections: this.connections,
             instances: this.instances,
@@ -153,11 +153,11 @@
     async close(): Promise<number> {
         const { clock, settings, logger } = this.options;
         const startedAt = clock.monotonic();
-        const until = startedAt + settings.shutdownTime - shutdownMarginMilliseconds;
-        this.leaving = true;
+        const deadline = startedAt + settings.shutdownTime - shutdownMarginMilliseconds;
+        this.shuttingDown = true;
         this.callerServer.closeAfterResponses();
         let listening = true;
-        while (clock.monotonic() < until) {
+        while (clock.monotonic() < deadline) {
             // A caller with an idle connection would send its next request here, and lose it when the gateway exits.
             this.callerServer.closeIdle();
             if (listening && clock.monotonic() - startedAt > balancerNoticeMilliseconds) {
@@ -169,20 +169,20 @@
             }
             await new Promise<void>(resolve => clock.after(shutdownPollMilliseconds, resolve));
         }
-        const cut = this.callerServer.openRequests();
-        logger.info("closing", { cut, after: Math.round(clock.monotonic() - startedAt) });
+        const unfinishedRequests = this.callerServer.openRequests();
+        logger.info("closing", { cut: unfinishedRequests, after: Math.round(clock.monotonic() - startedAt) });
         this.callerServer.closeAll();
         await this.store.dispose();
-        return cut;
+        return unfinishedRequests;
     }
 
     /** Whether the balancer should send new requests here. */
     isReady(): boolean {
-        if (this.leaving || this.configuredAt === undefined) {
+        if (this.shuttingDown || this.configuredAt === undefined) {
             return false;
         }
-        const waited = this.options.clock.monotonic() - this.configuredAt > majorityTimeoutMilliseconds;
-        return waited || this.watcher.reachesMajority();
+        const hasTimedOut = this.options.clock.monotonic() - this.configuredAt > majorityTimeoutMilliseconds;
+        return hasTimedOut || this.watcher.reachesMajority();
     }
 
     /** Sets the gauges of a gateway. */
@@ -200,8 +200,10 @@
         });
         this.store.add(() => this.callerServer.closeAll());
         const readiness = http.createServer({ keepAliveTimeout: 10_000 }, (incoming, response) => {
-            const known = (incoming.url ?? "").split("?", 1)[0] === this.options.wire.readinessPath;
-            response.writeHead(known && this.isReady() ? 200 : known ? 503 : 404, { "Content-Length": 0 });
+            const isReadinessPath = (incoming.url ?? "").split("?", 1)[0] === this.options.wire.readinessPath;
+            response.writeHead(isReadinessPath && this.isReady() ? 200 : isReadinessPath ? 503 : 404, {
+                "Content-Length": 0,
+            });
             response.end();
         });
         await new Promise<void>((resolve, reject) => {
@@ -225,7 +227,7 @@
                 this.routeTable = RouteTable.create(traffic);
                 this.callerServer?.setLimits(traffic.limits);
                 this.configuredAt ??= clock.monotonic();
-                [...this.routeTableWaiters].forEach(settle => settle());
+                [...this.routeTableWaiters].forEach(finish => finish());
                 logger.info("a configuration is in force here", { version, routes: traffic.routes.length });
             },
         });
@@ -256,8 +258,8 @@
         const { wire, clock } = this.options;
         const table = this.routeTable ?? await this.awaitRouteTable(wire.parseCaller(incoming.headers).deadlineWithin);
         if (table === undefined) {
-            const retry = { "Retry-After": String(unconfiguredRetryAfterSeconds) };
-            this.rejectRequest(incoming, response, 503, "no configuration received yet", retry);
+            const retryHeaders = { "Retry-After": String(unconfiguredRetryAfterSeconds) };
+            this.rejectRequest(incoming, response, 503, "no configuration received yet", retryHeaders);
             return;
         }
         const limits = this.callerServer.currentLimits();
@@ -270,7 +272,7 @@
             this.rejectRequest(incoming, response, 404, "no route matches the request");
             return;
         }
-        const facts = wire.parseCaller(incoming.headers);
+        const metadata = wire.parseCaller(incoming.headers);
         const body = await readBody(incoming, limits);
         if (body === "tooLarge") {
             this.rejectRequest(incoming, response, 413, `the body is larger than ${limits.bodyBytes} bytes`);
@@ -283,7 +285,7 @@
         const request = CallerRequest.create({
             incoming,
             response,
-            facts,
+            metadata,
             route,
             body: body.length === 0 ? undefined : body,
             arrivedAt,
@@ -299,13 +301,13 @@
     private awaitRouteTable(deadlineWithin: number | undefined): Promise<RouteTable | undefined> {
         const limit = Math.min(maxConfigurationWaitMilliseconds, (deadlineWithin ?? 0) * configurationWaitFraction);
         return new Promise(resolve => {
-            const settle = (): void => {
+            const finish = (): void => {
                 cancel();
-                this.routeTableWaiters.delete(settle);
+                this.routeTableWaiters.delete(finish);
                 resolve(this.routeTable);
             };
-            const cancel = this.options.clock.after(limit, settle);
-            this.routeTableWaiters.add(settle);
+            const cancel = this.options.clock.after(limit, finish);
+            this.routeTableWaiters.add(finish);
         });
     }
 
@@ -317,13 +319,13 @@
         }
         const { settings } = this.options;
         const exchange = service.engine !== undefined && route.prompts
-            ? StreamExchange.create(this.exchangeDependencies, this.placementClient, settings, request, service)
-            : ServiceExchange.create(this.exchangeDependencies, request, service);
+            ? StreamExchange.create(this.exchangeOptions, this.placementClient, settings, request, service)
+            : ServiceExchange.create(this.exchangeOptions, request, service);
         await exchange.run();
-        this.log(request, exchange.trace(), table.traffic.version);
+        this.logRequest(request, exchange.trace(), table.traffic.version);
     }
 
-    private log(request: CallerRequest, path: readonly string[], version: number): void {
+    private logRequest(request: CallerRequest, path: readonly string[], version: number): void {
         const { logger, metrics } = this.options;
         const outcome = request.outcome();
         const milliseconds = Math.round(request.age());
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayWire.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayWire.ts
@@ -54,7 +54,7 @@
     abstract parseCaller(headers: IncomingHttpHeaders): CallerMetadata;
 
     /** Headers that replace those of the same names in the caller's request. */
-    abstract runHeaders(facts: RunMetadata): Readonly<Record<string, string>>;
+    abstract runHeaders(metadata: RunMetadata): Readonly<Record<string, string>>;
 
     /** Parses the head of an answer. */
     abstract parseAnswer(status: number, headers: Readonly<Record<string, string | undefined>>): AnswerMetadata;
--- a/packages/basilpaddle/src/node/daemon/gateway/headers.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/headers.ts
@@ -18,20 +18,20 @@
  * that its `Connection` header names, and without those in `dropped`.
  */
 export function endToEndHeaders(rawHeaders: readonly string[], dropped: ReadonlySet<string>): string[] {
-    const named = new Set<string>();
+    const connectionOptions = new Set<string>();
     forEachHeader(rawHeaders, (name, value) => {
         if (name.toLowerCase() === "connection") {
-            value.split(",").forEach(token => named.add(token.trim().toLowerCase()));
+            value.split(",").forEach(token => connectionOptions.add(token.trim().toLowerCase()));
         }
     });
-    const kept: string[] = [];
+    const forwarded: string[] = [];
     forEachHeader(rawHeaders, (name, value) => {
         const lower = name.toLowerCase();
-        if (!connectionHeaders.has(lower) && !named.has(lower) && !dropped.has(lower)) {
-            kept.push(name, value);
+        if (!connectionHeaders.has(lower) && !connectionOptions.has(lower) && !dropped.has(lower)) {
+            forwarded.push(name, value);
         }
     });
-    return kept;
+    return forwarded;
 }
 
 /** Size in bytes of a request's head as received. */
--- a/packages/basilpaddle/src/node/daemon/gateway/leaderTimeout.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/leaderTimeout.ts
@@ -9,7 +9,7 @@
 /**
  * How long a placement request waits for the leader before its gateway places locally.
  *
- * Each gateway detects by a request of its own that the leader's host is gone; among hundreds of gateways that affects every
+ * Each gateway detects by a request of its own that the leader's host failed; with hundreds of gateways that affects every
  * request of the first seconds. With a timeout of 400 ms, 18 of 21 late first events had waited that long, several of them
  * twice. A newly elected leader is slow too, since all gateways contact it at once: with a constant 250 ms, gateways gave it
  * up repeatedly for two seconds, and waited up to 0.9 s in total. So the timeout follows the slowest recent answers.
--- a/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
@@ -25,14 +25,14 @@
  */
 const firstLeaderTimeoutMilliseconds = 600;
 const firstLeaderPollMilliseconds = 20;
-/** Time after the start during which requests wait for it: by then directories have loaded and voted, or can't. */
+/** Time after the start during which requests wait for it: by then directories have elected a leader, or can't. */
 const startupMilliseconds = 3_000;
 /** Retry-After for a request that can't be placed. */
 const refusalRetryAfterMilliseconds = 500;
-/** Interval of reporting all held placements to the leader. */
-const holdingsIntervalMilliseconds = 1_000;
+/** Interval of reporting all current placements to the leader. */
+const grantsReportIntervalMilliseconds = 1_000;
 /** Interval of reporting calls to plain services: a hanging server is known to all gateways within a second. */
-const callsIntervalMilliseconds = 500;
+const callsReportIntervalMilliseconds = 500;
 /** Interval of reviewing the requests that wait for a local placement. */
 const localReviewIntervalMilliseconds = 25;
 
@@ -41,7 +41,7 @@
 /** A granted or refused placement; undefined if the caller disconnected in the meantime. */
 export type PlacementResult = PlacementGrant | Extract<PlacementDecision, { kind: "refused"; }> | undefined;
 
-type HeldGrant = { readonly demand: PlacementRequest; readonly decode: string; };
+type ActiveGrant = { readonly demand: PlacementRequest; readonly decode: string; };
 type DecisionCallback = (decision: PlacementDecision) => void;
 
 /** Dependencies of the placement client. */
@@ -62,13 +62,13 @@
  * exceed an engine's capacity.
  */
 export class PlacementClient {
-    private readonly heldGrants = new Map<string, HeldGrant>();
+    private readonly activeGrants = new Map<string, ActiveGrant>();
     private readonly localPools = new Map<string, PlacementQueue>();
     private readonly localCallbacks = new Map<string, DecisionCallback>();
-    private readonly cancels: (() => void)[] = [];
+    private readonly cancelTimers: (() => void)[] = [];
     private readonly leader: PlacementLeader;
-    private hadLeader = false;
-    private hasReportedHoldings = false;
+    private hasSeenLeader = false;
+    private hasReportedGrants = false;
 
     private readonly startedAt: number;
 
@@ -80,12 +80,12 @@
             watcher,
             clock,
             logger,
-            onRecovered: () => this.reportHoldings(),
+            onRecovered: () => this.reportGrants(),
         });
-        this.every(holdingsIntervalMilliseconds, () => this.reportHoldings());
-        this.every(callsIntervalMilliseconds, () => this.reportCalls());
-        this.every(localReviewIntervalMilliseconds, () => this.reviewLocalPools());
-        this.every(probeIntervalMilliseconds, () => void this.leader.probe());
+        this.runPeriodically(grantsReportIntervalMilliseconds, () => this.reportGrants());
+        this.runPeriodically(callsReportIntervalMilliseconds, () => this.reportCalls());
+        this.runPeriodically(localReviewIntervalMilliseconds, () => this.reviewLocalPools());
+        this.runPeriodically(probeIntervalMilliseconds, () => void this.leader.probe());
     }
 
     static create(options: PlacementClientOptions): PlacementClient {
@@ -95,9 +95,9 @@
     /** Requests a placement until there is a decision. When the signal aborts, the request is withdrawn. */
     async requestPlacement(request: PlacementRequest, signal: AbortSignal): Promise<PlacementResult> {
         const { clock } = this.options;
-        const askedAt = clock.monotonic();
+        const requestedAt = clock.monotonic();
         while (!signal.aborted) {
-            const elapsed = clock.monotonic() - askedAt;
+            const elapsed = clock.monotonic() - requestedAt;
             if (elapsed > request.patienceWithin) {
                 const reason = "no placement decision before the caller's timeout";
                 this.leader.send({ kind: "withdraw", attempt: request.attempt });
@@ -108,7 +108,7 @@
                 targetWithin: request.targetWithin - elapsed,
                 patienceWithin: request.patienceWithin - elapsed,
             };
-            if (this.awaitsFirstLeader() && elapsed < firstLeaderTimeoutMilliseconds) {
+            if (this.mayAwaitFirstLeader() && elapsed < firstLeaderTimeoutMilliseconds) {
                 await new Promise<void>(resolve => clock.after(firstLeaderPollMilliseconds, resolve));
                 continue;
             }
@@ -129,17 +129,17 @@
     }
 
     /** Reports that the prefill of an attempt is done. */
-    prefilled(attempt: string): void {
+    prefillCompleted(attempt: string): void {
         this.leader.send({ kind: "prefilled", attempt });
         this.localPools.forEach(pool => pool.prefillCompleted(attempt, this.options.clock.monotonic()));
     }
 
     /** Releases a placement. */
     release(attempt: string, end: PlacementOutcome): void {
-        this.heldGrants.delete(attempt);
+        this.activeGrants.delete(attempt);
         this.leader.send({ kind: "release", attempt, end });
         const now = this.options.clock.monotonic();
-        this.localPools.forEach(pool => this.settleLocal(pool.release(attempt, end, now)));
+        this.localPools.forEach(pool => this.deliverLocalDecisions(pool.release(attempt, end, now)));
     }
 
     /** Reports to the leader that an incarnation has ended, so that it places nothing there and notifies all gateways. */
@@ -154,27 +154,27 @@
 
     /** Stops all periodic reports. */
     close(): void {
-        this.cancels.forEach(cancel => cancel());
+        this.cancelTimers.forEach(cancel => cancel());
     }
 
     private accept(request: PlacementRequest, decision: PlacementDecision, by: PlacementGrant["by"]): PlacementResult {
         if (decision.kind === "refused") {
             return decision;
         }
-        this.heldGrants.set(request.attempt, { demand: request, decode: decision.decode });
+        this.activeGrants.set(request.attempt, { demand: request, decode: decision.decode });
         return { ...decision, by };
     }
 
-    private awaitsFirstLeader(): boolean {
+    private mayAwaitFirstLeader(): boolean {
         const { watcher, clock } = this.options;
-        this.hadLeader ||= watcher.leader() !== undefined;
-        return !this.hadLeader && clock.monotonic() - this.startedAt < startupMilliseconds;
+        this.hasSeenLeader ||= watcher.leader() !== undefined;
+        return !this.hasSeenLeader && clock.monotonic() - this.startedAt < startupMilliseconds;
     }
 
     /**
-     * Places a request locally. Returns "waiting" after a while, since a leader may be available by then. Otherwise requests
-     * that were waiting when a leader was elected would still wait for this gateway's share of the engines: after a power
-     * loss of the whole deployment, some first events came a second later than necessary.
+     * Places a request locally. Returns "waiting" if there is no decision after a while, since a leader may be available by
+     * then. Otherwise requests that arrived before a leader was elected would continue to wait for this gateway's share of
+     * the engines: after a power loss of the whole deployment, some first events came a second later than necessary.
      */
     private placeLocally(request: PlacementRequest, signal: AbortSignal): Promise<PlacementResult | "waiting"> {
         const pool = this.localPool(request.service);
@@ -190,20 +190,20 @@
         return new Promise(resolve => {
             const withdraw = (outcome: undefined | "waiting"): void => {
                 cancel();
-                signal.removeEventListener("abort", gone);
+                signal.removeEventListener("abort", onAbort);
                 this.localCallbacks.delete(request.attempt);
-                this.settleLocal(pool.withdraw(request.attempt, this.options.clock.monotonic()));
+                this.deliverLocalDecisions(pool.withdraw(request.attempt, this.options.clock.monotonic()));
                 resolve(outcome);
             };
-            const gone = (): void => withdraw(undefined);
+            const onAbort = (): void => withdraw(undefined);
             const cancel = this.options.clock.after(localPlacementMilliseconds, () => withdraw("waiting"));
-            signal.addEventListener("abort", gone);
+            signal.addEventListener("abort", onAbort);
             this.localCallbacks.set(request.attempt, decision => {
                 cancel();
-                signal.removeEventListener("abort", gone);
+                signal.removeEventListener("abort", onAbort);
                 resolve(this.accept(request, decision, "alone"));
             });
-            this.settleLocal(pool.ask(request, this.options.clock.monotonic()));
+            this.deliverLocalDecisions(pool.ask(request, this.options.clock.monotonic()));
         });
     }
 
@@ -220,29 +220,31 @@
         const now = this.options.clock.monotonic();
         pool.setShare(1 / this.options.watcher.gateways());
         pool.setEngines(this.options.instances.all().filter(instance => instance.service === service), rule);
-        const held = [...this.heldGrants.values()].filter(({ demand: request }) => request.service === service);
-        this.settleLocal(pool.reconcile(this.options.name, held, 0, now));
+        const grantsOfService = [...this.activeGrants.values()].filter(({ demand: request }) =>
+            request.service === service
+        );
+        this.deliverLocalDecisions(pool.reconcile(this.options.name, grantsOfService, 0, now));
         return pool;
     }
 
     private reviewLocalPools(): void {
         const now = this.options.clock.monotonic();
-        this.localPools.forEach(pool => this.settleLocal(pool.review(now)));
+        this.localPools.forEach(pool => this.deliverLocalDecisions(pool.review(now)));
     }
 
-    private settleLocal(decisions: readonly PlacementDecision[]): void {
+    private deliverLocalDecisions(decisions: readonly PlacementDecision[]): void {
         for (const decision of decisions) {
-            const settle = this.localCallbacks.get(decision.attempt);
+            const callback = this.localCallbacks.get(decision.attempt);
             this.localCallbacks.delete(decision.attempt);
-            settle?.(decision);
+            callback?.(decision);
         }
     }
 
-    private reportHoldings(): void {
-        if (this.heldGrants.size > 0 || this.hasReportedHoldings) {
-            this.leader.send({ kind: "holdings", gateway: this.options.name, held: [...this.heldGrants.values()] });
+    private reportGrants(): void {
+        if (this.activeGrants.size > 0 || this.hasReportedGrants) {
+            this.leader.send({ kind: "holdings", gateway: this.options.name, held: [...this.activeGrants.values()] });
         }
-        this.hasReportedHoldings = this.heldGrants.size > 0;
+        this.hasReportedGrants = this.activeGrants.size > 0;
     }
 
     private reportCalls(): void {
@@ -252,13 +254,13 @@
         }
     }
 
-    private every(interval: number, act: () => void): void {
+    private runPeriodically(interval: number, action: () => void): void {
         let cancel = (): void => undefined;
         const runAndReschedule = (): void => {
-            act();
+            action();
             cancel = this.options.clock.after(interval, runAndReschedule);
         };
         cancel = this.options.clock.after(interval, runAndReschedule);
-        this.cancels.push(() => cancel());
+        this.cancelTimers.push(() => cancel());
     }
 }
--- a/packages/basilpaddle/src/node/daemon/gateway/placementLeader.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementLeader.ts
@@ -8,7 +8,7 @@
 import type { Clock, Logger } from "../../utils/index.js";
 import { LeaderTimeout } from "./leaderTimeout.js";
 
-/** Timeout for borrowing a retry. The leader answers at once; otherwise it is better to refuse the caller. */
+/** Timeout for borrowing a retry. A responsive leader answers at once; with any other it is better to refuse the caller. */
 const borrowTimeoutMilliseconds = 150;
 
 /** The leader's answer to a placement request: its decision, or that the request is queued there. */
@@ -27,8 +27,8 @@
 
 /**
  * One gateway's connection to the leading directory. After one request has timed out, the leader is only probed, separately
- * from all requests: otherwise each of these would wait for the full timeout, as every third request did with hundreds of
- * gateways while a leader was away for two seconds.
+ * from all requests. Otherwise each request would wait for the full timeout, as every third did with hundreds of gateways
+ * while a leader was unresponsive for two seconds.
  */
 export class PlacementLeader {
     private readonly timeout = LeaderTimeout.create();
@@ -49,11 +49,15 @@
     }
 
     /** Requests a placement; undefined if no leader answers. */
-    async requestPlacement(demand: PlacementRequest): Promise<LeaderAnswer | undefined> {
+    async requestPlacement(placementRequest: PlacementRequest): Promise<LeaderAnswer | undefined> {
         const { watcher, clock } = this.options;
         const leader = watcher.leader();
         const askedAt = clock.monotonic();
-        const answer = await this.request(leader, { kind: "place", demand }, this.timeout.timeout(askedAt));
+        const answer = await this.request(
+            leader,
+            { kind: "place", demand: placementRequest },
+            this.timeout.timeout(askedAt),
+        );
         if (answer?.kind === "decided" || answer?.kind === "waiting") {
             this.recordAnswer(leader, answer.term, askedAt);
             return answer;
@@ -108,13 +112,13 @@
     }
 
     private recordAnswer(leader: string | undefined, term: number, askedAt: number): void {
-        const { clock, logger, onRecovered: onRegained } = this.options;
+        const { clock, logger, onRecovered } = this.options;
         const now = clock.monotonic();
         this.timeout.recordAnswer(now - askedAt, now);
         if (this.unresponsive) {
             this.unresponsive = false;
             logger.info("the placement leader answers again", { leader, term });
-            onRegained();
+            onRecovered();
         }
     }
 
--- a/packages/basilpaddle/src/node/daemon/gateway/placementRequest.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementRequest.ts
@@ -5,14 +5,14 @@
 const firstEventTimeoutFactor = 4;
 const minFirstEventTimeoutMilliseconds = 2_000;
 /**
- * How long a caller waits for the next event of an answer that has begun. If the time counted from the request's arrival, a
- * run that was lost after some seconds would have no time left to resume on another engine, and its stream would be cut.
+ * How long a caller waits for the next event of an answer that has begun. Measured from the request's arrival, the timeout of
+ * a run that is lost after some seconds would already have expired, and its stream would be cut off instead of resumed.
  */
 const nextEventTimeoutMilliseconds = 2_000;
 /** Expected length of an answer, as a fraction of its token limit, if the caller gives no estimate. */
 const expectedAnswerFraction = 0.6;
 
-/** A request's demand on a pool: KV cache for its prompt and answer, its target, and how long its caller will wait. */
+/** Builds a placement request: the KV cache for the prompt and the answer, the target, and how long the caller will wait. */
 export function placementRequest(
     request: CallerRequest,
     service: string,
@@ -20,12 +20,12 @@
     avoid: readonly string[],
     linkStalls: LinkStalls = [],
 ): PlacementRequest {
-    const { facts, route } = request;
+    const { metadata, route } = request;
     const answer = Math.min(
-        facts.maxTokens,
-        facts.expectedTokens ?? Math.ceil(facts.maxTokens * expectedAnswerFraction),
+        metadata.maxTokens,
+        metadata.expectedTokens ?? Math.ceil(metadata.maxTokens * expectedAnswerFraction),
     );
-    const timeout = request.hasBegun()
+    const timeout = request.hasAnswerBegun()
         ? nextEventTimeoutMilliseconds
         : Math.max(minFirstEventTimeoutMilliseconds, firstEventTimeoutFactor * route.target) - request.age();
     return {
@@ -33,13 +33,13 @@
         gateway: gateway.name,
         service,
         failureDomain: gateway.failureDomain,
-        promptTokens: facts.promptTokens,
-        cacheTokens: facts.promptTokens + answer,
+        promptTokens: metadata.promptTokens,
+        cacheTokens: metadata.promptTokens + answer,
         priority: route.priority,
         targetWithin: route.target - request.age(),
-        patienceWithin: Math.min(request.left(), timeout),
+        patienceWithin: Math.min(request.remainingTime(), timeout),
         avoid: [...avoid],
-        resumed: request.hasBegun(),
+        resumed: request.hasAnswerBegun(),
         ...linkStalls.length === 0 ? {} : { linkStalls },
     };
 }
--- a/packages/basilpaddle/src/node/daemon/gateway/prefilledPrompt.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/prefilledPrompt.ts
@@ -1,11 +1,11 @@
 import type { ServerAnnouncement, ServiceRule } from "../../protocol/index.js";
 import { drain, isAnswer } from "../backends/index.js";
-import type { ExchangeDependencies } from "./backendSender.js";
+import type { ExchangeOptions } from "./backendSender.js";
 
 /** Timeout of the call that frees a prompt's KV cache. */
 const freeTimeoutMilliseconds = 1_200;
 
-/** Maximum time of a prefill, constant and per token: well above what it takes under load. */
+/** Maximum timeout of a prefill, as a constant and per token: well above what a prefill takes under load. */
 const basePrefillTimeoutMilliseconds = 700;
 const prefillTimeoutPerTokenMilliseconds = 0.1;
 /**
@@ -17,18 +17,19 @@
 const forecastMarginMilliseconds = 250;
 
 /**
- * Timeout in milliseconds of a prefill: an engine whose host is gone doesn't close its connections, and callers would leave
- * before an error is seen. `forecast`: expected duration of the prefill in milliseconds, if known.
+ * Timeout in milliseconds of a prefill: an engine whose host failed doesn't close its connections, and callers would
+ * disconnect before an error is detected. `forecast`: expected duration of the prefill in milliseconds, if known.
  */
 export function prefillTimeout(
-    request: { readonly left: () => number; readonly facts: { readonly promptTokens: number; }; },
+    request: { readonly remainingTime: () => number; readonly metadata: { readonly promptTokens: number; }; },
     forecast: number | undefined,
 ): number {
-    const maxTimeout = basePrefillTimeoutMilliseconds + request.facts.promptTokens * prefillTimeoutPerTokenMilliseconds;
+    const maxTimeout = basePrefillTimeoutMilliseconds
+        + request.metadata.promptTokens * prefillTimeoutPerTokenMilliseconds;
     const forecastTimeout = forecast === undefined
         ? maxTimeout
         : forecastMarginMilliseconds + forecastFactor * forecast;
-    return Math.min(request.left(), maxTimeout, forecastTimeout);
+    return Math.min(request.remainingTime(), maxTimeout, forecastTimeout);
 }
 
 /** A prompt whose KV cache waits at its prefill engine for a decode engine. */
@@ -39,11 +40,11 @@
 };
 
 /** Frees the KV cache of a prompt that won't be decoded: otherwise it takes up memory until it expires. */
-export function freePromptCache(parts: ExchangeDependencies, service: ServiceRule, prompt: PrefilledPrompt): void {
-    if (parts.instances.get(prompt.engine.id) === undefined) {
+export function freePromptCache(options: ExchangeOptions, service: ServiceRule, prompt: PrefilledPrompt): void {
+    if (options.instances.get(prompt.engine.id) === undefined) {
         return;
     }
-    const { method, path, headers } = parts.wire.dropHandle(prompt.handle);
+    const { method, path, headers } = options.wire.dropHandle(prompt.handle);
     const call = {
         server: prompt.engine,
         method,
@@ -52,12 +53,12 @@
         body: undefined,
         signal: AbortSignal.timeout(freeTimeoutMilliseconds),
     };
-    void parts.connections.call(call, service.connectionLimit, parts.gateways()).then(result => {
+    void options.connections.call(call, service.connectionLimit, options.gateways()).then(result => {
         if (isAnswer(result)) {
             drain(result);
         }
         else {
-            parts.logger.warn("failed to free a prompt's KV cache; it will expire", {
+            options.logger.warn("failed to free a prompt's KV cache; it will expire", {
                 engine: prompt.engine.id,
                 ...result,
             });
--- a/packages/basilpaddle/src/node/daemon/gateway/refuseQuarantined.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/refuseQuarantined.ts
@@ -12,17 +12,17 @@
     hasRun: boolean,
     trace: string[],
 ): boolean {
-    const hold = crashes.quarantineStatus(request);
-    if (hold === undefined) {
+    const quarantine = crashes.quarantineStatus(request);
+    if (quarantine === undefined) {
         return false;
     }
     metrics.count("basilpaddle_held_back_refusals_total");
-    trace.push(`heldBack (${describeCrashes(hold.crashes).join(", ")})`);
-    if (hasRun || request.hasBegun()) {
+    trace.push(`heldBack (${describeCrashes(quarantine.crashes).join(", ")})`);
+    if (hasRun || request.hasAnswerBegun()) {
         request.fail(502, quarantineReason);
     }
     else {
-        request.refuse(hold.left, quarantineReason);
+        request.refuse(quarantine.left, quarantineReason);
     }
     return true;
 }
--- a/packages/basilpaddle/src/node/daemon/gateway/retryAllowance.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/retryAllowance.ts
@@ -6,7 +6,7 @@
     readonly rules: RetryBudgetRules;
     readonly clock: Clock;
     /** Upper bound of the number of gateways that share the allowance. */
-    readonly sharers: () => number;
+    readonly maxGateways: () => number;
     /** Borrows a retry from the leader, beyond this gateway's own share. */
     readonly borrow: (service: string) => Promise<boolean>;
 };
@@ -24,14 +24,14 @@
     }
 
     /** Counts a request of the service. */
-    request(service: string): void {
+    recordRequest(service: string): void {
         this.budget(service).recordRequest(this.now());
     }
 
     /** Takes one retry; returns false if none is available. */
-    async take(service: string): Promise<boolean> {
-        const { sharers, borrow, rules } = this.options;
-        if (this.budget(service).takeRetry(this.now(), sharers())) {
+    async takeRetry(service: string): Promise<boolean> {
+        const { maxGateways, borrow, rules } = this.options;
+        if (this.budget(service).takeRetry(this.now(), maxGateways())) {
             return true;
         }
         const granted = await borrow(service);
@@ -46,12 +46,12 @@
 
     /** Number of retries borrowed within the last window, by service. */
     borrowed(): { readonly service: string; readonly count: number; }[] {
-        const loans = [...this.loans].map(([service, taken]) => ({ service, count: taken.usedRetries(this.now()) }));
+        const loans = [...this.loans].map(([service, budget]) => ({ service, count: budget.usedRetries(this.now()) }));
         return loans.filter(({ count }) => count > 0);
     }
 
-    /** Returns a retry that didn't reach a server. A borrowed one isn't returned to the leader but added to the own share. */
-    giveBack(service: string): void {
+    /** Returns a retry that didn't reach a server. A borrowed one is added to this gateway's share, not returned to the leader. */
+    returnRetry(service: string): void {
         this.budget(service).returnRetry(this.now());
     }
 
--- a/packages/basilpaddle/src/node/daemon/gateway/retryCharges.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/retryCharges.ts
@@ -22,14 +22,14 @@
  */
 export class RetryCharges {
     private sentCount = 0;
-    private firstPrefillFree = true;
+    private isNextPrefillFree = true;
 
     private constructor(
-        private readonly allowance: Pick<RetryAllowance, "take" | "giveBack">,
+        private readonly allowance: Pick<RetryAllowance, "takeRetry" | "returnRetry">,
         private readonly service: string,
     ) {}
 
-    static create(allowance: Pick<RetryAllowance, "take" | "giveBack">, service: string): RetryCharges {
+    static create(allowance: Pick<RetryAllowance, "takeRetry" | "returnRetry">, service: string): RetryCharges {
         return new RetryCharges(allowance, service);
     }
 
@@ -37,11 +37,11 @@
      * Reserves the retries that a round needs for its prefill and its run together; undefined if too few are left.
      * Reserving them one by one would waste the prefill of a run that may not be sent any more.
      */
-    async begin(prefills: boolean): Promise<RoundReports | undefined> {
-        const chargesPrefill = prefills && !this.firstPrefillFree;
+    async reserve(prefills: boolean): Promise<RoundReports | undefined> {
+        const chargesPrefill = prefills && !this.isNextPrefillFree;
         const isRetry = this.sentCount > 0;
         const needed = Number(chargesPrefill && isRetry) + Number(chargesPrefill || isRetry);
-        if (!await this.take(needed)) {
+        if (!await this.takeRetries(needed)) {
             return undefined;
         }
         let unused = needed;
@@ -52,15 +52,15 @@
             reportPrefill: report,
             reportRun: outcome => {
                 report(outcome);
-                this.giveBack(unused);
+                this.returnRetries(unused);
             },
         };
     }
 
-    private async take(retries: number): Promise<boolean> {
-        for (let taken = 0; taken < retries; taken++) {
-            if (!await this.allowance.take(this.service)) {
-                this.giveBack(taken);
+    private async takeRetries(retries: number): Promise<boolean> {
+        for (let takenCount = 0; takenCount < retries; takenCount++) {
+            if (!await this.allowance.takeRetry(this.service)) {
+                this.returnRetries(takenCount);
                 return false;
             }
         }
@@ -69,9 +69,9 @@
 
     /** Counts a send; returns the number of retries that it costs. */
     private charge(outcome: SendOutcome): number {
-        const isFree = outcome === "unreached" || (outcome === "read" && this.firstPrefillFree);
+        const isFree = outcome === "unreached" || (outcome === "read" && this.isNextPrefillFree);
         if (outcome === "read") {
-            this.firstPrefillFree = false;
+            this.isNextPrefillFree = false;
         }
         if (isFree) {
             return 0;
@@ -80,9 +80,9 @@
         return this.sentCount > 1 ? 1 : 0;
     }
 
-    private giveBack(retries: number): void {
-        for (let given = 0; given < retries; given++) {
-            this.allowance.giveBack(this.service);
+    private returnRetries(retries: number): void {
+        for (let returnedCount = 0; returnedCount < retries; returnedCount++) {
+            this.allowance.returnRetry(this.service);
         }
     }
 }
--- a/packages/basilpaddle/src/node/daemon/gateway/serviceExchange.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/serviceExchange.ts
@@ -1,7 +1,7 @@
 import type { CallOutcome } from "../../coordination/index.js";
 import type { ServerAnnouncement, ServiceRule } from "../../protocol/index.js";
 import { type BackendAnswer, discard, readWholeBody } from "../backends/index.js";
-import { BackendSender, type ExchangeDependencies, type SendResult } from "./backendSender.js";
+import { BackendSender, type ExchangeOptions, type SendResult } from "./backendSender.js";
 import type { CallerRequest } from "./callerRequest.js";
 import { refuseQuarantined } from "./refuseQuarantined.js";
 import { TimeLimit } from "./timeLimit.js";
@@ -24,47 +24,47 @@
 
 type ServerResult =
     | { readonly kind: "done"; }
-    /** Another backend server may be tried; `ran`: whether this one may have run the request. */
-    | { readonly kind: "next"; readonly ran: boolean; readonly cause: string; readonly give?: () => void; };
+    /** Another backend server may be tried; `mayHaveRun`: whether this one may have run the request. */
+    | { readonly kind: "next"; readonly mayHaveRun: boolean; readonly cause: string; readonly forward?: () => void; };
 
-/** Has one request answered by a plain service. */
+/** Processes one request on the backend servers of a plain service. */
 export class ServiceExchange {
     private readonly sender: BackendSender;
-    private readonly tried = new Set<string>();
-    private readonly path: string[] = [];
-    private runs = 0;
+    private readonly triedServers = new Set<string>();
+    private readonly steps: string[] = [];
+    private runCount = 0;
 
     private constructor(
-        private readonly parts: ExchangeDependencies,
+        private readonly options: ExchangeOptions,
         private readonly request: CallerRequest,
         private readonly service: ServiceRule,
     ) {
-        this.sender = BackendSender.create(parts);
+        this.sender = BackendSender.create(options);
     }
 
-    static create(parts: ExchangeDependencies, request: CallerRequest, service: ServiceRule): ServiceExchange {
-        return new ServiceExchange(parts, request, service);
+    static create(options: ExchangeOptions, request: CallerRequest, service: ServiceRule): ServiceExchange {
+        return new ServiceExchange(options, request, service);
     }
 
     /** Backend servers that were tried, with their results, for the log. */
     trace(): readonly string[] {
-        return this.path;
+        return this.steps;
     }
 
     /** Processes the request until it is answered, refused or failed. */
     async run(): Promise<void> {
-        const { parts, request, service } = this;
-        parts.retryAllowance.request(service.name);
+        const { options, request, service } = this;
+        options.retryAllowance.recordRequest(service.name);
         let last: Extract<ServerResult, { kind: "next"; }> | undefined;
         for (let round = 0; round < maxRounds; round++) {
-            if (request.isGone() || refuseQuarantined(parts, request, this.runs > 0, this.path)) {
+            if (request.isDisconnected() || refuseQuarantined(options, request, this.runCount > 0, this.steps)) {
                 return;
             }
-            if (request.left() < minAnswerMilliseconds) {
+            if (request.remainingTime() < minAnswerMilliseconds) {
                 break;
             }
-            const server = this.nextServer() ?? (round === 0 ? await this.firstServer() : undefined);
-            if (server === undefined || (round > 0 && !await parts.retryAllowance.take(service.name))) {
+            const server = this.nextServer() ?? (round === 0 ? await this.waitForServer() : undefined);
+            if (server === undefined || (round > 0 && !await options.retryAllowance.takeRetry(service.name))) {
                 break;
             }
             const result = await this.sendTo(server);
@@ -73,26 +73,26 @@
             }
             last = result;
             const { route } = request;
-            if (result.ran && (route.kind !== "safe" || this.runs >= route.attempts)) {
+            if (result.mayHaveRun && (route.kind !== "safe" || this.runCount >= route.attempts)) {
                 break;
             }
         }
-        this.giveUp(last);
+        this.endUnanswered(last);
     }
 
     private nextServer(): ServerAnnouncement | undefined {
-        const { instances, choice, clock } = this.parts;
-        return choice.choose(instances.usable(this.service.name), this.tried, clock.monotonic());
+        const { instances, choice, clock } = this.options;
+        return choice.choose(instances.usable(this.service.name), this.triedServers, clock.monotonic());
     }
 
     /**
      * Waits until a first backend server is known: after a restart of every directory, the servers' heartbeats arrive again
      * within about a second. A caller that was refused at once would spend its only retry before that.
      */
-    private async firstServer(): Promise<ServerAnnouncement | undefined> {
-        const { clock } = this.parts;
-        const until = clock.monotonic() + this.request.left() * firstServerWaitFraction;
-        while (clock.monotonic() < until && !this.request.isGone()) {
+    private async waitForServer(): Promise<ServerAnnouncement | undefined> {
+        const { clock } = this.options;
+        const deadline = clock.monotonic() + this.request.remainingTime() * firstServerWaitFraction;
+        while (clock.monotonic() < deadline && !this.request.isDisconnected()) {
             await new Promise<void>(resolve => clock.after(firstServerPollMilliseconds, resolve));
             const server = this.nextServer();
             if (server !== undefined) {
@@ -102,16 +102,16 @@
         return undefined;
     }
 
-    private giveUp(last: Extract<ServerResult, { kind: "next"; }> | undefined): void {
+    private endUnanswered(last: Extract<ServerResult, { kind: "next"; }> | undefined): void {
         const { request } = this;
-        if (request.isGone()) {
+        if (request.isDisconnected()) {
             return;
         }
-        if (last?.give !== undefined) {
-            last.give();
+        if (last?.forward !== undefined) {
+            last.forward();
         }
-        else if (this.runs > 0) {
-            request.fail(request.left() < minAnswerMilliseconds ? 504 : 502, last?.cause ?? "no answer");
+        else if (this.runCount > 0) {
+            request.fail(request.remainingTime() < minAnswerMilliseconds ? 504 : 502, last?.cause ?? "no answer");
         }
         else if (last === undefined) {
             request.refuse(noServerRetryAfterMilliseconds, "no backend server is known");
@@ -122,8 +122,8 @@
     }
 
     private async sendTo(server: ServerAnnouncement): Promise<ServerResult> {
-        const { request, parts } = this;
-        const { clock, choice, tally } = parts;
+        const { request, options } = this;
+        const { clock, choice, tally } = options;
         const startedAt = clock.monotonic();
         choice.recordStart(server.id);
         const call = tally.recordStart(server, startedAt);
@@ -132,11 +132,16 @@
             const sent = await this.sender.send(request, server, this.service, {}, limit.signal);
             const [result, outcome] = await this.classify(server, sent);
             const milliseconds = clock.monotonic() - startedAt;
-            choice.recordOutcome(server, request.isGone() ? "answered" : outcome, milliseconds, clock.monotonic());
-            if (!request.isGone()) {
+            choice.recordOutcome(
+                server,
+                request.isDisconnected() ? "answered" : outcome,
+                milliseconds,
+                clock.monotonic(),
+            );
+            if (!request.isDisconnected()) {
                 tally.recordOutcome(call, outcome, clock.monotonic());
             }
-            this.path.push(`${server.id} ${outcome} ${Math.round(milliseconds)}`);
+            this.steps.push(`${server.id} ${outcome} ${Math.round(milliseconds)}`);
             return result;
         }
         finally {
@@ -150,49 +155,58 @@
      * could still answer in time. A request that may run only once gets all of its remaining time.
      */
     private serverTimeout(server: ServerAnnouncement): number {
-        const { request, parts } = this;
+        const { request, options } = this;
         const { route } = request;
-        const others = new Set([...this.tried, server.id]);
-        const another = parts.choice.choose(parts.instances.usable(this.service.name), others, parts.clock.monotonic());
-        const mayAskAnother = route.kind === "safe" && this.runs + 1 < route.attempts && another !== undefined;
-        return mayAskAnother ? Math.min(request.left(), serverTimeoutFactor * route.target) : request.left();
+        const excluded = new Set([...this.triedServers, server.id]);
+        const alternative = options.choice.choose(
+            options.instances.usable(this.service.name),
+            excluded,
+            options.clock.monotonic(),
+        );
+        const mayRetry = route.kind === "safe" && this.runCount + 1 < route.attempts && alternative !== undefined;
+        return mayRetry
+            ? Math.min(request.remainingTime(), serverTimeoutFactor * route.target)
+            : request.remainingTime();
     }
 
     private async classify(server: ServerAnnouncement, sent: SendResult): Promise<[ServerResult, CallOutcome]> {
         if (sent.kind === "notRun") {
-            this.tried.add(server.id);
-            return [{ kind: "next", ran: false, cause: sent.cause }, sent.unreachable ? "unreachable" : "rejected"];
-        }
-        this.runs += 1;
-        this.tried.add(server.id);
+            this.triedServers.add(server.id);
+            return [
+                { kind: "next", mayHaveRun: false, cause: sent.cause },
+                sent.unreachable ? "unreachable" : "rejected",
+            ];
+        }
+        this.runCount += 1;
+        this.triedServers.add(server.id);
         if (sent.kind === "unknown") {
             this.reportPossibleCrash(server);
-            return [{ kind: "next", ran: true, cause: sent.cause }, "failed"];
+            return [{ kind: "next", mayHaveRun: true, cause: sent.cause }, "failed"];
         }
-        const { answer, facts } = sent;
+        const { answer, metadata } = sent;
         const { status } = answer;
-        if (status < 400 && !facts.sealed) {
+        if (status < 400 && !metadata.sealed) {
             discard(answer);
-            return [{ kind: "next", ran: true, cause: "the answer has no seal" }, "failed"];
+            return [{ kind: "next", mayHaveRun: true, cause: "the answer has no seal" }, "failed"];
         }
         const body = await readWholeBody(answer, maxAnswerBytes);
         if (body === undefined) {
             this.reportPossibleCrash(server);
-            return [{ kind: "next", ran: true, cause: "the answer was cut off" }, "failed"];
+            return [{ kind: "next", mayHaveRun: true, cause: "the answer was cut off" }, "failed"];
         }
-        const give = (): void => this.give(answer, body);
+        const forward = (): void => this.forwardAnswer(answer, body);
         if (status >= minServerErrorStatus) {
-            return [{ kind: "next", ran: true, cause: `status ${status}`, give }, "failed"];
+            return [{ kind: "next", mayHaveRun: true, cause: `status ${status}`, forward }, "failed"];
         }
-        give();
-        this.parts.crashes.reportAnswered(this.request);
+        forward();
+        this.options.crashes.reportAnswered(this.request);
         return [{ kind: "done" }, "answered"];
     }
 
     /** Reports that the server may have crashed while running the request. */
     private reportPossibleCrash(server: ServerAnnouncement): void {
-        if (!this.request.isGone()) {
-            void this.parts.crashes.reportLostRun(this.request, server, "whole");
+        if (!this.request.isDisconnected()) {
+            void this.options.crashes.reportLostRun(this.request, server, "whole");
         }
     }
 
@@ -200,7 +214,7 @@
      * Forwards an answer. 429 and 503 guarantee to a caller that its request has not run; forwarded from a backend server
      * that may have run it, they would make the caller send it again.
      */
-    private give(answer: BackendAnswer, body: Buffer): void {
+    private forwardAnswer(answer: BackendAnswer, body: Buffer): void {
         const { status } = answer;
         const claimsNotRun = status === 503 || status === 429 || status === 408 || status === 421;
         if (claimsNotRun) {
--- a/packages/basilpaddle/src/node/daemon/gateway/streamExchange.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/streamExchange.ts
@@ -2,7 +2,7 @@
 import type { PlacementOutcome, ServerAnnouncement, ServiceRule } from "../../protocol/index.js";
 import { type BackendAnswer, discard, readWholeBody } from "../backends/index.js";
 import { awaitEngines } from "./awaitEngines.js";
-import { BackendSender, type ExchangeDependencies } from "./backendSender.js";
+import { BackendSender, type ExchangeOptions } from "./backendSender.js";
 import type { CallerRequest } from "./callerRequest.js";
 import type { PlacementClient, PlacementGrant } from "./placementClient.js";
 import { placementRequest } from "./placementRequest.js";
@@ -16,19 +16,19 @@
 const maxShortAnswerBytes = 1024 * 1024;
 /** Limit of rounds per request; a round is a placement, a prefill and a run. */
 const maxRounds = 4;
-/** Fraction of a prompt cache's lifetime within which it is offered to an engine; later it may expire in transit. */
+/** Fraction of a KV cache's lifetime within which it is offered to an engine; later it may expire before it is fetched. */
 const handleLifeFraction = 0.7;
 /** Retry-After for a request that every engine rejected. */
 const rejectedRetryAfterMilliseconds = 300;
 /** Idle time of a stream after which its run is aborted, if it may be resumed on another engine. */
 const idleLimitMilliseconds = 1_200;
-/** Timeout of the head of a run's answer, if the run may be made on another engine: one whose host is gone sends nothing. */
+/** Timeout of the head of a run's answer, if the run may be repeated elsewhere: an engine whose host failed sends nothing. */
 const headLimitMilliseconds = 1_500;
 const minAnswerMilliseconds = 5;
 /** Number of engines that a prompt's KV cache is offered to before it is assumed to have expired. */
 const maxCacheOffers = 2;
-/** Number of failed connections to engines that don't count as rounds. */
-const maxFreeConnectionFailures = 6;
+/** Number of failed connections to engines that aren't counted as rounds. */
+const maxUncountedConnectionFailures = 6;
 const noRetryLeft = "no retry is left in the allowance";
 const minFailureStatus = 400;
 
@@ -42,13 +42,13 @@
     /** The engine answered with an error, which was forwarded. */
     | { readonly kind: "failureGiven"; };
 
-/** Has one request answered by the engines of a pool: a placement, the prefill, then the run. */
+/** Processes one request on the engines of a pool: requests a placement, runs the prefill, then the run. */
 export class StreamExchange {
     private readonly sender: BackendSender;
-    private readonly path: string[] = [];
+    private readonly steps: string[] = [];
     private readonly avoid: string[] = [];
-    private runs = 0;
-    private rounds = 0;
+    private runCount = 0;
+    private roundCount = 0;
     /** Number of engines that the current KV cache was offered to. */
     private cacheOffers = 0;
     private connectionFailures = 0;
@@ -58,99 +58,99 @@
     private prompt: PrefilledPrompt | undefined;
 
     private constructor(
-        private readonly parts: ExchangeDependencies,
+        private readonly options: ExchangeOptions,
         private readonly placementClient: PlacementClient,
         private readonly gateway: { readonly name: string; readonly failureDomain: string; },
         private readonly request: CallerRequest,
         private readonly service: ServiceRule,
     ) {
-        this.sender = BackendSender.create(parts);
-        this.retryCharges = RetryCharges.create(parts.retryAllowance, service.name);
+        this.sender = BackendSender.create(options);
+        this.retryCharges = RetryCharges.create(options.retryAllowance, service.name);
         this.relay = StreamRelay.create(request, () => {
-            placementClient.prefilled(request.attempt);
-            this.path.push(`first ${Math.round(request.age())}`);
+            placementClient.prefillCompleted(request.attempt);
+            this.steps.push(`first ${Math.round(request.age())}`);
         });
     }
 
     static create(
-        parts: ExchangeDependencies,
+        options: ExchangeOptions,
         placementClient: PlacementClient,
         gateway: { readonly name: string; readonly failureDomain: string; },
         request: CallerRequest,
         service: ServiceRule,
     ): StreamExchange {
-        return new StreamExchange(parts, placementClient, gateway, request, service);
+        return new StreamExchange(options, placementClient, gateway, request, service);
     }
 
     /** Engines that were used, with their results, for the log. */
     trace(): readonly string[] {
-        return this.path;
+        return this.steps;
     }
 
     /** Processes the request until it is answered, refused or failed. */
     async run(): Promise<void> {
-        const { parts, request } = this;
-        parts.retryAllowance.request(this.service.name);
+        const { options, request } = this;
+        options.retryAllowance.recordRequest(this.service.name);
         try {
-            while (!request.isGone() && request.outcome() === undefined) {
-                await this.round();
+            while (!request.isDisconnected() && request.outcome() === undefined) {
+                await this.runRound();
             }
         }
         finally {
-            this.dropPrompt();
+            this.freePrompt();
         }
     }
 
-    private async round(): Promise<void> {
+    private async runRound(): Promise<void> {
         const { request, placementClient } = this;
         if (this.refuseIfQuarantined()) {
             return;
         }
-        this.rounds += 1;
-        const placedAt = this.now();
+        this.roundCount += 1;
+        const askedAt = this.now();
         const grantOrRefusal = await placementClient.requestPlacement(
-            placementRequest(request, this.service.name, this.gateway, this.avoid, this.parts.links.stalls(placedAt)),
+            placementRequest(request, this.service.name, this.gateway, this.avoid, this.options.links.stalls(askedAt)),
             request.disconnected.signal,
         );
         if (grantOrRefusal === undefined) {
             return;
         }
         if (grantOrRefusal.kind === "refused") {
-            this.path.push(`refused ${Math.round(this.now() - placedAt)}`);
+            this.steps.push(`refused ${Math.round(this.now() - askedAt)}`);
             this.refuse(grantOrRefusal.comeBackIn, grantOrRefusal.reason);
             return;
         }
-        this.path.push(`placed ${grantOrRefusal.by} ${Math.round(this.now() - placedAt)}`);
+        this.steps.push(`placed ${grantOrRefusal.by} ${Math.round(this.now() - askedAt)}`);
         placementClient.release(grantOrRefusal.attempt, await this.useGrant(grantOrRefusal));
     }
 
     /** Uses a placement for the prefill and the run; returns what to report on its release. */
     private async useGrant(grant: PlacementGrant): Promise<PlacementOutcome> {
-        const { instances } = this.parts;
-        await awaitEngines(this.parts, grant, () => this.request.isGone());
+        const { instances } = this.options;
+        await awaitEngines(this.options, grant, () => this.request.isDisconnected());
         const decode = instances.get(grant.decode);
         const prefill = grant.prefill === undefined ? undefined : instances.get(grant.prefill);
         if (decode === undefined || (grant.prefill !== undefined && prefill === undefined)) {
             const missing = decode === undefined ? grant.decode : grant.prefill!;
-            this.retryElsewhere(missing, "the placed engine has gone");
+            this.retryElsewhere(missing, "a placed engine has ended or is unknown");
             return { failed: missing };
         }
         if (this.refuseIfQuarantined()) {
             return {};
         }
         const prefillEngine = this.hasUsablePrompt() || this.prefillsAtDecode ? undefined : prefill;
-        const reports = await this.retryCharges.begin(prefillEngine !== undefined);
+        const reports = await this.retryCharges.reserve(prefillEngine !== undefined);
         if (reports === undefined) {
             this.refuse(rejectedRetryAfterMilliseconds, noRetryLeft);
             return {};
         }
         if (!this.hasUsablePrompt()) {
-            this.dropPrompt();
+            this.freePrompt();
         }
         const prefillFailure = prefillEngine === undefined
             ? undefined
             : await this.prefillAt(prefillEngine, grant.readingWithin, reports.reportPrefill);
-        if (prefillFailure !== undefined || this.request.isGone() || this.refuseIfQuarantined()) {
+        if (prefillFailure !== undefined || this.request.isDisconnected() || this.refuseIfQuarantined()) {
             reports.reportRun("unreached");
             return prefillFailure ?? {};
         }
@@ -166,30 +166,30 @@
         forecast: number | undefined,
         reportPrefill: ReportSendOutcome,
     ): Promise<PlacementOutcome | undefined> {
-        const { request, parts, placementClient } = this;
+        const { request, options, placementClient } = this;
         const startedAt = this.now();
-        const limit = TimeLimit.create(parts.clock, prefillTimeout(request, forecast), request.disconnected.signal);
+        const limit = TimeLimit.create(options.clock, prefillTimeout(request, forecast), request.disconnected.signal);
         try {
             const sent = await this.sender.send(request, prefill, this.service, { prefillOnly: true }, limit.signal);
             const handle = sent.kind === "answer" && sent.answer.status === 200
-                ? parts.wire.parsePrefill(
+                ? options.wire.parsePrefill(
                     (await readWholeBody(sent.answer, maxShortAnswerBytes))?.toString("utf8") ?? "",
                 )
                 : undefined;
-            this.path.push(`read ${prefill.id} ${handle === undefined ? "failed" : "done"} ${this.since(startedAt)}`);
+            this.steps.push(`read ${prefill.id} ${handle === undefined ? "failed" : "done"} ${this.since(startedAt)}`);
             if (handle !== undefined) {
                 this.prompt = { engine: prefill, handle, prefilledAt: this.now() };
                 this.cacheOffers = 0;
-                placementClient.prefilled(request.attempt);
+                placementClient.prefillCompleted(request.attempt);
                 return undefined;
             }
-            if (sent.kind === "unknown" && !request.isGone()) {
-                void parts.crashes.reportLostRun(request, prefill, "early");
+            if (sent.kind === "unknown" && !request.isDisconnected()) {
+                void options.crashes.reportLostRun(request, prefill, "early");
             }
             const unreached = sent.kind === "notRun" && sent.unreachable;
             reportPrefill(unreached ? "unreached" : handle === undefined ? "counted" : "read");
             this.discountFailedConnection(unreached);
-            if (request.isGone()) {
+            if (request.isDisconnected()) {
                 return {};
             }
             const cause = sent.kind === "answer" ? `status ${sent.answer.status}` : sent.cause;
@@ -209,8 +209,8 @@
         reportRun(unreached ? "unreached" : "counted");
         this.discountFailedConnection(unreached);
         const cause = "cause" in end ? ` (${end.cause})` : "";
-        this.path.push(`run ${decode.id} ${end.kind} ${this.since(startedAt)}${cause}`);
-        if (this.request.isGone()) {
+        this.steps.push(`run ${decode.id} ${end.kind} ${this.since(startedAt)}${cause}`);
+        if (this.request.isDisconnected()) {
             return {};
         }
         switch (end.kind) {
@@ -220,15 +220,15 @@
             case "turnedAway":
                 return this.afterRejection(decode, end);
             case "lost":
-                void this.parts.crashes.reportLostRun(
+                void this.options.crashes.reportLostRun(
                     this.request,
                     decode,
                     this.relay.events() === eventsBefore ? "early" : "late",
                 );
-                this.runs += 1;
+                this.runCount += 1;
                 this.prompt = undefined;
                 this.resumeElsewhere(decode.id, end.cause);
-                // One broken stream is little evidence against its engine; if it is gone, the next connection will fail.
+                // One broken stream is little evidence against its engine; if it has ended, the next connection will fail.
                 return {};
         }
     }
@@ -251,22 +251,24 @@
         }
         this.cacheOffers += 1;
         if (this.cacheOffers >= maxCacheOffers) {
-            this.dropPrompt();
+            this.freePrompt();
             this.prefillsAtDecode = true;
         }
         return { turnedAwayBy: decode.id, readBy: prompt.engine.id };
     }
 
     private async runOnce(decode: ServerAnnouncement): Promise<RunEnd> {
-        const { request, prompt, relay, parts } = this;
-        const limit = TimeLimit.create(parts.clock, request.left(), request.disconnected.signal);
-        const clearHead = this.canResume() ? parts.clock.after(headLimitMilliseconds, () => limit.expire()) : undefined;
+        const { request, prompt, relay, options } = this;
+        const limit = TimeLimit.create(options.clock, request.remainingTime(), request.disconnected.signal);
+        const stopTimer = this.canResume()
+            ? options.clock.after(headLimitMilliseconds, () => limit.expire())
+            : undefined;
         try {
             const sent = await this.sender.send(request, decode, this.service, {
                 ...prompt === undefined ? {} : { source: { address: prompt.engine.address, handle: prompt.handle } },
                 ...relay.lastEvent() === undefined ? {} : { resumeAfter: String(relay.lastEvent()) },
             }, limit.signal);
-            clearHead?.();
+            stopTimer?.();
             if (sent.kind === "notRun") {
                 return { kind: "turnedAway", cause: sent.cause, unreachable: sent.unreachable };
             }
@@ -274,18 +276,18 @@
             if (sent.kind === "unknown") {
                 return { kind: "lost", cause: sent.cause };
             }
-            const { answer, facts } = sent;
+            const { answer, metadata } = sent;
             if (answer.status >= minFailureStatus) {
                 return await this.forwardFailure(answer);
             }
-            if (!facts.sealed) {
+            if (!metadata.sealed) {
                 discard(answer);
                 return { kind: "lost", cause: "the answer has no seal" };
             }
             return await this.stream(decode, answer, limit.signal);
         }
         finally {
-            clearHead?.();
+            stopTimer?.();
             limit.clear();
         }
     }
@@ -293,7 +295,7 @@
     /** Whether the run may be resumed on another engine if this one is lost. */
     private canResume(): boolean {
         const { route } = this.request;
-        return route.resumable && this.runs + 1 < route.attempts;
+        return route.resumable && this.runCount + 1 < route.attempts;
     }
 
     /** Forwards the engine's error, unless the answer has begun or the status would guarantee that the request didn't run. */
@@ -301,7 +303,7 @@
         const body = await readWholeBody(answer, maxShortAnswerBytes);
         const { status } = answer;
         const claimsNotRun = status === 503 || status === 429 || status === 408 || status === 421;
-        if (body === undefined || claimsNotRun || this.request.hasBegun()) {
+        if (body === undefined || claimsNotRun || this.request.hasAnswerBegun()) {
             return { kind: "lost", cause: `the engine answered ${status}` };
         }
         this.request.sendAnswer(answer, body);
@@ -309,23 +311,23 @@
     }
 
     private async stream(decode: ServerAnnouncement, answer: BackendAnswer, signal: AbortSignal): Promise<RunEnd> {
-        const { request, relay, parts } = this;
-        const pauses = StallDetector.create();
-        const onBytes = (): void => parts.links.countEvent(decode, pauses.recordEvent(this.now()), this.now());
+        const { request, relay, options } = this;
+        const stallDetector = StallDetector.create();
+        const onBytes = (): void => options.links.countEvent(decode, stallDetector.recordEvent(this.now()), this.now());
         const end = await relay.forward(answer, this.canResume() ? idleLimitMilliseconds : undefined, signal, onBytes);
-        if (pauses.longest() > (request.route.gap ?? Number.POSITIVE_INFINITY)) {
-            this.path.push(`pause ${Math.round(pauses.longest())}`);
+        if (stallDetector.longest() > (request.route.gap ?? Number.POSITIVE_INFINITY)) {
+            this.steps.push(`pause ${Math.round(stallDetector.longest())}`);
         }
         if (end.kind === "broken") {
             return { kind: "lost", cause: end.cause };
         }
         request.finishStream();
         if (answer.framed) {
-            parts.crashes.reportAnswered(request);
+            options.crashes.reportAnswered(request);
         }
         else {
             // The answer ended with its connection: a regular end and a crash of the engine look the same.
-            void parts.crashes.reportLostRun(request, decode, "late");
+            void options.crashes.reportLostRun(request, decode, "late");
         }
         return { kind: "done" };
     }
@@ -334,7 +336,7 @@
     private retryElsewhere(engine: string, cause: string): void {
         const { request } = this;
         this.avoid.push(engine);
-        if (this.rounds >= maxRounds || request.left() < minAnswerMilliseconds) {
+        if (this.roundCount >= maxRounds || request.remainingTime() < minAnswerMilliseconds) {
             this.refuse(rejectedRetryAfterMilliseconds, cause);
         }
     }
@@ -344,19 +346,19 @@
         const { request } = this;
         const { route } = request;
         this.avoid.push(engine);
-        const mayRun = route.resumable && this.runs < route.attempts && this.rounds < maxRounds;
-        if (!mayRun || request.left() < minAnswerMilliseconds) {
-            request.fail(request.left() < minAnswerMilliseconds ? 504 : 502, cause);
+        const mayResume = route.resumable && this.runCount < route.attempts && this.roundCount < maxRounds;
+        if (!mayResume || request.remainingTime() < minAnswerMilliseconds) {
+            request.fail(request.remainingTime() < minAnswerMilliseconds ? 504 : 502, cause);
         }
     }
 
     private refuseIfQuarantined(): boolean {
-        return refuseQuarantined(this.parts, this.request, this.runs > 0, this.path);
+        return refuseQuarantined(this.options, this.request, this.runCount > 0, this.steps);
     }
 
     private refuse(comeBackIn: number, cause: string): void {
         const { request } = this;
-        if (this.runs > 0 || request.hasBegun()) {
+        if (this.runCount > 0 || request.hasAnswerBegun()) {
             request.fail(502, cause);
         }
         else {
@@ -369,11 +371,11 @@
         return this.prompt !== undefined && this.now() - this.prompt.prefilledAt < maxAgeMilliseconds;
     }
 
-    private dropPrompt(): void {
-        const { prompt, parts } = this;
+    private freePrompt(): void {
+        const { prompt, options } = this;
         this.prompt = undefined;
         if (prompt !== undefined) {
-            freePromptCache(parts, this.service, prompt);
+            freePromptCache(options, this.service, prompt);
         }
     }
 
@@ -384,7 +386,7 @@
     private discountFailedConnection(unreached: boolean): void {
         if (unreached) {
             this.connectionFailures += 1;
-            this.rounds -= this.connectionFailures <= maxFreeConnectionFailures ? 1 : 0;
+            this.roundCount -= this.connectionFailures <= maxUncountedConnectionFailures ? 1 : 0;
         }
     }
 
@@ -393,6 +395,6 @@
     }
 
     private now(): number {
-        return this.parts.clock.monotonic();
+        return this.options.clock.monotonic();
     }
 }
--- a/packages/basilpaddle/src/node/daemon/gateway/streamRelay.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/streamRelay.ts
@@ -13,11 +13,11 @@
     private lastEventNumber: number | undefined;
     private eventCount = 0;
 
-    private constructor(private readonly request: CallerRequest, private readonly onFirst: () => void) {}
+    private constructor(private readonly request: CallerRequest, private readonly onFirstEvent: () => void) {}
 
-    /** `onFirst`: called on the first event of the answer. */
-    static create(request: CallerRequest, onFirst: () => void): StreamRelay {
-        return new StreamRelay(request, onFirst);
+    /** `onFirstEvent`: called on the first event of the answer. */
+    static create(request: CallerRequest, onFirstEvent: () => void): StreamRelay {
+        return new StreamRelay(request, onFirstEvent);
     }
 
     /** Number of the last numbered event that was forwarded to the caller; undefined before the first. */
@@ -32,7 +32,7 @@
 
     /**
      * Forwards a run's events as they arrive. `idleTimeoutMilliseconds`: time without a byte after which the run is aborted;
-     * undefined if there is no alternative to waiting. `onBytes`: called for each chunk that is received.
+     * undefined if the run can't be resumed elsewhere. `onBytes`: called for each chunk that is received.
      */
     async forward(
         answer: BackendAnswer,
@@ -41,32 +41,32 @@
         onBytes: () => void,
     ): Promise<RelayEnd> {
         const { request } = this;
-        if (!request.hasBegun()) {
+        if (!request.hasAnswerBegun()) {
             request.beginStream(answer);
         }
         const splitter = EventSplitter.create();
-        const idle = IdleTimeout.create(answer, idleTimeoutMilliseconds);
+        const idleTimeout = IdleTimeout.create(answer, idleTimeoutMilliseconds);
         try {
             for await (const chunk of answer.body as AsyncIterable<Buffer>) {
-                idle.received();
+                idleTimeout.recordBytes();
                 onBytes();
                 for (const event of splitter.push(chunk)) {
                     await this.forwardEvent(event);
                 }
-                if (request.isGone()) {
+                if (request.isDisconnected()) {
                     break;
                 }
             }
         }
         catch (error) {
             discard(answer);
-            const cause = idle.timedOut ? "the engine stopped sending" : String((error as Error).message);
+            const cause = idleTimeout.timedOut ? "the engine stopped sending" : String((error as Error).message);
             return { kind: "broken", cause: signal.aborted ? "the request timed out" : cause };
         }
         finally {
-            idle.end();
+            idleTimeout.clear();
         }
-        if (request.isGone()) {
+        if (request.isDisconnected()) {
             discard(answer);
             return { kind: "broken", cause: "the caller disconnected" };
         }
@@ -88,13 +88,13 @@
         this.lastEventNumber = id ?? this.lastEventNumber;
         this.eventCount += 1;
         if (this.eventCount === 1) {
-            this.onFirst();
+            this.onFirstEvent();
         }
         await this.request.write(bytes);
     }
 }
 
-/** Aborts an answer whose stream is idle for too long: a host that is gone doesn't close its connections. */
+/** Aborts an answer whose stream is idle for too long: a host that has failed doesn't close its connections. */
 class IdleTimeout {
     timedOut = false;
     private receivedAt = performance.now();
@@ -115,11 +115,11 @@
         return new IdleTimeout(answer, limit);
     }
 
-    received(): void {
+    recordBytes(): void {
         this.receivedAt = performance.now();
     }
 
-    end(): void {
+    clear(): void {
         clearInterval(this.timer);
     }
 }
