--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
@@ -11,27 +11,27 @@
 
 describe("the crash detector", () => {
     let clock: ManualClock;
-    let held: QuarantinedRequests;
+    let quarantinedRequests: QuarantinedRequests;
     let detector: CrashDetector;
     let listening: ListenStatus;
     let probeCount: number;
-    let gone: Set<string>;
+    let lostServers: Set<string>;
 
     beforeEach(() => {
         clock = new ManualClock();
         listening = "no";
         probeCount = 0;
-        gone = new Set();
+        lostServers = new Set();
         const logger = createSilentLogger();
-        held = QuarantinedRequests.create({
+        quarantinedRequests = QuarantinedRequests.create({
             rules: quarantineRulesSchema.parse({}),
             publishRecords: () => undefined,
             clock,
             logger,
         });
         detector = CrashDetector.create({
-            quarantine: held,
-            isGone: id => gone.has(id),
+            quarantine: quarantinedRequests,
+            isGone: id => lostServers.has(id),
             listens: async () => {
                 probeCount += 1;
                 return listening;
@@ -48,7 +48,7 @@
         await Promise.all(
             ["d", "e", "f"].map(digest => detector.reportLostRun({ digest, attempt: digest }, server, "early")),
         );
-        expect([probeCount, held.all().length]).to.deep.equal([1, 3]);
+        expect([probeCount, quarantinedRequests.all().length]).to.deep.equal([1, 3]);
     });
 
     it("waits for a report of the server's end if something listens or the probe times out", async () => {
@@ -61,10 +61,10 @@
                 "late",
             );
             await clock.pass(2_000);
-            expect(held.isSuspected(digest)).to.equal(false);
-            gone.add(`s ${found}`);
+            expect(quarantinedRequests.isSuspected(digest)).to.equal(false);
+            lostServers.add(`s ${found}`);
             await clock.pass(300);
-            expect(held.isSuspected(digest)).to.equal(true);
+            expect(quarantinedRequests.isSuspected(digest)).to.equal(true);
         }
     });
 
@@ -79,16 +79,16 @@
             logger: createSilentLogger(),
         });
         detector.reportAnswered(request);
-        held.merge([{ digest: request.digest, crashes: [], clearedAge: 0 }]);
+        quarantinedRequests.merge([{ digest: request.digest, crashes: [], clearedAge: 0 }]);
         other.merge([{ digest: request.digest, crashes: [], clearedAge: 0 }]);
         await clock.pass(300);
         const crashes = ["s1", "s2"].map(id => ({ server: id, phase: "early" as const, age: 0 }));
-        [held, other].forEach(copy => copy.merge([{ digest: request.digest, crashes }]));
+        [quarantinedRequests, other].forEach(copy => copy.merge([{ digest: request.digest, crashes }]));
         expect(detector.quarantineStatus(request)).to.equal(undefined);
         await clock.pass(10);
-        other.merge(held.since(0));
+        other.merge(quarantinedRequests.changedAfter(0));
         expect(other.quarantineStatus(request.digest)).to.equal(undefined);
-        expect(other.merge(held.since(0))).to.deep.equal([]);
+        expect(other.merge(quarantinedRequests.changedAfter(0))).to.deep.equal([]);
     });
 
     // Guards against quarantining the victims of a rack failure: requests timed out at two unresponsive engines in turn, each
@@ -98,10 +98,10 @@
         listening = "unknown";
         for (const id of ["s1", "s2"]) {
             await detector.reportLostRun(request, { ...server, id }, "early");
-            gone.add(id);
+            lostServers.add(id);
         }
         await clock.pass(1_000);
-        expect(held.all()[0]?.crashes).to.have.length(2);
+        expect(quarantinedRequests.all()[0]?.crashes).to.have.length(2);
         expect(detector.quarantineStatus(request)).to.equal(undefined);
     });
 
@@ -109,9 +109,9 @@
         listening = "yes";
         await detector.reportLostRun(request, server, "early");
         await clock.pass(20_000);
-        gone.add(server.id);
+        lostServers.add(server.id);
         await clock.pass(1_000);
-        expect(held.all()).to.deep.equal([]);
+        expect(quarantinedRequests.all()).to.deep.equal([]);
     });
 
     it("counts no crashes against a request that is answered, here or at another daemon", async () => {
@@ -124,11 +124,11 @@
         // Other daemons report crashes while it was answered here: it is a common request.
         await clock.pass(5_000);
         const crashes = ["s3", "s4"].map(id => ({ server: id, phase: "early" as const, age: 0 }));
-        held.merge([{ digest: request.digest, crashes }]);
+        quarantinedRequests.merge([{ digest: request.digest, crashes }]);
         expect(detector.quarantineStatus(request)).to.equal(undefined);
         // An old answer is no evidence about the servers that run now.
         await clock.pass(120_000);
-        held.merge([{
+        quarantinedRequests.merge([{
             digest: request.digest,
             crashes: ["s5", "s6"].map(id => ({ server: id, phase: "early" as const, age: 0 })),
         }]);
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashExchange.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashExchange.spec.ts
@@ -5,7 +5,7 @@
 import { answerCrashQuery, CrashExchange } from "../crashExchange.js";
 import { QuarantinedRequests } from "../quarantinedRequests.js";
 
-function copy(publish: (digest: string) => void = () => undefined): QuarantinedRequests {
+function createCopy(publish: (digest: string) => void = () => undefined): QuarantinedRequests {
     return QuarantinedRequests.create({
         rules: quarantineRulesSchema.parse({}),
         publishRecords: records => records.forEach(({ digest }) => publish(digest)),
@@ -16,20 +16,20 @@
 
 /** A daemon that queries others, with its own records. */
 class QueryingDaemon {
-    readonly held: QuarantinedRequests;
+    readonly records: QuarantinedRequests;
     private readonly exchange: CrashExchange;
 
     constructor() {
-        this.held = copy(digest => this.exchange.markChanged(digest));
-        this.exchange = CrashExchange.create(this.held);
+        this.records = createCopy(digest => this.exchange.markChanged(digest));
+        this.exchange = CrashExchange.create(this.records);
     }
 
     crash(digest: string, ...servers: string[]): void {
-        servers.forEach(server => this.held.note(digest, { server, phase: "early", age: 0 }));
+        servers.forEach(server => this.records.note(digest, { server, phase: "early", age: 0 }));
     }
 
     /** Queries a peer once; returns how many records the query and the reply carried. */
-    ask(name: string, peer: QuarantinedRequests): readonly [number, number] {
+    query(name: string, peer: QuarantinedRequests): readonly [number, number] {
         const { question, count } = this.exchange.question(name);
         const news = answerCrashQuery(peer, question);
         this.exchange.mergeReply(name, count, news);
@@ -37,47 +37,47 @@
     }
 }
 
-// Each daemon that receives requests sees only one crash of the three; the daemons that it queries combine them, and any of
-// these may be lost.
+// Each daemon that receives requests detects only some of a request's crashes. The daemons that it queries combine them, and
+// any of these may restart and lose its records.
 describe("the exchange of crash records", () => {
     it("combines the crashes that several daemons saw, and sends them to all", () => {
-        const control = copy();
+        const control = createCopy();
         const [one, other, third] = [new QueryingDaemon(), new QueryingDaemon(), new QueryingDaemon()];
         one.crash("a", "s1");
         other.crash("a", "s2");
-        expect(one.ask("c", control)).to.deep.equal([1, 0]);
-        expect(other.ask("c", control)).to.deep.equal([1, 1]);
-        [one, third].forEach(asker => asker.ask("c", control));
-        expect([one, other, third].every(({ held }) => held.quarantineStatus("a") !== undefined)).to.equal(true);
+        expect(one.query("c", control)).to.deep.equal([1, 0]);
+        expect(other.query("c", control)).to.deep.equal([1, 1]);
+        [one, third].forEach(daemon => daemon.query("c", control));
+        expect([one, other, third].every(({ records }) => records.quarantineStatus("a") !== undefined)).to.equal(true);
     });
 
     it("sends each record once to every peer", () => {
-        const [control, second] = [copy(), copy()];
-        const asker = new QueryingDaemon();
-        asker.crash("a", "s1", "s2");
-        expect(asker.ask("c1", control)).to.deep.equal([1, 1]);
-        expect(asker.ask("c1", control)).to.deep.equal([0, 0]);
-        expect(asker.ask("c2", second)).to.deep.equal([1, 1]);
+        const [control, second] = [createCopy(), createCopy()];
+        const daemon = new QueryingDaemon();
+        daemon.crash("a", "s1", "s2");
+        expect(daemon.query("c1", control)).to.deep.equal([1, 1]);
+        expect(daemon.query("c1", control)).to.deep.equal([0, 0]);
+        expect(daemon.query("c2", second)).to.deep.equal([1, 1]);
         expect(second.quarantineStatus("a")).not.to.equal(undefined);
     });
 
     it("sends all records again to a peer that has restarted and lost them", () => {
-        const asker = new QueryingDaemon();
-        asker.crash("a", "s1", "s2");
-        asker.ask("c", copy());
-        const restarted = copy();
-        asker.ask("c", restarted);
-        asker.ask("c", restarted);
+        const daemon = new QueryingDaemon();
+        daemon.crash("a", "s1", "s2");
+        daemon.query("c", createCopy());
+        const restarted = createCopy();
+        daemon.query("c", restarted);
+        daemon.query("c", restarted);
         expect(restarted.quarantineStatus("a")).not.to.equal(undefined);
     });
 
     it("propagates an operator's release", () => {
-        const control = copy();
+        const control = createCopy();
         const [one, other] = [new QueryingDaemon(), new QueryingDaemon()];
         one.crash("a", "s1", "s2");
-        [one, other].forEach(asker => asker.ask("c", control));
+        [one, other].forEach(daemon => daemon.query("c", control));
         expect(control.release("a", "somebody")).to.equal(true);
-        [one, other].forEach(asker => asker.ask("c", control));
-        expect([one, other].map(({ held }) => held.quarantineStatus("a"))).to.deep.equal([undefined, undefined]);
+        [one, other].forEach(daemon => daemon.query("c", control));
+        expect([one, other].map(({ records }) => records.quarantineStatus("a"))).to.deep.equal([undefined, undefined]);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/quarantine/backendIncarnation.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/backendIncarnation.ts
@@ -8,7 +8,7 @@
     return { id: `${id}@${incarnation}`, address: new URL(url).host };
 }
 
-/** Whether an incarnation has ended: the view lists it as gone, or not at all. */
+/** Whether an incarnation has ended: the view lists it in the state "gone", or not at all. */
 export function hasEnded(view: View, incarnationId: string): boolean {
     return !Object.values(view.backends).some(({ announcement, state }) => {
         return state !== "gone" && backendIncarnationOf(announcement).id === incarnationId;
--- a/packages/basilpaddle/src/node/coordination/quarantine/crashDetector.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/crashDetector.ts
@@ -4,11 +4,11 @@
 import type { QuarantineStatus } from "./quarantine.js";
 import type { QuarantinedRequests } from "./quarantinedRequests.js";
 
-/** How long after a lost run heartbeats may still report that its server has ended, and the interval of checking for it. */
+/** How long after a lost run a reported end of its server counts as a crash during the run, and the interval of checking. */
 const endReportTimeoutMilliseconds = 8_000;
 const endReportPollMilliseconds = 250;
 /** Limit of lost runs that wait for such a report; each engine that stops responding leaves dozens. */
-const pendingRunLimit = 1_000;
+const maxPendingRuns = 1_000;
 
 /** One attempt of a request. */
 export type RequestAttempt = {
@@ -36,7 +36,7 @@
 /** Dependencies of the detector. */
 export type CrashDetectorOptions = {
     readonly quarantine: QuarantinedRequests;
-    /** Whether the incarnation of this identifier is known to have gone. */
+    /** Whether the incarnation with this identifier is known to have ended. */
     readonly isGone: (id: string) => boolean;
     /** Probes whether anything accepts connections at an address. */
     readonly listens: (address: string) => Promise<ListenStatus>;
@@ -46,12 +46,12 @@
 };
 
 /**
- * Detects which backend servers crashed while running this daemon's requests, and which requests are quarantined for it.
+ * Detects backend servers that crashed while running this daemon's requests, and records the crashes for the quarantine.
  * A broken connection alone is no proof: it may have been reset, or the response lost. A crash counts only if nothing
- * listens at the server's address any more, or heartbeats report the incarnation as gone.
+ * listens at the server's address any more, or heartbeats report the incarnation as ended.
  */
 export class CrashDetector {
-    private readonly probes = new Map<string, Promise<ListenStatus>>();
+    private readonly pendingProbes = new Map<string, Promise<ListenStatus>>();
     private pendingRuns: LostRun[] = [];
     private cancelPoll: (() => void) | undefined;
 
@@ -82,7 +82,7 @@
         if (await this.probe(server) === "no") {
             this.recordCrash(run, "nothing listens at its address");
         }
-        else if (this.pendingRuns.length < pendingRunLimit) {
+        else if (this.pendingRuns.length < maxPendingRuns) {
             // An unresponsive server may have ended long before the run timed out, so "early" would be no evidence.
             this.pendingRuns.push({ ...run, phase: phase === "early" ? "late" : phase });
             this.cancelPoll ??= this.options.clock.after(endReportPollMilliseconds, () => this.checkPendingRuns());
@@ -91,7 +91,7 @@
 
     /** Reports that a request was answered in full. */
     reportAnswered({ digest }: RequestAttempt): void {
-        this.options.quarantine.answered(digest);
+        this.options.quarantine.recordAnswered(digest);
     }
 
     /** Stops checking, and drops all pending runs. */
@@ -102,29 +102,29 @@
 
     /** Probes a server's address; concurrent calls for one incarnation share a probe. */
     private probe(server: BackendIncarnation): Promise<ListenStatus> {
-        const known = this.probes.get(server.id);
-        if (known !== undefined) {
-            return known;
+        const pendingProbe = this.pendingProbes.get(server.id);
+        if (pendingProbe !== undefined) {
+            return pendingProbe;
         }
-        const probe = this.options.listens(server.address).finally(() => this.probes.delete(server.id));
-        this.probes.set(server.id, probe);
+        const probe = this.options.listens(server.address).finally(() => this.pendingProbes.delete(server.id));
+        this.pendingProbes.set(server.id, probe);
         return probe;
     }
 
     private checkPendingRuns(): void {
         const { clock } = this.options;
         const oldestPending = this.now() - endReportTimeoutMilliseconds;
-        const isGone = ({ server }: LostRun): boolean => this.options.isGone(server.id);
-        const gone = this.pendingRuns.filter(isGone);
-        this.pendingRuns = this.pendingRuns.filter(run => !isGone(run) && run.at > oldestPending);
-        gone.forEach(run => this.recordCrash(run, "its end was reported"));
+        const hasLostServer = ({ server }: LostRun): boolean => this.options.isGone(server.id);
+        const lostServerRuns = this.pendingRuns.filter(hasLostServer);
+        this.pendingRuns = this.pendingRuns.filter(run => !hasLostServer(run) && run.at > oldestPending);
+        lostServerRuns.forEach(run => this.recordCrash(run, "its end was reported"));
         this.cancelPoll = this.pendingRuns.length === 0
             ? undefined
             : clock.after(endReportPollMilliseconds, () => this.checkPendingRuns());
     }
 
     private recordCrash({ server, digest, attempt, phase, at }: LostRun, proof: string): void {
-        const { quarantine: held, logger, metrics } = this.options;
+        const { quarantine, logger, metrics } = this.options;
         const age = this.now() - at;
         logger.warn("a backend server ended under a request", {
             request: attempt,
@@ -135,7 +135,7 @@
             proof,
         });
         metrics.count("basilpaddle_crashes_under_requests_total", { phase });
-        held.note(digest, { server: server.id, phase, age });
+        quarantine.note(digest, { server: server.id, phase, age });
     }
 
     private now(): number {
--- a/packages/basilpaddle/src/node/coordination/quarantine/crashExchange.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/crashExchange.ts
@@ -2,9 +2,9 @@
 import type { QuarantinedRequests } from "./quarantinedRequests.js";
 
 /** Limit of requests that wait to be sent; beyond it the oldest are dropped. */
-const pendingLimit = 512;
+const maxPending = 512;
 
-/** How far the exchange with one peer has come, in both directions. */
+/** Progress with one peer: its latest change that was received, and the number of marked requests that it has received. */
 type PeerProgress = { source: string; cursor: number; count: number; };
 
 /**
@@ -13,44 +13,44 @@
  */
 export class CrashExchange {
     private readonly progress = new Map<string, PeerProgress>();
-    private pending: string[] = [];
-    /** Number of requests that were dropped from the front of `pending`. */
-    private droppedCount = 0;
+    private pendingDigests: string[] = [];
+    /** Number of requests that were dropped from the front of `pendingDigests`. */
+    private droppedDigestCount = 0;
 
-    private constructor(private readonly held: QuarantinedRequests) {}
+    private constructor(private readonly quarantinedRequests: QuarantinedRequests) {}
 
-    static create(held: QuarantinedRequests): CrashExchange {
-        return new CrashExchange(held);
+    static create(quarantinedRequests: QuarantinedRequests): CrashExchange {
+        return new CrashExchange(quarantinedRequests);
     }
 
     /** Marks a request whose record changed here and has to be sent. */
     markChanged(digest: string): void {
-        this.pending.push(digest);
-        if (this.pending.length > pendingLimit) {
-            this.pending.shift();
-            this.droppedCount += 1;
+        this.pendingDigests.push(digest);
+        if (this.pendingDigests.length > maxPending) {
+            this.pendingDigests.shift();
+            this.droppedDigestCount += 1;
         }
     }
 
     /** The next query to a peer, and the number of marked requests that the peer has received once it has replied. */
     question(name: string): { readonly question: CrashQuery; readonly count: number; } {
         const { source, cursor, count } = this.progressOf(name);
-        const unsent = [...new Set(this.pending.slice(Math.max(0, count - this.droppedCount)))];
+        const unsent = [...new Set(this.pendingDigests.slice(Math.max(0, count - this.droppedDigestCount)))];
         return {
-            question: { source, cursor, records: [...this.held.records(unsent)] },
-            count: this.droppedCount + this.pending.length,
+            question: { source, cursor, records: [...this.quarantinedRequests.records(unsent)] },
+            count: this.droppedDigestCount + this.pendingDigests.length,
         };
     }
 
     /** Merges a peer's reply to a query. */
-    mergeReply(name: string, count: number, news: CrashUpdate): void {
+    mergeReply(name: string, count: number, reply: CrashUpdate): void {
         const previous = this.progressOf(name);
-        const hasRestarted = previous.source !== "" && previous.source !== news.source;
-        this.progress.set(name, { source: news.source, cursor: news.cursor, count });
-        this.held.merge(news.records);
-        if (hasRestarted) {
+        const peerRestarted = previous.source !== "" && previous.source !== reply.source;
+        this.progress.set(name, { source: reply.source, cursor: reply.cursor, count });
+        this.quarantinedRequests.merge(reply.records);
+        if (peerRestarted) {
             // The peer has restarted and lost all earlier records.
-            this.held.all().forEach(({ digest }) => this.markChanged(digest));
+            this.quarantinedRequests.all().forEach(({ digest }) => this.markChanged(digest));
         }
     }
 
@@ -60,8 +60,8 @@
 }
 
 /** Merges the records of a query and returns those that the querying daemon lacks. */
-export function answerCrashQuery(held: QuarantinedRequests, question: CrashQuery): CrashUpdate {
-    held.merge(question.records);
-    const cursor = question.source === held.source ? question.cursor : 0;
-    return { source: held.source, cursor: held.newest(), records: [...held.since(cursor)] };
+export function answerCrashQuery(records: QuarantinedRequests, query: CrashQuery): CrashUpdate {
+    records.merge(query.records);
+    const cursor = query.source === records.source ? query.cursor : 0;
+    return { source: records.source, cursor: records.latestChange(), records: [...records.changedAfter(cursor)] };
 }
--- a/packages/basilpaddle/src/node/coordination/quarantine/crashHistory.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/crashHistory.ts
@@ -15,7 +15,7 @@
  */
 export class CrashHistory {
     private readonly crashes = new Map<string, KnownCrash>();
-    private clearedAt = -Infinity;
+    private lastClearedAt = -Infinity;
     private peakCount = 0;
 
     static create(): CrashHistory {
@@ -25,11 +25,11 @@
     /** Merges another daemon's record; returns whether it changed anything here. */
     merge({ crashes, clearedAge }: Omit<CrashRecord, "digest">, now: number): boolean {
         const isCleared = clearedAge !== undefined && this.clear(now - clearedAge);
-        const isExtended = crashes.filter(crash => this.add(crash, now)).length > 0;
+        const isExtended = crashes.filter(crash => this.addCrash(crash, now)).length > 0;
         return isCleared || isExtended;
     }
 
-    /** The crashes that count, oldest first. */
+    /** The crashes that haven't been cleared, in the order of their arrival here. */
     activeCrashes(): readonly KnownCrash[] {
         return [...this.crashes.values()];
     }
@@ -41,31 +41,31 @@
 
     /** Time of the latest crash or clearing. */
     changedAt(): number {
-        return Math.max(this.clearedAt, ...this.activeCrashes().map(({ at }) => at));
+        return Math.max(this.lastClearedAt, ...this.activeCrashes().map(({ at }) => at));
     }
 
     /** The record that is sent to other daemons. */
-    record(digest: string, now: number): CrashRecord {
+    toRecord(digest: string, now: number): CrashRecord {
         const crashes = this.activeCrashes().map(({ server, phase, at }): Crash => ({ server, phase, age: now - at }));
-        return Number.isFinite(this.clearedAt)
-            ? { digest, crashes, clearedAge: Math.max(0, now - this.clearedAt) }
+        return Number.isFinite(this.lastClearedAt)
+            ? { digest, crashes, clearedAge: Math.max(0, now - this.lastClearedAt) }
             : { digest, crashes };
     }
 
     private clear(at: number): boolean {
         const cleared = this.activeCrashes().filter(crash => crash.at <= at);
         // Within the tolerance it may be the same clearing again, which changes something only if it removes crashes.
-        if (cleared.length === 0 && at <= this.clearedAt + ageToleranceMilliseconds) {
+        if (cleared.length === 0 && at <= this.lastClearedAt + ageToleranceMilliseconds) {
             return false;
         }
         cleared.forEach(({ server }) => this.crashes.delete(server));
-        this.clearedAt = Math.max(this.clearedAt, at);
+        this.lastClearedAt = Math.max(this.lastClearedAt, at);
         return true;
     }
 
-    private add({ server, phase, age }: Crash, now: number): boolean {
+    private addCrash({ server, phase, age }: Crash, now: number): boolean {
         const at = now - age;
-        if (this.crashes.has(server) || this.crashes.size >= maximumRecordedCrashes || at <= this.clearedAt) {
+        if (this.crashes.has(server) || this.crashes.size >= maximumRecordedCrashes || at <= this.lastClearedAt) {
             return false;
         }
         this.crashes.set(server, { server, phase, at });
--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantine.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantine.ts
@@ -3,17 +3,17 @@
 import { CrashHistory, type KnownCrash } from "./crashHistory.js";
 
 /** Limit of requests with recorded crashes, which take 2 MB: a caller may send a different request each time. */
-const historyLimit = 4_096;
+const maxHistories = 4_096;
 /** Limit of backend servers whose crash is attributed to a quarantined request. */
-const culpritLimit = 4_096;
+const maxCulprits = 4_096;
 /** Number of crashes from which a request's record is shared with other daemons. */
 const sharedCrashThreshold = 2;
 /**
- * Factor by which each further crash lengthens the quarantine, and its maximum: every time a request is let through, it may
- * crash another server.
+ * Factor by which each further crash lengthens the quarantine, and the maximum duration. Each time a quarantine ends, the
+ * request may crash another server.
  */
-const holdGrowthFactor = 4;
-const longestHoldMilliseconds = 24 * 60 * 60_000;
+const quarantineGrowthFactor = 4;
+const maxQuarantineMilliseconds = 24 * 60 * 60_000;
 /** Rounding error of a sum of fractions that should be 1. */
 const weightTolerance = 1e-9;
 /** How long a record is kept after its last change, or after its quarantine has ended. */
@@ -35,10 +35,10 @@
  * they exchange all records that affect a decision, so that no daemon has to query another one when a request arrives.
  */
 export class Quarantine {
-    private readonly histories = new LRUCache<string, CrashHistory>({ max: historyLimit });
-    private readonly changeNumbers = new LRUCache<string, number>({ max: historyLimit });
-    /** The request that is quarantined for the end of a backend server, by that server. */
-    private readonly culprits = new LRUCache<string, string>({ max: culpritLimit });
+    private readonly histories = new LRUCache<string, CrashHistory>({ max: maxHistories });
+    private readonly changeNumbers = new LRUCache<string, number>({ max: maxHistories });
+    /** The quarantined request to which a backend server's crash is attributed, by server. */
+    private readonly culprits = new LRUCache<string, string>({ max: maxCulprits });
     private lastChangeNumber = 0;
 
     private constructor(private readonly rules: QuarantineRules) {}
@@ -55,7 +55,7 @@
             if (isChanged) {
                 this.histories.set(record.digest, history);
                 this.attributeCrashes(record.digest, history);
-                this.number(record.digest, history);
+                this.assignChangeNumber(record.digest, history);
             }
             return isChanged;
         });
@@ -72,48 +72,48 @@
         if (!this.reachesLimit(crashes)) {
             return undefined;
         }
-        const left = Math.max(...crashes.map(({ at }) => at)) + this.holdDuration(crashes) - now;
-        const sharedCrashes = crashes.map(({ server, phase, at }) => ({ server, phase, age: now - at }));
-        return left > 0 ? { left, crashes: sharedCrashes } : undefined;
+        const left = Math.max(...crashes.map(({ at }) => at)) + this.quarantineDuration(crashes) - now;
+        const crashesWithAges = crashes.map(({ server, phase, at }) => ({ server, phase, age: now - at }));
+        return left > 0 ? { left, crashes: crashesWithAges } : undefined;
     }
 
     /** All requests that are quarantined now. */
     quarantined(now: number): readonly QuarantinedRequest[] {
         return [...this.histories.keys()].flatMap(digest => {
-            const hold = this.currentStatus(digest, now);
-            return hold === undefined ? [] : [{ digest, ...hold }];
+            const status = this.currentStatus(digest, now);
+            return status === undefined ? [] : [{ digest, ...status }];
         });
     }
 
     /** Number of the latest change that has to reach other daemons. */
-    newest(): number {
+    latestChange(): number {
         return this.lastChangeNumber;
     }
 
     /** Records that changed after that number. */
-    since(number: number, now: number): readonly CrashRecord[] {
+    changedAfter(number: number, now: number): readonly CrashRecord[] {
         return [...this.histories.entries()]
             .filter(([digest]) => (this.changeNumbers.peek(digest) ?? 0) > number)
-            .map(([digest, history]) => history.record(digest, now));
+            .map(([digest, history]) => history.toRecord(digest, now));
     }
 
     /** The record of one request, if there is one. */
     record(digest: string, now: number): CrashRecord | undefined {
-        return this.histories.peek(digest)?.record(digest, now);
+        return this.histories.peek(digest)?.toRecord(digest, now);
     }
 
-    /** All records, for a directory that has just started and has lost what the gateways had sent it. */
+    /** All records; they are resent to a directory that has lost them by a restart. */
     all(now: number): readonly CrashRecord[] {
-        return [...this.histories.entries()].map(([digest, history]) => history.record(digest, now));
+        return [...this.histories.entries()].map(([digest, history]) => history.toRecord(digest, now));
     }
 
     /** Removes records that can't affect a decision any more. */
     sweep(now: number): void {
         for (const [digest, history] of this.histories.entries()) {
-            const hold = this.reachesLimit(this.countedCrashes(digest))
-                ? this.holdDuration(history.activeCrashes())
+            const quarantineMilliseconds = this.reachesLimit(this.countedCrashes(digest))
+                ? this.quarantineDuration(history.activeCrashes())
                 : 0;
-            if (now - history.changedAt() > hold + retentionMilliseconds) {
+            if (now - history.changedAt() > quarantineMilliseconds + retentionMilliseconds) {
                 this.histories.delete(digest);
                 this.changeNumbers.delete(digest);
             }
@@ -133,7 +133,7 @@
      * Assigns a number to a change that has to reach other daemons. A single crash isn't shared: an engine that crashes for
      * another reason aborts dozens of runs, and hardly any of these requests meets a second crash.
      */
-    private number(digest: string, history: CrashHistory): void {
+    private assignChangeNumber(digest: string, history: CrashHistory): void {
         if (history.peakCrashCount() >= Math.min(sharedCrashThreshold, this.rules.crashes, this.rules.earlyCrashes)) {
             this.lastChangeNumber += 1;
             this.changeNumbers.set(digest, this.lastChangeNumber);
@@ -162,8 +162,8 @@
         return crashes.reduce((sum, { phase }) => sum + 1 / limits[phase], 0);
     }
 
-    private holdDuration(crashes: readonly KnownCrash[]): number {
-        const beyond = Math.round(Math.max(0, this.weight(crashes) - 1) * this.rules.crashes);
-        return Math.min(longestHoldMilliseconds, this.rules.firstHold * holdGrowthFactor ** beyond);
+    private quarantineDuration(crashes: readonly KnownCrash[]): number {
+        const crashesBeyondLimit = Math.round(Math.max(0, this.weight(crashes) - 1) * this.rules.crashes);
+        return Math.min(maxQuarantineMilliseconds, this.rules.firstHold * quarantineGrowthFactor ** crashesBeyondLimit);
     }
 }
--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantineRefusal.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantineRefusal.ts
@@ -12,17 +12,17 @@
  */
 export function quarantineRefusal(
     crashes: CrashDetector,
-    arrived: RequestAttempt,
+    requestAttempt: RequestAttempt,
     logger: Logger,
 ): Refusal | undefined {
-    const hold = crashes.quarantineStatus(arrived);
-    if (hold === undefined) {
+    const status = crashes.quarantineStatus(requestAttempt);
+    if (status === undefined) {
         return undefined;
     }
     logger.info("refused a quarantined request", {
-        request: arrived.attempt,
-        content: arrived.digest,
-        crashes: describeCrashes(hold.crashes),
+        request: requestAttempt.attempt,
+        content: requestAttempt.digest,
+        crashes: describeCrashes(status.crashes),
     });
-    return { code: "heldBack", outcome: "notRun", message: quarantineReason, retryAfter: Math.ceil(hold.left) };
+    return { code: "heldBack", outcome: "notRun", message: quarantineReason, retryAfter: Math.ceil(status.left) };
 }
--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantinedRequests.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantinedRequests.ts
@@ -13,7 +13,7 @@
 /** Dependencies of a daemon's copy. */
 export type QuarantinedRequestsOptions = {
     readonly rules: QuarantineRules;
-    /** Publishes records of what this daemon detected itself, or an operator released. */
+    /** Publishes records that this daemon changed itself: by a detected crash, a complete answer or an operator's release. */
     readonly publishRecords: (records: readonly CrashRecord[]) => void;
     readonly clock: Clock;
     readonly logger: Logger;
@@ -28,7 +28,7 @@
     readonly source = randomUUID();
     private readonly quarantine: Quarantine;
     private readonly answeredAt = new LRUCache<string, number>({ max: answeredCacheSize });
-    private sweptAt = -Infinity;
+    private lastSweepAt = -Infinity;
 
     private constructor(private readonly options: QuarantinedRequestsOptions) {
         this.quarantine = Quarantine.create(options.rules);
@@ -51,8 +51,8 @@
     /** Merges records of other daemons; returns those that changed something here. */
     merge(records: readonly CrashRecord[]): readonly CrashRecord[] {
         this.sweep();
-        const news = this.quarantine.merge(records, this.now());
-        for (const { digest } of news) {
+        const changedRecords = this.quarantine.merge(records, this.now());
+        for (const { digest } of changedRecords) {
             if (this.isSuspected(digest) && this.wasRecentlyAnswered(digest)) {
                 this.clear(digest);
             }
@@ -60,7 +60,7 @@
                 this.logState(digest);
             }
         }
-        return news;
+        return changedRecords;
     }
 
     /** Records that a backend server crashed while running a request, and publishes it. */
@@ -69,7 +69,7 @@
     }
 
     /** Records that a request was answered in full, which clears it of earlier crashes: it didn't cause them. */
-    answered(digest: string): void {
+    recordAnswered(digest: string): void {
         this.answeredAt.set(digest, this.now());
         if (this.isSuspected(digest)) {
             this.clear(digest);
@@ -100,13 +100,13 @@
     }
 
     /** Number of the latest change that has to reach other daemons. */
-    newest(): number {
-        return this.quarantine.newest();
+    latestChange(): number {
+        return this.quarantine.latestChange();
     }
 
     /** Records that changed after that number and have to reach other daemons. */
-    since(number: number): readonly CrashRecord[] {
-        return this.quarantine.since(number, this.now());
+    changedAfter(number: number): readonly CrashRecord[] {
+        return this.quarantine.changedAfter(number, this.now());
     }
 
     /** The records of some requests; those without a record are left out. */
@@ -124,11 +124,11 @@
         metrics.gauge("basilpaddle_requests_held_back", this.quarantined().length);
     }
 
-    /** Removes expired records. Called only on merging: without new crashes there is no hurry. */
+    /** Removes expired records. Called only on merging: without new crashes the number of records doesn't grow. */
     private sweep(): void {
         const now = this.now();
-        if (now - this.sweptAt > sweepIntervalMilliseconds) {
-            this.sweptAt = now;
+        if (now - this.lastSweepAt > sweepIntervalMilliseconds) {
+            this.lastSweepAt = now;
             this.quarantine.sweep(now);
         }
     }
@@ -145,9 +145,9 @@
 
     private logState(digest: string): void {
         const { logger } = this.options;
-        const hold = this.quarantineStatus(digest);
-        if (hold !== undefined) {
-            const { left, crashes } = hold;
+        const status = this.quarantineStatus(digest);
+        if (status !== undefined) {
+            const { left, crashes } = status;
             logger.warn("a request is held back", {
                 content: digest,
                 for: Math.round(left),
--- a/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
@@ -209,7 +209,7 @@
             logger,
             onAnnounced: announced => this.backendServers.applyRemoteAnnouncement(announced),
             onCrashes: records => this.mergeCrashes(records),
-            knownCrashes: () => this.quarantinedRequests.since(0),
+            knownCrashes: () => this.quarantinedRequests.changedAfter(0),
         });
         this.store.add(() => watcher.close());
         const calls = await CallServer.create({ address: settings.calls, handler: this, wire, logger });
@@ -265,7 +265,7 @@
         const committed = this.group.committedPosition();
         const servers = this.backendServers.serversForRestart();
         const gateways = this.watchService.gatewayCount();
-        const crashes = this.quarantinedRequests.since(0);
+        const crashes = this.quarantinedRequests.changedAfter(0);
         return committed && { identity: committed.identity, committed: committed.mark, servers, gateways, crashes };
     }
 
--- a/packages/basilpaddle/src/node/daemon/directory/watchService.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/watchService.ts
@@ -32,7 +32,7 @@
     readonly incarnation: string;
     readonly failureDomain: string;
     readonly announcements: Announcements;
-    readonly quarantined: Pick<QuarantinedRequests, "newest" | "since">;
+    readonly quarantined: Pick<QuarantinedRequests, "latestChange" | "changedAfter">;
     readonly document: () => StoredDocument;
     readonly members: () => { readonly members: readonly string[]; readonly leader: string | undefined; };
     /** Ejected backend servers of plain services; empty unless this directory leads. */
@@ -135,7 +135,7 @@
         const { incarnation, announcements, quarantined, document } = this.options;
         return watch.incarnation !== incarnation
             || announcements.latestChange() > watch.cursor
-            || quarantined.newest() > (watch.crashCursor ?? 0)
+            || quarantined.latestChange() > (watch.crashCursor ?? 0)
             || document().version > watch.version;
     }
 
@@ -177,7 +177,7 @@
         const newer = watch.wantsDocument && current.version > watch.version;
         const isKnown = watch.incarnation === incarnation;
         const since = isKnown ? watch.cursor : 0;
-        const crashes = quarantined.since(isKnown ? watch.crashCursor ?? 0 : 0);
+        const crashes = quarantined.changedAfter(isKnown ? watch.crashCursor ?? 0 : 0);
         const group = members();
         const ejected = this.options.ejected();
         return {
@@ -191,7 +191,7 @@
             ...group.leader === undefined ? {} : { leader: group.leader },
             ...this.gatewayShares(),
             ...ejected.length === 0 ? {} : { ejected: [...ejected] },
-            crashCursor: quarantined.newest(),
+            crashCursor: quarantined.latestChange(),
             ...crashes.length === 0 ? {} : { crashes: [...crashes] },
         };
     }
