--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/backendServerRegistry.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/backendServerRegistry.spec.ts
@@ -30,15 +30,15 @@
 
     // Guards against every directory sending a thousand servers to every gateway after a restart of all directories.
     it("include at most a hundred known from other directories, a different hundred at each directory", () => {
-        const keptIds = ["d-1", "d-2"].map(name => {
+        const storedIds = ["d-1", "d-2"].map(name => {
             const registry = createRegistry(name);
             for (let number = 0; number < 1_000; number++) {
                 registry.applyRemoteAnnouncement(announced({ id: `i-${number}`, address: `10.0.0.1:${number}` }));
             }
             return new Set(registry.serversForRestart().map(({ id }) => id));
         });
-        expect(keptIds.map(({ size }) => size)).to.deep.equal([100, 100]);
-        expect(new Set(keptIds.flatMap(ids => [...ids])).size).to.be.at.least(180);
+        expect(storedIds.map(({ size }) => size)).to.deep.equal([100, 100]);
+        expect(new Set(storedIds.flatMap(ids => [...ids])).size).to.be.at.least(180);
     });
 
     // Guards against a server that no directory knows after a restart, because its heartbeats had moved from one directory to
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/restartCache.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/restartCache.spec.ts
@@ -59,17 +59,17 @@
 
     it("restores its state, and the committed entry only for its identity", async () => {
         await write();
-        const after = await RestartCache.create({ openDisk, clock, logger });
-        expect(after.committed(state.identity)).to.deep.equal(state.committed);
-        expect(after.committed("10.0.0.1:80#other")).to.equal(undefined);
-        expect([after.servers(), after.gateways()]).to.deep.equal([state.servers, state.gateways]);
+        const restoredCache = await RestartCache.create({ openDisk, clock, logger });
+        expect(restoredCache.committed(state.identity)).to.deep.equal(state.committed);
+        expect(restoredCache.committed("10.0.0.1:80#other")).to.equal(undefined);
+        expect([restoredCache.servers(), restoredCache.gateways()]).to.deep.equal([state.servers, state.gateways]);
     });
 
     it("restores crash records after hours, with their ages increased by that time", async () => {
         await write();
         clock.now += 7_200_000;
-        const after = await RestartCache.create({ openDisk, clock, logger });
-        expect(after.crashes()).to.deep.equal([{
+        const restoredCache = await RestartCache.create({ openDisk, clock, logger });
+        expect(restoredCache.crashes()).to.deep.equal([{
             digest: "d",
             crashes: [{ server: "i@5", phase: "early", age: 7_200_070 }],
         }]);
@@ -78,8 +78,8 @@
     it("discards backend servers after a long time, and everything if the file is damaged", async () => {
         await write();
         clock.now += 120_000;
-        const old = await RestartCache.create({ openDisk, clock, logger });
-        expect([old.servers(), old.committed(state.identity)]).to.deep.equal([[], state.committed]);
+        const expired = await RestartCache.create({ openDisk, clock, logger });
+        expect([expired.servers(), expired.committed(state.identity)]).to.deep.equal([[], state.committed]);
         await disk.replace("recollection", Buffer.from("no such thing"));
         const damaged = await RestartCache.create({ openDisk, clock, logger });
         expect([damaged.servers(), damaged.committed(state.identity)]).to.deep.equal([[], undefined]);
@@ -98,13 +98,13 @@
     // Guards against a directory that exits if its disk fails at startup, although it can receive heartbeats without a disk.
     it("is empty if the folder can't be opened, and is written once it can", async () => {
         let fails = true;
-        const opening = async (): Promise<MemoryDisk> => {
+        const openFailingDisk = async (): Promise<MemoryDisk> => {
             if (fails) {
                 throw new Error("no space is left");
             }
             return disk;
         };
-        const cache = await RestartCache.create({ openDisk: opening, clock, logger });
+        const cache = await RestartCache.create({ openDisk: openFailingDisk, clock, logger });
         expect(cache.servers()).to.deep.equal([]);
         cache.setSource(() => state);
         cache.markChanged();
@@ -116,15 +116,15 @@
     });
 
     it("is written once for many changes, and again after a failed write", async () => {
-        let tries = 0;
+        let writeCount = 0;
         const replace = disk.replace.bind(disk);
         disk.replace = (name, bytes) => {
-            tries += 1;
-            return tries === 1 ? Promise.reject(new Error("the disk is full")) : replace(name, bytes);
+            writeCount += 1;
+            return writeCount === 1 ? Promise.reject(new Error("the disk is full")) : replace(name, bytes);
         };
         await write();
-        expect(tries).to.equal(1);
+        expect(writeCount).to.equal(1);
         await write();
-        expect([tries, await disk.list()]).to.deep.equal([2, ["recollection"]]);
+        expect([writeCount, await disk.list()]).to.deep.equal([2, ["recollection"]]);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/stageOrders.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/stageOrders.spec.ts
@@ -10,10 +10,10 @@
 /** Prompts long enough that the plan calls for two more prefill engines. */
 const longPrompts = { prefillTime: 400, allocationTime: 2_000, cacheTokens: 12_000 };
 
-type Scenario = { readonly prefill: number; readonly waiting: (now: number) => number; };
+type Scenario = { readonly prefill: number; readonly queuedRequests: (now: number) => number; };
 
 /** The orders issued within the given time, each as engine, stage and whether the order was still open. */
-async function ordersIssuedWithin(milliseconds: number, { prefill, waiting }: Scenario): Promise<string[]> {
+async function ordersIssuedWithin(milliseconds: number, { prefill, queuedRequests }: Scenario): Promise<string[]> {
     const clock = new ManualClock();
     const instances = InstanceTable.create();
     engines(prefill, 10).forEach(engine => instances.apply(engine));
@@ -23,7 +23,7 @@
         instances,
         traffic: () => poolTraffic,
         typicalRequest: () => longPrompts,
-        waiting: () => waiting(clock.monotonic()),
+        queuedRequests: () => queuedRequests(clock.monotonic()),
         onOrdered: ({ id }, stage, within) => ordered.push(`${id} ${stage} ${within > 0}`),
         wire: { order: () => ({ method: "POST", path: "/", headers: {} }) } as unknown as DirectoryWire,
         connections: {
@@ -45,19 +45,19 @@
 // waited for decode engines.
 describe("orders to change stages", () => {
     it("convert decode engines only after sustained demand", async () => {
-        expect(await ordersIssuedWithin(15_000, { prefill: 3, waiting: () => 0 })).to.deep.equal([]);
-        const later = await ordersIssuedWithin(20_000, { prefill: 3, waiting: () => 0 });
+        expect(await ordersIssuedWithin(15_000, { prefill: 3, queuedRequests: () => 0 })).to.deep.equal([]);
+        const later = await ordersIssuedWithin(20_000, { prefill: 3, queuedRequests: () => 0 });
         expect(later.map(order => order.split(" ").slice(1).join(" "))).to.deep.equal(["prefill true", "prefill true"]);
     });
 
     it("convert none while placement requests are queued, nor immediately after the queue has emptied", async () => {
-        expect(await ordersIssuedWithin(60_000, { prefill: 3, waiting: () => 1 })).to.deep.equal([]);
-        const waiting = (now: number): number => now > 10_000 && now < 12_000 ? 5 : 0;
-        expect(await ordersIssuedWithin(25_000, { prefill: 3, waiting })).to.deep.equal([]);
+        expect(await ordersIssuedWithin(60_000, { prefill: 3, queuedRequests: () => 1 })).to.deep.equal([]);
+        const queuedRequests = (now: number): number => now > 10_000 && now < 12_000 ? 5 : 0;
+        expect(await ordersIssuedWithin(25_000, { prefill: 3, queuedRequests })).to.deep.equal([]);
     });
 
     it("assign one engine to prefill immediately if there is none", async () => {
-        const [first] = await ordersIssuedWithin(5_000, { prefill: 0, waiting: () => 3 });
+        const [first] = await ordersIssuedWithin(5_000, { prefill: 0, queuedRequests: () => 3 });
         expect(first).to.match(/ prefill true$/);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/watchService.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/watchService.spec.ts
@@ -54,7 +54,7 @@
 }
 
 // Guards against requests rejected for lack of retries in the seconds after a power loss of the whole deployment: restarted
-// directories counted only the gateways that had reconnected so far, and nobody can rely on that number.
+// directories counted only the gateways that had reconnected so far, which is too low a number.
 describe("the count of gateways after a restart", () => {
     it("is the previous one until all gateways have had time to reconnect", async () => {
         const clock = new ManualClock();
@@ -133,7 +133,7 @@
         expect(answers.lastAt).to.equal(before);
     });
 
-    // Announcements come faster than an answer travels, so that each gateway finds the next change when it watches again.
+    // Announcements are more frequent than round trips, so that each gateway finds the next change when it watches again.
     it("aren't answered more often when they return to a pending change than when they wait for one", async () => {
         const clock = new ManualClock();
         const announcements = Announcements.create(1_000);
@@ -168,9 +168,9 @@
         announcements.apply(announced({ id: "new" }), clock.monotonic());
         watchService.notifyWatchers();
         await clock.pass(1);
-        const again = { kind: "watch", gateway: "g-1", version: -1, incarnation: "", cursor: 0 } as const;
+        const restartedWatch = { kind: "watch", gateway: "g-1", version: -1, incarnation: "", cursor: 0 } as const;
         const { announced: announcedServers } = await watchService.watch({
-            ...again,
+            ...restartedWatch,
             wantsDocument: false,
             observer: false,
         });
@@ -183,10 +183,10 @@
 /** Makes gateways watch repeatedly and counts the answers. `delay`: milliseconds from an answer to the next watch. */
 function countAnswers(watchService: WatchService, clock: ManualClock, gateways: number, delay: number): CountedAnswers {
     const answers = { count: 0, lastAt: 0 };
-    const follow = async (gateway: string): Promise<void> => {
+    const watchRepeatedly = async (gateway: string): Promise<void> => {
         for (let cursor = 0, incarnation = ""; clock.monotonic() < 3_000;) {
-            const given = { kind: "watch", gateway, version: 1, incarnation, cursor, wantsDocument: false } as const;
-            ({ cursor, incarnation } = await watchService.watch({ ...given, observer: false }));
+            const request = { kind: "watch", gateway, version: 1, incarnation, cursor, wantsDocument: false } as const;
+            ({ cursor, incarnation } = await watchService.watch({ ...request, observer: false }));
             answers.count += 1;
             answers.lastAt = clock.monotonic();
             if (delay > 0) {
@@ -194,7 +194,7 @@
             }
         }
     };
-    Array.from({ length: gateways }, (_, number) => void follow(`g-${number}`));
+    Array.from({ length: gateways }, (_, number) => void watchRepeatedly(`g-${number}`));
     return answers;
 }
 
--- a/packages/basilpaddle/src/node/daemon/directory/backendServerCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/backendServerCalls.ts
@@ -11,7 +11,7 @@
 import type { DirectoryWire } from "./directoryWire.js";
 
 /** Only the first findings of a rejected call are logged. */
-const maximumLoggedFindings = 3;
+const maxLoggedFindings = 3;
 
 /** Dependencies of `BackendServerCalls`. */
 export type BackendServerCallsOptions = {
@@ -36,7 +36,7 @@
     /** Handles a heartbeat. */
     announce(name: string, body: string): CallResponse {
         const { wire, registry } = this.options;
-        return this.applyReport(
+        return this.applyCall(
             name,
             wire.announcement(name, body).chain(validateAnnouncement),
             announced => registry.announce(announced),
@@ -46,20 +46,24 @@
     /** Handles a backend server's call that it leaves. */
     leave(name: string, body: string): CallResponse {
         const { wire, registry } = this.options;
-        return this.applyReport(name, wire.departure(name, body), departure => registry.leave(departure));
+        return this.applyCall(name, wire.departure(name, body), departure => registry.leave(departure));
     }
 
     /** Applies a valid call. An invalid one is rejected: it may come from another program and identifies no usable server. */
-    private applyReport<T>(name: string, read: Either<readonly Finding[], T>, apply: (value: T) => void): CallResponse {
+    private applyCall<T>(
+        name: string,
+        parsedBody: Either<readonly Finding[], T>,
+        apply: (value: T) => void,
+    ): CallResponse {
         const { hasWatchingGateway, logger } = this.options;
         if (!hasWatchingGateway()) {
             return { kind: "unavailable", reason: "no gateway watches this directory" };
         }
-        return read.caseOf<CallResponse>({
+        return parsedBody.caseOf<CallResponse>({
             Left: findings => {
                 logger.warn("rejected an invalid call of a backend server", {
                     name,
-                    findings: findings.slice(0, maximumLoggedFindings),
+                    findings: findings.slice(0, maxLoggedFindings),
                 });
                 return { kind: "invalid", findings };
             },
--- a/packages/basilpaddle/src/node/daemon/directory/backendServerRegistry.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/backendServerRegistry.ts
@@ -6,11 +6,11 @@
 /**
  * How many backend servers that send their heartbeats to other directories are kept across a restart as well. After a
  * restart each directory sends them to each gateway: a hundred announcements are 13 KB, a sixtieth of a second on a link of
- * 7 Mbit/s, where a thousand from five directories would take three quarters of a second. With none, gateways that reached
- * one directory first rejected requests for lack of a server that only another directory knew, and the servers of a
- * directory with a lost disk stayed unknown until their next heartbeat.
+ * 7 Mbit/s, where a thousand from five directories would take three quarters of a second. Without these servers, gateways
+ * refused requests because the directory that they reached first didn't know a server that only another one knew, and the
+ * servers of a directory with a lost disk stayed unknown until their next heartbeat.
  */
-const maximumRemoteServers = 100;
+const maxRemoteServers = 100;
 
 /** Dependencies and listeners of `BackendServerRegistry`. */
 export type BackendServerRegistryOptions = {
@@ -62,7 +62,7 @@
             return (state === "ready" || state === "draining") && !ownIds.has(id);
         });
         const rank = (server: ServerAnnouncement): number => hashToFraction(server.id + this.options.name);
-        return [...own, ...others.sort((one, other) => rank(one) - rank(other)).slice(0, maximumRemoteServers)];
+        return [...own, ...others.sort((one, other) => rank(one) - rank(other)).slice(0, maxRemoteServers)];
     }
 
     /** Applies a heartbeat of a backend server. */
@@ -88,13 +88,13 @@
             this.publishAll();
             return;
         }
-        this.end(incarnationOf(name, startedAt), "a backend server leaves");
+        this.markLeft(incarnationOf(name, startedAt), "a backend server leaves");
     }
 
     /** Marks an incarnation as ended after a gateway found another incarnation at its address. */
     markEnded(id: string): void {
         if (!this.instances.hasEnded(id)) {
-            this.end(id, "a gateway found another incarnation at the address of a backend server");
+            this.markLeft(id, "a gateway found another incarnation at the address of a backend server");
         }
     }
 
@@ -105,7 +105,7 @@
         if (this.announcements.refutes(announced)) {
             const { id, sequence } = announced;
             this.options.logger.info(
-                "another directory lost a backend server that sends heartbeats here; announcing it again",
+                "another directory reports a backend server as silent that sends heartbeats here; announcing it again",
                 { id, sequence },
             );
             this.publishAll();
@@ -119,8 +119,8 @@
         }
     }
 
-    /** Records that an incarnation is gone for good, and publishes it. */
-    private end(id: string, logMessage: string): void {
+    /** Records that an incarnation has ended, and publishes it. */
+    private markLeft(id: string, logMessage: string): void {
         if (this.announcements.markLeft(id, this.options.clock.monotonic())) {
             this.options.logger.info(logMessage, { id });
             this.publishAll();
--- a/packages/basilpaddle/src/node/daemon/directory/callServer.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/callServer.ts
@@ -4,7 +4,7 @@
 import type { DirectoryCall, DirectoryWire } from "./directoryWire.js";
 
 /** Large enough for a configuration of some thousands of routes. */
-const maximumBodyBytes = 8 * 1024 * 1024;
+const maxBodyBytes = 8 * 1024 * 1024;
 /** Time limit for receiving a whole request. */
 const receiveTimeoutMilliseconds = 10_000;
 /** How long an idle connection stays open: several heartbeat intervals. */
@@ -41,22 +41,22 @@
         readonly wire: DirectoryWire;
         readonly logger: Logger;
     }): Promise<CallServer> {
-        const created = new CallServer(options.handler, options.wire, options.logger);
+        const callServer = new CallServer(options.handler, options.wire, options.logger);
         const server = http.createServer({
             requestTimeout: receiveTimeoutMilliseconds,
             keepAliveTimeout: keepAliveTimeoutMilliseconds,
             noDelay: true,
         });
-        server.on("request", (request, response) => void created.receive(request, response));
+        server.on("request", (request, response) => void callServer.receive(request, response));
         await new Promise<void>((resolve, reject) => {
             server.once("error", reject);
             server.listen(options.address.port, options.address.host, resolve);
         });
-        created.store.add(() => {
+        callServer.store.add(() => {
             server.close();
             server.closeAllConnections();
         });
-        return created;
+        return callServer;
     }
 
     /** Stops listening and closes every connection, active ones included. */
@@ -108,7 +108,7 @@
     }
 }
 
-const bodyTooLarge: Finding = { file: "body", place: "", cause: `the body is larger than ${maximumBodyBytes} bytes` };
+const bodyTooLarge: Finding = { file: "body", place: "", cause: `the body is larger than ${maxBodyBytes} bytes` };
 
 /**
  * Reads the whole body; undefined if it exceeds the limit. Rejects if the connection breaks before its end. A body over the
@@ -119,9 +119,9 @@
     let size = 0;
     for await (const chunk of request as AsyncIterable<Buffer>) {
         size += chunk.length;
-        if (size <= maximumBodyBytes) {
+        if (size <= maxBodyBytes) {
             chunks.push(chunk);
         }
     }
-    return size > maximumBodyBytes ? undefined : Buffer.concat(chunks).toString("utf8");
+    return size > maxBodyBytes ? undefined : Buffer.concat(chunks).toString("utf8");
 }
--- a/packages/basilpaddle/src/node/daemon/directory/configurationCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/configurationCalls.ts
@@ -8,7 +8,7 @@
 /** Timeout of a call that is forwarded to the leader: callers wait no longer than a second. */
 const leaderTimeoutMilliseconds = 950;
 /** Only the first findings of a rejected configuration are logged. */
-const maximumLoggedFindings = 3;
+const maxLoggedFindings = 3;
 
 /** Dependencies of `ConfigurationCalls`. */
 export type ConfigurationCallsOptions = {
@@ -36,7 +36,7 @@
         const traffic = wire.traffic(body);
         if (traffic.isLeft()) {
             const findings = traffic.swap().orDefault([]);
-            logger.warn("rejected an invalid configuration", { findings: findings.slice(0, maximumLoggedFindings) });
+            logger.warn("rejected an invalid configuration", { findings: findings.slice(0, maxLoggedFindings) });
             return { kind: "invalid", findings };
         }
         const { version } = traffic.unsafeCoerce();
@@ -46,14 +46,14 @@
             outcome: answer.kind,
             inForce: group.current().version,
         });
-        return answer.kind === "stored" ? { kind: "done" } : unavailable(answer);
+        return answer.kind === "stored" ? { kind: "done" } : toUnavailable(answer);
     }
 
     /** Returns the newest configuration, confirmed by a quorum. */
     async read(): Promise<CallResponse> {
         const answer = await this.forwardToLeader({ kind: "readDocument" });
         if (answer.kind !== "read") {
-            return unavailable(answer);
+            return toUnavailable(answer);
         }
         return answer.version < 0
             ? { kind: "unavailable", reason: "no configuration has been stored yet" }
@@ -99,7 +99,7 @@
     }
 }
 
-function unavailable(answer: DocumentAnswer): CallResponse {
+function toUnavailable(answer: DocumentAnswer): CallResponse {
     return {
         kind: "unavailable",
         reason: answer.kind === "unavailable" ? answer.reason : "unexpected answer from the leader",
--- a/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
@@ -23,10 +23,10 @@
 import { StageOrders } from "./stageOrders.js";
 import { WatchService } from "./watchService.js";
 
-/** Interval of the checks for silent backend servers, departed gateways and outliers. */
-const silenceCheckIntervalMilliseconds = 300;
+/** Interval of the checks for silent backend servers, disconnected gateways and outliers. */
+const checkIntervalMilliseconds = 300;
 /** A group needs three voters to tolerate the loss of one. */
-const minimumVoters = 3;
+const minVoters = 3;
 
 /** Settings and dependencies of a directory. */
 export type DirectoryDaemonOptions = RoutingOptions<DirectorySettings, DirectoryWire> & {
@@ -44,10 +44,10 @@
     private readonly configurationCalls: ConfigurationCalls;
     private readonly connections: BackendConnections;
     private readonly watchService: WatchService;
-    /** Requests that crashed backend servers while running. */
+    /** Requests during which backend servers crashed. */
     readonly quarantinedRequests: QuarantinedRequests;
     private readonly name: string;
-    private outliers = OutlierDetector.create();
+    private outlierDetector = OutlierDetector.create();
     /** Cache of the parsed configuration, by version. */
     private parsedTraffic: { readonly version: number; readonly traffic: Traffic | undefined; } | undefined;
     private documentNotificationScheduled = false;
@@ -81,7 +81,7 @@
         restartCache.setSource(() => this.restartState());
         this.quarantinedRequests = QuarantinedRequests.create({
             rules: settings.holds,
-            publishRecords: () => this.publishCrashes(),
+            publishRecords: () => this.publishCrashRecords(),
             clock,
             logger: options.logger,
         });
@@ -94,7 +94,7 @@
             quarantined: this.quarantinedRequests,
             document: () => group.current(),
             members: () => this.members(),
-            ejected: () => this.placement === undefined ? [] : this.outliers.ejected(),
+            ejected: () => this.placement === undefined ? [] : this.outlierDetector.ejected(),
             previousGateways: restartCache.gateways(),
             clock,
         });
@@ -128,7 +128,7 @@
             seeds: options.seeds ?? (() => seedNames(settings)),
             firstStart: settings.firstStart,
             dataFolder: settings.dataFolder,
-            voters: Math.max(minimumVoters, 2 * settings.tolerated + 1),
+            voters: Math.max(minVoters, 2 * settings.tolerated + 1),
             network,
             clock,
             randomness,
@@ -162,7 +162,7 @@
         metrics.gauge("basilpaddle_group_committed_index", groupStatus?.committedIndex ?? 0);
         metrics.gauge("basilpaddle_configuration_version", this.group.current().version);
         metrics.gauge("basilpaddle_gateways", this.watchService.gatewayCount());
-        metrics.gauge("basilpaddle_places_held", placementStatus?.held ?? 0);
+        metrics.gauge("basilpaddle_places_held", placementStatus?.placements ?? 0);
         metrics.gauge("basilpaddle_places_waiting", placementStatus?.waiting ?? 0);
         this.backendServers.instances.measure(metrics);
         this.quarantinedRequests.measure(metrics);
@@ -195,7 +195,7 @@
         this.group.onChange(() => this.notifyDocumentChange());
         this.group.onLeadership(leading => leading ? this.startLeading() : this.stopLeading());
         this.backendServers.restore(this.restartCache.servers());
-        this.mergeCrashes(this.restartCache.crashes());
+        this.mergeCrashRecords(this.restartCache.crashes());
         if (this.group.replicaStatus()?.leading === true) {
             this.startLeading();
         }
@@ -208,13 +208,13 @@
             clock,
             logger,
             onAnnounced: announced => this.backendServers.applyRemoteAnnouncement(announced),
-            onCrashes: records => this.mergeCrashes(records),
+            onCrashes: records => this.mergeCrashRecords(records),
             knownCrashes: () => this.quarantinedRequests.changedAfter(0),
         });
         this.store.add(() => watcher.close());
         const calls = await CallServer.create({ address: settings.calls, handler: this, wire, logger });
         this.store.add(() => calls.close());
-        this.scheduleSilenceChecks();
+        this.schedulePeriodicChecks();
         logger.info("serving", { calls: settings.calls, peers: this.name });
     }
 
@@ -250,13 +250,13 @@
     }
 
     /** Merges crash records from gateways or other directories, and publishes them if any was new. */
-    private mergeCrashes(records: readonly CrashRecord[]): void {
+    private mergeCrashRecords(records: readonly CrashRecord[]): void {
         if (this.quarantinedRequests.merge(records).length > 0) {
-            this.publishCrashes();
+            this.publishCrashRecords();
         }
     }
 
-    private publishCrashes(): void {
+    private publishCrashRecords(): void {
         this.watchService.notifyWatchers();
         this.restartCache.markChanged();
     }
@@ -269,23 +269,23 @@
         return committed && { identity: committed.identity, committed: committed.mark, servers, gateways, crashes };
     }
 
-    private scheduleSilenceChecks(): void {
+    private schedulePeriodicChecks(): void {
         const { clock } = this.options;
-        let cancel = clock.after(silenceCheckIntervalMilliseconds, () => check());
-        const check = (): void => {
+        let cancel = clock.after(checkIntervalMilliseconds, () => runChecks());
+        const runChecks = (): void => {
             this.backendServers.markSilentServers();
             this.placement?.retainGateways(this.watchService.gatewayNames());
-            this.reviewOutliers();
-            cancel = clock.after(silenceCheckIntervalMilliseconds, check);
+            this.updateEjections();
+            cancel = clock.after(checkIntervalMilliseconds, runChecks);
         };
         this.store.add(() => cancel());
     }
 
-    /** Recomputes which servers are ejected as outliers, and notifies gateways immediately if the set changed. */
-    private reviewOutliers(): void {
-        if (this.placement !== undefined && this.outliers.updateEjections(this.options.clock.monotonic())) {
+    /** Recomputes which servers are ejected as outliers, and notifies gateways immediately if these changed. */
+    private updateEjections(): void {
+        if (this.placement !== undefined && this.outlierDetector.updateEjections(this.options.clock.monotonic())) {
             this.options.logger.info("the set of ejected backend servers of plain services changed", {
-                ejected: this.outliers.ejected(),
+                ejected: this.outlierDetector.ejected(),
             });
             this.watchService.notifyWatchers();
         }
@@ -318,7 +318,7 @@
             case "readDocument":
                 return this.configurationCalls.execute(message);
             case "crashes":
-                this.mergeCrashes(message.records);
+                this.mergeCrashRecords(message.records);
                 return { kind: "noted" };
             default: {
                 const leader = this.group.replicaStatus()?.leader;
@@ -331,7 +331,7 @@
         const { clock, logger, wire, settings } = this.options;
         const term = this.group.replicaStatus()?.term ?? 0;
         this.stopLeading();
-        this.outliers = OutlierDetector.create();
+        this.outlierDetector = OutlierDetector.create();
         const sharedOptions = {
             instances: this.backendServers.instances,
             traffic: () => this.currentTraffic(),
@@ -343,7 +343,7 @@
                 ...sharedOptions,
                 repeats: settings.repeats,
                 borrowed: service => this.watchService.borrowed(service),
-                onServerCalls: calls => this.outliers.addCalls(calls, clock.monotonic()),
+                onServerCalls: calls => this.outlierDetector.addCalls(calls, clock.monotonic()),
                 onIncarnationEnded: instance => this.backendServers.markEnded(instance),
             },
             term,
@@ -351,8 +351,8 @@
         this.stageOrders = StageOrders.create({
             ...sharedOptions,
             typicalRequest: service => this.placement?.typicalRequest(service),
-            waiting: service => this.placement?.waiting(service) ?? 0,
-            onOrdered: (engine, stage, within) => this.placement?.noteStageOrder(engine, stage, within),
+            queuedRequests: service => this.placement?.queuedRequests(service) ?? 0,
+            onOrdered: (engine, stage, within) => this.placement?.recordStageOrder(engine, stage, within),
             holder: settings.name,
             wire,
             connections: this.connections,
--- a/packages/basilpaddle/src/node/daemon/directory/documentGroup.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/documentGroup.ts
@@ -64,9 +64,9 @@
     private readonly peers: AddressedPeers;
     private readonly changeListeners = new Set<(document: StoredDocument) => void>();
     private readonly leadershipListeners = new Set<(leading: boolean) => void>();
-    private state = DocumentState.create();
+    private documentState = DocumentState.create();
     private replica: Replica | undefined;
-    private newest: StoredDocument = this.state.current();
+    private newestDocument: StoredDocument = this.documentState.current();
     private closed = false;
 
     private constructor(private readonly options: DocumentGroupOptions) {
@@ -97,7 +97,7 @@
 
     /** The newest document that this member has seen committed. */
     current(): StoredDocument {
-        return this.newest;
+        return this.newestDocument;
     }
 
     /** Delivers a consensus message from another member to the replica. */
@@ -121,7 +121,7 @@
         if (replica === undefined) {
             return unavailable("the replica is closed");
         }
-        if (version <= this.state.current().version) {
+        if (version <= this.documentState.current().version) {
             return { kind: "stored" };
         }
         const at = Math.max(0, Math.round(this.options.clock.wall()));
@@ -134,7 +134,7 @@
 
     /** Linearizable read of the newest document: a quorum confirms the leadership in a round trip that starts after the call. */
     async readDocument(): Promise<DocumentAnswer> {
-        const { replica, state } = this;
+        const { replica, documentState } = this;
         const status = replica?.currentStatus();
         if (replica === undefined || status === undefined || !status.leading) {
             return unavailable("this member is not the leader");
@@ -146,7 +146,7 @@
         ) {
             return unavailable("no quorum confirmed leadership in time");
         }
-        return { kind: "read", ...state.current() };
+        return { kind: "read", ...documentState.current() };
     }
 
     /** Transfers leadership if this member leads, and stops. */
@@ -159,9 +159,9 @@
 
     private async waitUntilCommitted(replica: Replica, index: number): Promise<boolean> {
         const { clock } = this.options;
-        const until = clock.monotonic() + readTimeoutMilliseconds;
+        const deadline = clock.monotonic() + readTimeoutMilliseconds;
         while (replica.currentStatus().committedIndex < index) {
-            if (clock.monotonic() > until || !replica.currentStatus().leading) {
+            if (clock.monotonic() > deadline || !replica.currentStatus().leading) {
                 return false;
             }
             await new Promise<void>(resolve => clock.after(commitPollMilliseconds, resolve));
@@ -215,7 +215,7 @@
             committed,
             onFailure: error => this.handleFailure(error),
         });
-        this.state = state;
+        this.documentState = state;
         state.onChange(document => this.publishIfNewer(document));
         this.publishIfNewer(state.current());
         replica.onLeadership(leading => this.leadershipListeners.forEach(listener => listener(leading)));
@@ -236,8 +236,8 @@
 
     /** Never notifies listeners of an older document: a reopened replica may start from an older state. */
     private publishIfNewer(document: StoredDocument): void {
-        if (document.version > this.newest.version) {
-            this.newest = document;
+        if (document.version > this.newestDocument.version) {
+            this.newestDocument = document;
             this.changeListeners.forEach(listener => listener(document));
         }
     }
--- a/packages/basilpaddle/src/node/daemon/directory/placementService.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/placementService.ts
@@ -17,15 +17,15 @@
 import type { Clock, Logger } from "../../utils/index.js";
 
 /**
- * How long a placement request waits for its decision before it is answered with `waiting`, upon which the gateway asks
- * again. This answer lets gateways distinguish a leader with a long queue from one that is gone; until they know which,
- * each of their requests waits for it.
+ * How long a placement request waits for its decision before it is answered with `waiting`; the gateway then sends it again.
+ * This answer lets gateways distinguish a leader with a long queue from an unresponsive one. Until it arrives or times out,
+ * all requests of a gateway wait.
  */
 const replyTimeoutMilliseconds = 100;
 /** Interval at which queued placement requests are reviewed. */
 const tickIntervalMilliseconds = 25;
-/** Minimum age of a grant before a gateway's list without it revokes it: the list may be older than the grant. */
-const holdingsGraceMilliseconds = 1_500;
+/** Minimum age of a placement to be released because its gateway doesn't report it: the report may be older than it. */
+const placementsGraceMilliseconds = 1_500;
 type DecisionCallback = (decision: PlacementDecision) => void;
 
 /** Inputs and dependencies of `PlacementService`. */
@@ -48,7 +48,7 @@
 export class PlacementService {
     private readonly pools = new Map<string, PlacementQueue>();
     private readonly serviceOfAttempt = new Map<string, string>();
-    private readonly waiters = new Map<string, DecisionCallback>();
+    private readonly decisionCallbacks = new Map<string, DecisionCallback>();
     private readonly sharedRetryBudgets = new Map<string, SharedRetryBudget>();
     private readonly startedAt: number;
     private cancelTick: (() => void) | undefined;
@@ -83,14 +83,14 @@
             case "place":
                 return this.requestPlacement(message.demand, now);
             case "withdraw":
-                this.deliver(this.poolOfAttempt(message.attempt)?.withdraw(message.attempt, now));
+                this.deliverDecisions(this.poolOfAttempt(message.attempt)?.withdraw(message.attempt, now));
                 this.serviceOfAttempt.delete(message.attempt);
                 return undefined;
             case "prefilled":
                 this.poolOfAttempt(message.attempt)?.prefillCompleted(message.attempt, now);
                 return undefined;
             case "release":
-                this.deliver(this.poolOfAttempt(message.attempt)?.release(message.attempt, message.end, now));
+                this.deliverDecisions(this.poolOfAttempt(message.attempt)?.release(message.attempt, message.end, now));
                 this.serviceOfAttempt.delete(message.attempt);
                 return undefined;
             case "holdings":
@@ -109,23 +109,23 @@
         }
     }
 
-    /** Releases the grants and requests of gateways that aren't in the list. */
+    /** Releases the placements and removes the queued requests of gateways that aren't in the list. */
     retainGateways(names: readonly string[]): void {
         const now = this.options.clock.monotonic();
         for (const pool of this.pools.values()) {
             pool.gateways().filter(name => !names.includes(name)).forEach(name => {
-                this.deliver(pool.dropGateway(name, now));
+                this.deliverDecisions(pool.dropGateway(name, now));
             });
         }
     }
 
     /** Records that an engine was ordered to change its stage, and within how many milliseconds it may do so. */
-    noteStageOrder({ id, service }: ServerAnnouncement, stage: ServerAnnouncement["stage"], within: number): void {
+    recordStageOrder({ id, service }: ServerAnnouncement, stage: ServerAnnouncement["stage"], within: number): void {
         this.pools.get(service)?.recordStageOrder(id, stage, this.options.clock.monotonic() + within);
     }
 
     /** Number of a service's queued placement requests. */
-    waiting(service: string): number {
+    queuedRequests(service: string): number {
         return this.pools.get(service)?.counts().waiting ?? 0;
     }
 
@@ -134,20 +134,20 @@
         return this.pools.get(service)?.typicalRequest();
     }
 
-    /** Numbers of queued requests and of held grants, over all pools. */
-    queueStatus(): { readonly waiting: number; readonly held: number; } {
+    /** Numbers of queued requests and of placements, over all pools. */
+    queueStatus(): { readonly waiting: number; readonly placements: number; } {
         const statuses = [...this.pools.values()].map(pool => pool.counts());
         return {
             waiting: statuses.reduce((sum, status) => sum + status.waiting, 0),
-            held: statuses.reduce((sum, status) => sum + status.held, 0),
+            placements: statuses.reduce((sum, status) => sum + status.held, 0),
         };
     }
 
-    /** Stops the service; pending requests get no decision any more. */
+    /** Stops the service; pending requests receive no decision. */
     close(): void {
         this.closed = true;
         this.cancelTick?.();
-        this.waiters.clear();
+        this.decisionCallbacks.clear();
     }
 
     /** Applies changed engines and rules to the pools. */
@@ -168,27 +168,27 @@
     }
 
     private async requestPlacement(
-        demand: Extract<PlacementMessage, { kind: "place"; }>["demand"],
+        request: Extract<PlacementMessage, { kind: "place"; }>["demand"],
         now: number,
     ): Promise<PlacementReply> {
-        const pool = this.pools.get(demand.service);
+        const pool = this.pools.get(request.service);
         if (pool === undefined) {
             // A new leader may not have parsed its configuration yet.
             await new Promise<void>(resolve => this.options.clock.after(replyTimeoutMilliseconds, resolve));
             return { kind: "waiting", term: this.term };
         }
-        this.serviceOfAttempt.set(demand.attempt, demand.service);
+        this.serviceOfAttempt.set(request.attempt, request.service);
         const answer = new Promise<PlacementReply>(resolve => {
             const cancel = this.options.clock.after(replyTimeoutMilliseconds, () => {
-                this.waiters.delete(demand.attempt);
+                this.decisionCallbacks.delete(request.attempt);
                 resolve({ kind: "waiting", term: this.term });
             });
-            this.waiters.set(demand.attempt, decision => {
+            this.decisionCallbacks.set(request.attempt, decision => {
                 cancel();
                 resolve(this.decisionReply(decision));
             });
         });
-        this.deliver(pool.ask(demand, now));
+        this.deliverDecisions(pool.ask(request, now));
         return answer;
     }
 
@@ -206,18 +206,18 @@
 
     private reconcile(message: Extract<PlacementMessage, { kind: "holdings"; }>, now: number): void {
         for (const [service, pool] of this.pools) {
-            const held = message.held.filter(({ demand }) => demand.service === service);
-            held.forEach(({ demand }) => this.serviceOfAttempt.set(demand.attempt, service));
-            this.deliver(pool.reconcile(message.gateway, held, holdingsGraceMilliseconds, now));
+            const reported = message.held.filter(({ demand }) => demand.service === service);
+            reported.forEach(({ demand }) => this.serviceOfAttempt.set(demand.attempt, service));
+            this.deliverDecisions(pool.reconcile(message.gateway, reported, placementsGraceMilliseconds, now));
         }
     }
 
-    private deliver(decisions: readonly PlacementDecision[] = []): void {
+    private deliverDecisions(decisions: readonly PlacementDecision[] = []): void {
         for (const decision of decisions) {
-            // Without a pending call the decision is returned when the gateway asks again: its grant stays held until then.
-            const waiter = this.waiters.get(decision.attempt);
-            this.waiters.delete(decision.attempt);
-            waiter?.(decision);
+            // Without a pending call the gateway receives the decision when it asks again; the placement is kept until then.
+            const callback = this.decisionCallbacks.get(decision.attempt);
+            this.decisionCallbacks.delete(decision.attempt);
+            callback?.(decision);
             if (decision.kind === "refused") {
                 this.serviceOfAttempt.delete(decision.attempt);
             }
@@ -237,7 +237,7 @@
             if (!this.closed) {
                 const now = this.options.clock.monotonic();
                 this.refreshPools();
-                this.pools.forEach(pool => this.deliver(pool.review(now)));
+                this.pools.forEach(pool => this.deliverDecisions(pool.review(now)));
                 this.scheduleTick();
             }
         });
--- a/packages/basilpaddle/src/node/daemon/directory/restartCache.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/restartCache.ts
@@ -15,10 +15,10 @@
 /** Delay from a change to its write: changes come in bursts, and each write costs two disk syncs. */
 const writeDelayMilliseconds = 150;
 /**
- * Age, many heartbeat intervals, from which stored backend servers are discarded as outdated. It is measured by the wall
- * clock, which may jump by some seconds; a server that is restored by mistake is found silent after two heartbeats.
+ * Age from which stored backend servers are discarded as outdated: many heartbeat intervals, since it is measured by the wall
+ * clock, which may jump by some seconds. A server that is restored by mistake is marked silent after two missed heartbeats.
  */
-const maximumServerAgeMilliseconds = 60_000;
+const maxServerAgeMilliseconds = 60_000;
 
 const descriptionSchema = z.object({
     /** Identity of the group member to which the committed mark belongs. */
@@ -26,7 +26,7 @@
     committed: z.object({ index: z.int().min(0), term: z.int().min(0) }),
     /** Number of connected gateways. */
     gateways: z.int().min(0),
-    /** Requests that crashed backend servers while running. */
+    /** Requests during which backend servers crashed. */
     crashes: z.array(crashRecordSchema).default([]),
     /** Wall clock time in Unix milliseconds. */
     writtenAt: z.number(),
@@ -59,7 +59,7 @@
 export class RestartCache {
     private source: (() => RestartState | undefined) | undefined;
     private writing = false;
-    private pending = false;
+    private writeScheduled = false;
     private closed = false;
     private disk: Disk | undefined;
 
@@ -86,7 +86,7 @@
         return this.restored?.servers ?? [];
     }
 
-    /** Requests that crashed backend servers while running. If these were lost, each could crash as many servers again. */
+    /** Requests during which backend servers crashed. Without these records, each could crash as many servers again. */
     crashes(): readonly CrashRecord[] {
         return this.restored?.crashes ?? [];
     }
@@ -103,8 +103,8 @@
 
     /** Schedules a write of the current state. */
     markChanged(): void {
-        if (!this.pending && !this.closed) {
-            this.pending = true;
+        if (!this.writeScheduled && !this.closed) {
+            this.writeScheduled = true;
             this.options.clock.after(writeDelayMilliseconds, () => void this.write());
         }
     }
@@ -120,14 +120,14 @@
             this.options.clock.after(writeDelayMilliseconds, () => void this.write());
             return;
         }
-        this.pending = false;
+        this.writeScheduled = false;
         const state = this.closed ? undefined : this.source?.();
         if (state === undefined) {
             return;
         }
         this.writing = true;
         try {
-            await this.replace(state);
+            await this.writeState(state);
         }
         catch (error) {
             this.options.logger.warn("failed to write the restart cache; the next change triggers another write", {
@@ -139,7 +139,7 @@
         }
     }
 
-    private async replace({ identity, committed, servers, gateways, crashes }: RestartState): Promise<void> {
+    private async writeState({ identity, committed, servers, gateways, crashes }: RestartState): Promise<void> {
         const { openDisk, clock } = this.options;
         this.disk ??= await openDisk();
         await writeSnapshot(this.disk, restartCacheFile, {
@@ -159,7 +159,7 @@
             decode(stored.description),
         );
         const elapsedMilliseconds = clock.wall() - writtenAt;
-        const isRecent = Math.abs(elapsedMilliseconds) < maximumServerAgeMilliseconds;
+        const isRecent = Math.abs(elapsedMilliseconds) < maxServerAgeMilliseconds;
         const servers = isRecent ? serversSchema.parse(decode(stored.data)) : [];
         return {
             identity,
--- a/packages/basilpaddle/src/node/daemon/directory/stageOrders.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/stageOrders.ts
@@ -34,9 +34,9 @@
     /** Resources that a typical request of a service uses; undefined if none have been observed. */
     readonly typicalRequest: (service: string) => TypicalRequest | undefined;
     /** Number of a service's queued placement requests. */
-    readonly waiting: (service: string) => number;
+    readonly queuedRequests: (service: string) => number;
     /** Called when an engine may have accepted an order: from then on it accepts no work of its old stage. */
-    readonly onOrdered: (engine: ServerAnnouncement, stage: StageChange["stage"], within: number) => void;
+    readonly onOrdered: (engine: ServerAnnouncement, stage: StageChange["stage"], withinMilliseconds: number) => void;
     readonly wire: DirectoryWire;
     readonly connections: BackendConnections;
     readonly clock: Clock;
@@ -53,7 +53,7 @@
  * orders alternately would undo each other's.
  */
 export class StageOrders {
-    private readonly pending = new Map<string, number>();
+    private readonly orderableAt = new Map<string, number>();
     private readonly engineCounts = new Map<string, { readonly count: number; readonly since: number; }>();
     /** Per service, since when the plan has called for decode engines to become prefill engines. */
     private readonly prefillWantedSince = new Map<string, number>();
@@ -103,7 +103,7 @@
                 continue;
             }
             const changes = planStages(engines, service.engine, typicalRequest(service.name)).filter(change =>
-                now >= (this.pending.get(change.engine.id) ?? 0)
+                now >= (this.orderableAt.get(change.engine.id) ?? 0)
             );
             if (!changes.some(({ stage }) => stage === "prefill")) {
                 this.prefillWantedSince.delete(service.name);
@@ -128,7 +128,7 @@
             return true;
         }
         const since = this.prefillWantedSince.get(service);
-        if (since === undefined || this.options.waiting(service) > 0) {
+        if (since === undefined || this.options.queuedRequests(service) > 0) {
             this.prefillWantedSince.set(service, now);
             return false;
         }
@@ -137,18 +137,18 @@
 
     /** Whether no engine has joined or left for a while: a plan for a half-started pool would convert too many engines. */
     private hasSettled(service: string, count: number, now: number): boolean {
-        const known = this.engineCounts.get(service);
-        if (known?.count !== count) {
+        const previous = this.engineCounts.get(service);
+        if (previous?.count !== count) {
             this.engineCounts.set(service, { count, since: now });
             return false;
         }
-        return now - known.since >= settleTimeMilliseconds;
+        return now - previous.since >= settleTimeMilliseconds;
     }
 
     private async order(change: StageChange): Promise<void> {
         const { wire, holder, logger, clock, onOrdered } = this.options;
         const { engine, stage } = change;
-        this.pending.set(engine.id, clock.monotonic() + unknownOutcomeMilliseconds);
+        this.orderableAt.set(engine.id, clock.monotonic() + unknownOutcomeMilliseconds);
         const call = wire.order({ engine, stage, holder, fence: this.fence });
         onOrdered(engine, stage, unknownOutcomeMilliseconds);
         const outcome = await this.send(engine, call);
--- a/packages/basilpaddle/src/node/daemon/directory/watchService.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/watchService.ts
@@ -7,15 +7,15 @@
 /** How long a watch is held open while nothing changes. */
 const longPollMilliseconds = 1_000;
 /**
- * Minimum interval between two updates to the same gateway: per watching gateway, and its upper bound. After a restart of
- * all directories the first heartbeats of a thousand servers are changes, and answering every gateway for each of them costs
- * servers times gateways. A few gateways are updated almost immediately; a delay of a tenth of a second costs callers little.
- * An isolated change is sent immediately.
+ * Minimum interval between two updates to the same gateway: proportional to the number of gateways, up to a maximum. After a
+ * restart of all directories the first heartbeats of a thousand servers are changes, and if each were sent to every gateway
+ * at once, the cost would be servers times gateways. A delay of a tenth of a second costs callers little; with few gateways
+ * it is much shorter, and an isolated change is sent immediately.
  */
 const updateIntervalPerGatewayMilliseconds = 2.5;
-const maximumUpdateIntervalMilliseconds = 100;
-/** Bounds the table of last updates; more than the gateways and directories of any deployment. */
-const maximumWatchers = 4_096;
+const maxUpdateIntervalMilliseconds = 100;
+/** Maximum number of watchers whose last update is remembered: more than the gateways and directories of any deployment. */
+const maxWatchers = 4_096;
 /** A gateway counts as connected for this long after its last watch. */
 const gatewayTimeoutMilliseconds = 3_000;
 
@@ -44,14 +44,14 @@
 
 /** Answers watches by long polling: immediately if the watcher is out of date, otherwise on the next change. */
 export class WatchService {
-    private readonly waiting = new Set<() => void>();
+    private readonly pendingWatches = new Set<() => void>();
     private readonly gateways = new Map<
         string,
         { readonly at: number; readonly borrowed: WatchRequest["borrowed"]; }
     >();
     private packedDocument: PackedDocument | undefined;
     /** When each watcher last received an update. */
-    private readonly lastUpdateAt = new LRUCache<string, number>({ max: maximumWatchers });
+    private readonly lastUpdateAt = new LRUCache<string, number>({ max: maxWatchers });
     private readonly startedAt: number;
 
     private constructor(private readonly options: WatchServiceOptions) {
@@ -87,7 +87,7 @@
 
     /** Answers all pending watches: now, or after a short delay for watchers that received an update a moment ago. */
     notifyWatchers(): void {
-        [...this.waiting].forEach(wake => wake());
+        [...this.pendingWatches].forEach(wake => wake());
     }
 
     /** Number of connected gateways. */
@@ -97,9 +97,9 @@
 
     /** Names of the connected gateways. */
     gatewayNames(): readonly string[] {
-        const since = this.options.clock.monotonic() - gatewayTimeoutMilliseconds;
+        const oldestWatch = this.options.clock.monotonic() - gatewayTimeoutMilliseconds;
         this.gateways.forEach(({ at }, name) => {
-            if (at < since) {
+            if (at < oldestWatch) {
                 this.gateways.delete(name);
             }
         });
@@ -113,8 +113,8 @@
         if (!this.haveGatewaysSettled() && (previousGateways === 0 || names.length < previousGateways)) {
             return undefined;
         }
-        const loans = [...this.gateways.values()].flatMap(({ borrowed = [] }) => borrowed);
-        return loans.filter(loan => loan.service === service).reduce((sum, { count }) => sum + count, 0);
+        const borrowedRetries = [...this.gateways.values()].flatMap(({ borrowed = [] }) => borrowed);
+        return borrowedRetries.filter(loan => loan.service === service).reduce((sum, { count }) => sum + count, 0);
     }
 
     private haveGatewaysSettled(): boolean {
@@ -122,12 +122,12 @@
     }
 
     /** The number of gateways that share the common budgets, and whether that number is reliable. */
-    private gatewayShares(): Pick<WatchUpdate, "gateways" | "gatewaysSettled"> {
+    private gatewayCountStatus(): Pick<WatchUpdate, "gateways" | "gatewaysSettled"> {
         const { previousGateways } = this.options;
-        const areSettled = this.haveGatewaysSettled();
+        const haveSettled = this.haveGatewaysSettled();
         return {
-            gateways: Math.max(this.gatewayCount(), areSettled ? 0 : previousGateways),
-            gatewaysSettled: areSettled || previousGateways > 0,
+            gateways: Math.max(this.gatewayCount(), haveSettled ? 0 : previousGateways),
+            gatewaysSettled: haveSettled || previousGateways > 0,
         };
     }
 
@@ -144,12 +144,12 @@
         return new Promise(resolve => {
             const settle = (changed: boolean): void => {
                 cancel();
-                this.waiting.delete(wake);
+                this.pendingWatches.delete(wake);
                 resolve(changed);
             };
             const wake = (): void => settle(true);
             const cancel = this.options.clock.after(longPollMilliseconds, () => settle(false));
-            this.waiting.add(wake);
+            this.pendingWatches.add(wake);
         });
     }
 
@@ -161,12 +161,12 @@
     private async throttle(watcher: string): Promise<void> {
         const { clock } = this.options;
         const interval = Math.min(
-            maximumUpdateIntervalMilliseconds,
+            maxUpdateIntervalMilliseconds,
             updateIntervalPerGatewayMilliseconds * this.gateways.size,
         );
-        const wait = (this.lastUpdateAt.get(watcher) ?? -Infinity) + interval - clock.monotonic();
-        if (wait > 0) {
-            await new Promise<void>(resolve => clock.after(wait, resolve));
+        const delay = (this.lastUpdateAt.get(watcher) ?? -Infinity) + interval - clock.monotonic();
+        if (delay > 0) {
+            await new Promise<void>(resolve => clock.after(delay, resolve));
         }
         this.lastUpdateAt.set(watcher, clock.monotonic());
     }
@@ -174,22 +174,22 @@
     private answer(watch: WatchRequest): WatchUpdate {
         const { incarnation, announcements, quarantined, document, members } = this.options;
         const current = document();
-        const newer = watch.wantsDocument && current.version > watch.version;
-        const isKnown = watch.incarnation === incarnation;
-        const since = isKnown ? watch.cursor : 0;
-        const crashes = quarantined.changedAfter(isKnown ? watch.crashCursor ?? 0 : 0);
+        const sendsDocument = watch.wantsDocument && current.version > watch.version;
+        const isSameIncarnation = watch.incarnation === incarnation;
+        const knownChange = isSameIncarnation ? watch.cursor : 0;
+        const crashes = quarantined.changedAfter(isSameIncarnation ? watch.crashCursor ?? 0 : 0);
         const group = members();
         const ejected = this.options.ejected();
         return {
             incarnation,
             cursor: announcements.latestChange(),
             version: current.version,
-            ...newer ? { document: this.packed() } : {},
-            announced: [...announcements.changedAfter(since)],
+            ...sendsDocument ? { document: this.packed() } : {},
+            announced: [...announcements.changedAfter(knownChange)],
             members: [...group.members],
             failureDomain: this.options.failureDomain,
             ...group.leader === undefined ? {} : { leader: group.leader },
-            ...this.gatewayShares(),
+            ...this.gatewayCountStatus(),
             ...ejected.length === 0 ? {} : { ejected: [...ejected] },
             crashCursor: quarantined.latestChange(),
             ...crashes.length === 0 ? {} : { crashes: [...crashes] },
