--- a/packages/basilpaddle/src/node/daemon/backends/__tests__/backendConnections.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/backends/__tests__/backendConnections.spec.ts
@@ -4,13 +4,13 @@
 import { createSilentLogger } from "../../../utils/index.js";
 import { BackendConnections, isAnswer, readWholeBody } from "../index.js";
 
-/** Starts a server that reads a request and then calls `act` with the connection. */
+/** Starts a server that reads a request and then calls `onRequest` with the connection. */
 async function startServer(
-    act: (socket: net.Socket) => void,
+    onRequest: (socket: net.Socket) => void,
 ): Promise<{ server: net.Server; announced: ServerAnnouncement; }> {
     const server = net.createServer(socket => {
         socket.on("error", () => undefined);
-        socket.once("data", () => act(socket));
+        socket.once("data", () => onRequest(socket));
     });
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const { port } = server.address() as net.AddressInfo;
@@ -26,8 +26,8 @@
     return { server, announced };
 }
 
-async function receivedBody(act: (socket: net.Socket) => void): Promise<string | undefined> {
-    const { server, announced } = await startServer(act);
+async function receivedBody(onRequest: (socket: net.Socket) => void): Promise<string | undefined> {
+    const { server, announced } = await startServer(onRequest);
     const connections = BackendConnections.create(createSilentLogger());
     const signal = AbortSignal.timeout(5_000);
     const call = { server: announced, method: "GET", path: "/", headers: [], body: undefined, signal };
--- a/packages/basilpaddle/src/node/daemon/backends/backendConnections.ts
+++ b/packages/basilpaddle/src/node/daemon/backends/backendConnections.ts
@@ -5,13 +5,13 @@
 import { afterPoll, type Logger } from "../../utils/index.js";
 
 /**
- * Timeout for establishing a connection; a host that is gone sends no response at all. It is short enough that a prompt's KV
+ * Timeout for establishing a connection; a host that has failed sends no response at all. It is short enough that a prompt's KV
  * cache, which is kept for half a second, can still be offered to another engine; a lost packet costs a second either way.
  */
 const connectTimeoutMilliseconds = 250;
 /** How long an idle connection is kept if the backend server announces no keep-alive time of its own. */
 const keepAliveTimeoutMilliseconds = 8_000;
-/** An idle connection isn't reused this close to its announced end: a request could arrive just as the server closes it. */
+/** An idle connection isn't reused this shortly before its announced end: the server could close it as a request arrives. */
 const keepAliveMarginMilliseconds = 1_000;
 /** A backend server's connections are closed after this time without a call. */
 const idleTimeoutMilliseconds = 60_000;
@@ -32,8 +32,8 @@
 
 /**
  * Opens a connection. undici's own connector may exceed its timeout by up to a second, and undici treats a connection reset
- * as the regular end of an answer whose connection would be closed anyway: a backend server that crashes in the middle of
- * such an answer would pass half of it off as complete. With another error code undici handles a reset as an error.
+ * as the regular end of an answer whose connection would be closed anyway: half of such an answer would be taken for a
+ * complete one if the backend server crashes in the middle. With another error code undici handles a reset as an error.
  */
 const connector: buildConnector.connector = (options, callback) => {
     const socket = net.connect({ host: options.hostname, port: Number(options.port), noDelay: true });
@@ -139,10 +139,10 @@
 
     /** Closes the connections to an incarnation that has ended or is idle; calls in progress can finish. */
     closeConnections(id: string): void {
-        const known = this.pools.get(id);
-        if (known !== undefined) {
+        const entry = this.pools.get(id);
+        if (entry !== undefined) {
             this.pools.delete(id);
-            void known.pool.close().catch((error: unknown) => {
+            void entry.pool.close().catch((error: unknown) => {
                 this.logger.debug("failed to close connections of a backend server", { id, error });
             });
         }
@@ -157,10 +157,10 @@
     }
 
     private pool(server: ServerAnnouncement, connections: number): Pool {
-        const known = this.pools.get(server.id);
-        if (known !== undefined) {
-            known.usedAt = performance.now();
-            return known.pool;
+        const entry = this.pools.get(server.id);
+        if (entry !== undefined) {
+            entry.usedAt = performance.now();
+            return entry.pool;
         }
         const pool = new Pool(`http://${server.address}`, {
             connections,
@@ -174,9 +174,9 @@
     }
 
     private closeIdle(): void {
-        const since = performance.now() - idleTimeoutMilliseconds;
+        const idleSince = performance.now() - idleTimeoutMilliseconds;
         this.pools.forEach(({ usedAt }, id) => {
-            if (usedAt < since) {
+            if (usedAt < idleSince) {
                 this.closeConnections(id);
             }
         });
