--- a/packages/basilpaddle/src/node/coordination/gateway/announcements.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/announcements.ts
@@ -120,7 +120,7 @@
 
     /** Marks backend servers without a recent heartbeat as silent; returns whether any was marked. */
     markSilent(now: number): boolean {
-        let marked = false;
+        let hasMarked = false;
         for (const [id, known] of this.entries) {
             const { state } = known.announced;
             if (state === "left" && now - known.receivedAt > leftRetentionMilliseconds) {
@@ -130,10 +130,10 @@
             if (silent && (state === "ready" || state === "draining")) {
                 known.announced = { ...known.announced, state: "silent" };
                 known.changeNumber = this.nextChangeNumber();
-                marked = true;
+                hasMarked = true;
             }
         }
-        return marked;
+        return hasMarked;
     }
 
     /**
--- a/packages/basilpaddle/src/node/coordination/gateway/callTally.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/callTally.ts
@@ -20,7 +20,7 @@
  * hundreds of gateways, each makes one call every second or two, too few to detect a failing server in time by itself.
  */
 export class CallTally {
-    private readonly open = new Set<OpenCall>();
+    private readonly openCalls = new Set<OpenCall>();
     private readonly meanResponseTimes = new Map<string, number>();
     private counts = new Map<string, { service: string; answered: number; failed: number; }>();
 
@@ -31,13 +31,13 @@
     /** Records the start of a call. */
     recordStart(server: ServerAnnouncement, now: number): OpenCall {
         const call = { server, startedAt: now, isCounted: false };
-        this.open.add(call);
+        this.openCalls.add(call);
         return call;
     }
 
     /** Records the outcome of a call, unless it was already counted as failed. */
     recordOutcome(call: OpenCall, outcome: CallOutcome, now: number): void {
-        this.open.delete(call);
+        this.openCalls.delete(call);
         const { service } = call.server;
         if (outcome === "answered") {
             const mean = this.meanResponseTimes.get(service) ?? initialMeanMilliseconds;
@@ -50,12 +50,12 @@
 
     /** Discards an open call whose caller disconnected: it says nothing about the server. */
     discardCall(call: OpenCall): void {
-        this.open.delete(call);
+        this.openCalls.delete(call);
     }
 
     /** Returns the counts since the previous call and resets them. */
     takeCounts(now: number): ServerCalls[] {
-        for (const call of this.open) {
+        for (const call of this.openCalls) {
             const mean = this.meanResponseTimes.get(call.server.service) ?? initialMeanMilliseconds;
             if (!call.isCounted && now - call.startedAt > Math.max(minHangMilliseconds, hangTimeoutFactor * mean)) {
                 call.isCounted = true;
--- a/packages/basilpaddle/src/node/coordination/gateway/engineLoad.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/engineLoad.ts
@@ -206,12 +206,12 @@
 
     /** Updates the delay factor by the expected and the actual duration of a prefill. */
     private updateDelayFactor(expected: number, actual: number, now: number): void {
-        const seen = Math.min(
+        const observedFactor = Math.min(
             maxDelayFactor,
             Math.max(minDelayFactor, actual / (expectedDelayFactor * Math.max(1, expected))),
         );
         const current = this.currentDelayFactor(now);
-        this.delayFactor = current + delayFactorWeight * (seen - current);
+        this.delayFactor = current + delayFactorWeight * (observedFactor - current);
         this.delayMeasuredAt = now;
     }
 
--- a/packages/basilpaddle/src/node/coordination/gateway/enginePool.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/enginePool.ts
@@ -140,8 +140,8 @@
                 + this.randomPenalty(request, engine);
             return { engine, time: 0, score };
         });
-        const separate = bestSeparatePair(bestPerDomain(prefills), bestPerDomain(scoredDecodes));
-        const combined = lowestScore(scoredDecodes.map(({ engine, score }) => {
+        const separatePair = bestSeparatePair(bestPerDomain(prefills), bestPerDomain(scoredDecodes));
+        const combinedEngine = lowestScore(scoredDecodes.map(({ engine, score }) => {
             const time = engine.decodePrefillDelay(request.promptTokens, now);
             return {
                 engine,
@@ -149,9 +149,9 @@
                 score: score + time + (prefills.length === 0 ? 0 : decodePrefillPenaltyMilliseconds),
             };
         }))!;
-        return separate === undefined || combined.score < separate.score
-            ? { prefill: undefined, decode: combined.engine.id, prefillTime: combined.time }
-            : separate.pair;
+        return separatePair === undefined || combinedEngine.score < separatePair.score
+            ? { prefill: undefined, decode: combinedEngine.engine.id, prefillTime: combinedEngine.time }
+            : separatePair.pair;
     }
 
     /** The decode engine with the fewest allocated tokens that isn't reserved for another request; undefined if there is none. */
@@ -194,8 +194,8 @@
     /** Mean milliseconds of work of a prefill over the pool's prefill engines. */
     prefillWork(promptTokens: number): number {
         const prefills = [...this.engines.values()].filter(({ announced }) => announced.stage === "prefill");
-        const work = prefills.reduce((sum, engine) => sum + engine.prefillTime(promptTokens), 0);
-        return prefills.length === 0 ? promptTokens * defaultPrefillMillisecondsPerToken : work / prefills.length;
+        const totalWork = prefills.reduce((sum, engine) => sum + engine.prefillTime(promptTokens), 0);
+        return prefills.length === 0 ? promptTokens * defaultPrefillMillisecondsPerToken : totalWork / prefills.length;
     }
 
     /** Tokens of KV cache that may be allocated in total. */
--- a/packages/basilpaddle/src/node/coordination/gateway/linkQuality.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/linkQuality.ts
@@ -84,7 +84,7 @@
  * lost; so the preference is derived from the observed stalls and ends with them.
  */
 export class LinkQuality {
-    private readonly engines = new Map<string, EngineStallCounts>();
+    private readonly countsByEngine = new Map<string, EngineStallCounts>();
 
     static create(): LinkQuality {
         return new LinkQuality();
@@ -92,14 +92,14 @@
 
     /** Records an event of an engine's stream, and whether it stalled. */
     countEvent(engine: ServerAnnouncement, stalled: boolean, now: number): void {
-        let record = this.engines.get(engine.id);
-        if (record === undefined) {
-            record = new EngineStallCounts(engine.failureDomain);
-            this.engines.set(engine.id, record);
+        let counts = this.countsByEngine.get(engine.id);
+        if (counts === undefined) {
+            counts = new EngineStallCounts(engine.failureDomain);
+            this.countsByEngine.set(engine.id, counts);
         }
-        record.events.add(now);
+        counts.events.add(now);
         if (stalled) {
-            record.stalls.add(now);
+            counts.stalls.add(now);
         }
     }
 
@@ -109,8 +109,8 @@
      */
     stalls(now: number): LinkStalls {
         this.dropIdleEngines(now);
-        const rates = [...this.byDomain()].map(([failureDomain, records]) => {
-            return { failureDomain, rate: stallRate(records, now) };
+        const rates = [...this.byDomain()].map(([failureDomain, allCounts]) => {
+            return { failureDomain, rate: stallRate(allCounts, now) };
         });
         const lowestRate = Math.min(...rates.map(({ rate }) => rate));
         return rates
@@ -120,19 +120,19 @@
 
     /** Removes engines that have sent no event for a long time. */
     private dropIdleEngines(now: number): void {
-        this.engines.forEach((record, id) => {
-            if (record.events.current(now) < minRate) {
-                this.engines.delete(id);
+        this.countsByEngine.forEach((counts, id) => {
+            if (counts.events.current(now) < minRate) {
+                this.countsByEngine.delete(id);
             }
         });
     }
 
     private byDomain(): ReadonlyMap<string, readonly EngineStallCounts[]> {
         const domains = new Map<string, EngineStallCounts[]>();
-        this.engines.forEach(record => {
-            const records = domains.get(record.failureDomain) ?? [];
-            records.push(record);
-            domains.set(record.failureDomain, records);
+        this.countsByEngine.forEach(counts => {
+            const allCounts = domains.get(counts.failureDomain) ?? [];
+            allCounts.push(counts);
+            domains.set(counts.failureDomain, allCounts);
         });
         return domains;
     }
@@ -143,9 +143,9 @@
  * the link, and its whole failure domain would receive less work because of it. A domain with a single engine therefore
  * has the rate 0.
  */
-function stallRate(records: readonly EngineStallCounts[], now: number): number {
-    const stalls = records.map(record => record.stalls.current(now));
-    const events = records.reduce((sum, record) => sum + record.events.current(now), 0);
+function stallRate(allCounts: readonly EngineStallCounts[], now: number): number {
+    const stalls = allCounts.map(counts => counts.stalls.current(now));
+    const events = allCounts.reduce((sum, counts) => sum + counts.events.current(now), 0);
     const stallsWithoutWorst = stalls.reduce((sum, count) => sum + count, 0) - Math.max(...stalls);
     return stallsWithoutWorst / (priorEvents + events);
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/outlierDetector.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/outlierDetector.ts
@@ -9,7 +9,7 @@
 const minExcessFailureRatio = 0.3;
 /** Fraction of a service's servers that may be ejected; more would overload the others. */
 const maxEjectedFraction = 0.5;
-/** Decayed call count below which a server's record is deleted. */
+/** Decayed number of calls below which a server's counts are deleted. */
 const minRememberedCalls = 0.05;
 
 type ServerCallCounts = {
@@ -29,7 +29,7 @@
  * hung.
  */
 export class OutlierDetector {
-    private readonly records = new Map<string, ServerCallCounts>();
+    private readonly countsByServer = new Map<string, ServerCallCounts>();
     private currentlyEjected: readonly string[] = [];
 
     static create(): OutlierDetector {
@@ -39,24 +39,25 @@
     /** Adds call counts reported by a gateway. */
     addCalls(calls: readonly ServerCalls[], now: number): void {
         for (const { id, service, answered, failed } of calls) {
-            const record = this.records.get(id) ?? { service, answered: 0, failed: 0, updatedAt: now, ejectedUntil: 0 };
-            this.records.set(id, record);
-            this.decayCounts(record, now);
-            record.answered += answered;
-            record.failed += failed;
+            const counts = this.countsByServer.get(id)
+                ?? { service, answered: 0, failed: 0, updatedAt: now, ejectedUntil: 0 };
+            this.countsByServer.set(id, counts);
+            this.decayCounts(counts, now);
+            counts.answered += answered;
+            counts.failed += failed;
         }
     }
 
     /** Recomputes the ejected servers; returns whether they differ from those of the previous call. */
     updateEjections(now: number): boolean {
         const previouslyEjected = this.currentlyEjected;
-        this.records.forEach((record, id) => {
-            this.decayCounts(record, now);
-            if (now > record.ejectedUntil && record.answered + record.failed < minRememberedCalls) {
-                this.records.delete(id);
+        this.countsByServer.forEach((counts, id) => {
+            this.decayCounts(counts, now);
+            if (now > counts.ejectedUntil && counts.answered + counts.failed < minRememberedCalls) {
+                this.countsByServer.delete(id);
             }
         });
-        const services = new Set([...this.records.values()].map(({ service }) => service));
+        const services = new Set([...this.countsByServer.values()].map(({ service }) => service));
         this.currentlyEjected = [...services].flatMap(service => this.ejectedServersOf(service, now)).sort();
         return previouslyEjected.join() !== this.currentlyEjected.join();
     }
@@ -67,28 +68,28 @@
     }
 
     private ejectedServersOf(service: string, now: number): string[] {
-        const servers = [...this.records].filter(([, record]) => record.service === service);
-        const answered = servers.reduce((sum, [, record]) => sum + record.answered, 0);
-        const failed = servers.reduce((sum, [, record]) => sum + record.failed, 0);
-        const comparisons = servers.map(([id, record]) => {
-            const othersRatio = failureRatio(answered - record.answered, failed - record.failed);
-            return { id, record, excess: failureRatio(record.answered, record.failed) - othersRatio };
+        const servers = [...this.countsByServer].filter(([, counts]) => counts.service === service);
+        const answered = servers.reduce((sum, [, counts]) => sum + counts.answered, 0);
+        const failed = servers.reduce((sum, [, counts]) => sum + counts.failed, 0);
+        const comparisons = servers.map(([id, counts]) => {
+            const othersRatio = failureRatio(answered - counts.answered, failed - counts.failed);
+            return { id, counts, excess: failureRatio(counts.answered, counts.failed) - othersRatio };
         });
-        for (const { record, excess } of comparisons) {
-            if (record.failed >= minFailures && excess >= minExcessFailureRatio) {
-                record.ejectedUntil = now + ejectionMilliseconds;
+        for (const { counts, excess } of comparisons) {
+            if (counts.failed >= minFailures && excess >= minExcessFailureRatio) {
+                counts.ejectedUntil = now + ejectionMilliseconds;
             }
         }
-        const ejected = comparisons.filter(({ record }) => now < record.ejectedUntil);
+        const ejected = comparisons.filter(({ counts }) => now < counts.ejectedUntil);
         ejected.sort((one, other) => other.excess - one.excess);
         return ejected.slice(0, Math.floor(servers.length * maxEjectedFraction)).map(({ id }) => id);
     }
 
-    private decayCounts(record: ServerCallCounts, now: number): void {
-        const factor = 0.5 ** ((now - record.updatedAt) / countHalfLifeMilliseconds);
-        record.answered *= factor;
-        record.failed *= factor;
-        record.updatedAt = now;
+    private decayCounts(counts: ServerCallCounts, now: number): void {
+        const factor = 0.5 ** ((now - counts.updatedAt) / countHalfLifeMilliseconds);
+        counts.answered *= factor;
+        counts.failed *= factor;
+        counts.updatedAt = now;
     }
 }
 
--- a/packages/basilpaddle/src/node/coordination/gateway/placementQueue.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/placementQueue.ts
@@ -190,8 +190,8 @@
     ): PlacementDecision[] {
         const reportedAttempts = new Set(reported.map(({ demand }) => demand.attempt));
         for (const [attempt, placement] of this.placements) {
-            const stale = placement.request.gateway === gateway && now - placement.placedAt > grace;
-            if (stale && !reportedAttempts.has(attempt)) {
+            const isStale = placement.request.gateway === gateway && now - placement.placedAt > grace;
+            if (isStale && !reportedAttempts.has(attempt)) {
                 this.removePlacement(attempt, now);
             }
         }
@@ -325,7 +325,7 @@
     /** Moves requests that can't meet their target behind the others; refuses those that can't be served before the timeout. */
     private reorder(now: number): PlacementDecision[] {
         const refused: PlacementDecision[] = [];
-        const kept: WaitingRequest[] = [];
+        const remaining: WaitingRequest[] = [];
         const tooLate: WaitingRequest[] = [];
         const poolForecast = this.forecastPool(now);
         let ahead = 0;
@@ -339,11 +339,11 @@
                 tooLate.push(waiting);
             }
             else {
-                kept.push(waiting);
+                remaining.push(waiting);
                 ahead += request.cacheTokens;
             }
         }
-        this.queue = kept;
+        this.queue = remaining;
         tooLate.forEach(waiting => this.requeueAsLate(waiting));
         return refused;
     }
--- a/packages/basilpaddle/src/node/coordination/gateway/serverChoice.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/serverChoice.ts
@@ -53,7 +53,7 @@
  * checks pass, or that have terminated without an announcement yet. It makes no probe calls.
  */
 export class ServerChoice {
-    private readonly records = new LRUCache<string, ServerStatistics>({ max: maxServers });
+    private readonly statisticsByServer = new LRUCache<string, ServerStatistics>({ max: maxServers });
     private readonly failuresOfService = new Map<string, number>();
 
     private constructor(
@@ -80,7 +80,7 @@
         const candidates = servers.filter(server => !avoid.has(server.id));
         const ejected = this.ejected();
         const isHealthy = (server: ServerAnnouncement): boolean => {
-            return now >= this.record(server.id).pausedUntil && !ejected.includes(server.id);
+            return now >= this.statisticsOf(server.id).pausedUntil && !ejected.includes(server.id);
         };
         const healthy = candidates.filter(isHealthy);
         const excluded = servers.length - servers.filter(isHealthy).length;
@@ -102,57 +102,59 @@
 
     /** Records the start of a call. */
     recordStart(id: string): void {
-        this.record(id).outstanding += 1;
+        this.statisticsOf(id).outstanding += 1;
     }
 
     /** Records the outcome and duration of a call. */
     recordOutcome(server: ServerAnnouncement, outcome: CallOutcome, milliseconds: number, now: number): void {
-        const record = this.record(server.id);
-        record.outstanding = Math.max(0, record.outstanding - 1);
-        record.lastEndedAt = now;
+        const statistics = this.statisticsOf(server.id);
+        statistics.outstanding = Math.max(0, statistics.outstanding - 1);
+        statistics.lastEndedAt = now;
         if (outcome === "rejected") {
-            record.rejectedUntil = now + rejectionMilliseconds;
+            statistics.rejectedUntil = now + rejectionMilliseconds;
             return;
         }
         const failed = outcome === "answered" ? 0 : 1;
-        record.failureMean += meanWeight * (failed - record.failureMean);
+        statistics.failureMean += meanWeight * (failed - statistics.failureMean);
         const mean = this.failuresOfService.get(server.service) ?? 0;
         this.failuresOfService.set(server.service, mean + meanWeight / 3 * (failed - mean));
         if (outcome === "unreachable") {
-            record.pausedUntil = now
-                + Math.min(maxPauseMilliseconds, initialPauseMilliseconds * 2 ** record.consecutivePauses);
-            record.consecutivePauses += 1;
+            statistics.pausedUntil = now
+                + Math.min(maxPauseMilliseconds, initialPauseMilliseconds * 2 ** statistics.consecutivePauses);
+            statistics.consecutivePauses += 1;
             return;
         }
-        record.meanTime += meanWeight * (milliseconds - record.meanTime);
+        statistics.meanTime += meanWeight * (milliseconds - statistics.meanTime);
         if (outcome === "answered") {
-            record.consecutivePauses = 0;
-            record.pausedUntil = 0;
+            statistics.consecutivePauses = 0;
+            statistics.pausedUntil = 0;
         }
     }
 
     /** Number of this gateway's open calls to a server. */
     outstanding(id: string): number {
-        return this.record(id).outstanding;
+        return this.statisticsOf(id).outstanding;
     }
 
     private score(server: ServerAnnouncement, stalls: LinkStalls, now: number): number {
-        const record = this.record(server.id);
-        const decay = record.outstanding > 0 ? 1 : 0.5 ** ((now - record.lastEndedAt) / statisticsHalfLifeMilliseconds);
+        const statistics = this.statisticsOf(server.id);
+        const decay = statistics.outstanding > 0
+            ? 1
+            : 0.5 ** ((now - statistics.lastEndedAt) / statisticsHalfLifeMilliseconds);
         const linkStallDelay = stallRateOf(stalls, server.failureDomain) * packetsPerCall * lostPacketDelayMilliseconds;
-        const time = initialMeanMilliseconds + (record.meanTime - initialMeanMilliseconds) * decay + linkStallDelay;
-        const excess = Math.max(0, record.failureMean * decay - (this.failuresOfService.get(server.service) ?? 0));
+        const time = initialMeanMilliseconds + (statistics.meanTime - initialMeanMilliseconds) * decay + linkStallDelay;
+        const excess = Math.max(0, statistics.failureMean * decay - (this.failuresOfService.get(server.service) ?? 0));
         const domainFactor = server.failureDomain === this.failureDomain ? 1 : otherDomainFactor;
-        const fullFactor = now < record.rejectedUntil ? 2 : 1;
-        return (record.outstanding + 1) * time * (1 + failureWeight * excess) * domainFactor * fullFactor;
+        const fullFactor = now < statistics.rejectedUntil ? 2 : 1;
+        return (statistics.outstanding + 1) * time * (1 + failureWeight * excess) * domainFactor * fullFactor;
     }
 
-    private record(id: string): ServerStatistics {
-        let record = this.records.get(id);
-        if (record === undefined) {
-            record = new ServerStatistics();
-            this.records.set(id, record);
+    private statisticsOf(id: string): ServerStatistics {
+        let statistics = this.statisticsByServer.get(id);
+        if (statistics === undefined) {
+            statistics = new ServerStatistics();
+            this.statisticsByServer.set(id, statistics);
         }
-        return record;
+        return statistics;
     }
 }
--- a/packages/basilpaddle/src/node/coordination/gateway/serviceRetryBudget.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/serviceRetryBudget.ts
@@ -39,7 +39,7 @@
 export class ServiceRetryBudget {
     private readonly requests = new Array<number>(countedSlices).fill(0);
     private readonly retries = new Array<number>(countedSlices).fill(0);
-    private slice = 0;
+    private currentSlice = 0;
 
     private constructor(private readonly rules: RetryBudgetRules) {}
 
@@ -50,7 +50,7 @@
     /** Records a request of the service. */
     recordRequest(now: number): void {
         this.advanceWindow(now);
-        this.requests[this.slice % countedSlices]! += 1;
+        this.requests[this.currentSlice % countedSlices]! += 1;
     }
 
     /** Takes a retry from this gateway's share of the allowance; returns false if none is left. */
@@ -61,7 +61,7 @@
         if (sum(this.retries) + 1 > allowed) {
             return false;
         }
-        this.retries[this.slice % countedSlices]! += 1;
+        this.retries[this.currentSlice % countedSlices]! += 1;
         return true;
     }
 
@@ -74,22 +74,22 @@
     /** Returns a retry to the allowance, since its request reached no server. */
     returnRetry(now: number): void {
         this.advanceWindow(now);
-        const position = this.slice % countedSlices;
+        const position = this.currentSlice % countedSlices;
         this.retries[position] = Math.max(0, this.retries[position]! - 1);
     }
 
     private advanceWindow(now: number): void {
         const current = Math.floor(now / (this.rules.window / windowSlices));
-        if (this.slice === 0 || current - this.slice >= countedSlices) {
+        if (this.currentSlice === 0 || current - this.currentSlice >= countedSlices) {
             this.requests.fill(0);
             this.retries.fill(0);
-            this.slice = current;
+            this.currentSlice = current;
             return;
         }
-        while (this.slice < current) {
-            this.slice += 1;
-            this.requests[this.slice % countedSlices] = 0;
-            this.retries[this.slice % countedSlices] = 0;
+        while (this.currentSlice < current) {
+            this.currentSlice += 1;
+            this.requests[this.currentSlice % countedSlices] = 0;
+            this.retries[this.currentSlice % countedSlices] = 0;
         }
     }
 }
@@ -127,8 +127,8 @@
             return false;
         }
         // Retries that this leader lent may not be reported yet either.
-        const known = Math.max(borrowed, this.lentBudget.usedRetries(now));
-        return known + 1 <= this.rules.slack * firstWindowLeaderFraction && this.lentBudget.takeRetry(now, 1);
+        const borrowedOrLent = Math.max(borrowed, this.lentBudget.usedRetries(now));
+        return borrowedOrLent + 1 <= this.rules.slack * firstWindowLeaderFraction && this.lentBudget.takeRetry(now, 1);
     }
 }
 
--- a/packages/basilpaddle/src/node/coordination/gateway/stagePlan.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/stagePlan.ts
@@ -52,8 +52,11 @@
     const tooFew = observed !== undefined && exactPrefillCount - prefill.length > maxPrefillDeficit;
     if (tooFew || prefill.length === 0) {
         const missing = tooFew ? plannedPrefillCount - prefill.length : 1;
-        const most = Math.max(0, decode.length - 1);
-        return selectFromLargestDomains(decode, Math.min(missing, most)).map(engine => ({ engine, stage: "prefill" }));
+        const available = Math.max(0, decode.length - 1);
+        return selectFromLargestDomains(decode, Math.min(missing, available)).map(engine => ({
+            engine,
+            stage: "prefill",
+        }));
     }
     return [];
 }
@@ -77,8 +80,8 @@
     for (let index = 0; index < count; index++) {
         const sizes = new Map<string, number>();
         remaining.forEach(engine => sizes.set(engine.failureDomain, (sizes.get(engine.failureDomain) ?? 0) + 1));
-        const most = Math.max(...sizes.values());
-        const position = remaining.findIndex(engine => sizes.get(engine.failureDomain) === most);
+        const largestSize = Math.max(...sizes.values());
+        const position = remaining.findIndex(engine => sizes.get(engine.failureDomain) === largestSize);
         selected.push(...remaining.splice(position, 1));
     }
     return selected;
