--- a/packages/basilpaddle/src/node/daemon/gateway/__tests__/retryCharges.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/__tests__/retryCharges.spec.ts
@@ -14,10 +14,10 @@
 }
 
 /** Simulates one round that the allowance must permit, with the outcomes of its prefill, if there is one, and of its run. */
-async function runRound(charges: RetryCharges, read: SendOutcome | undefined, run: SendOutcome): Promise<void> {
-    const reports = (await charges.reserve(read !== undefined))!;
-    if (read !== undefined) {
-        reports.reportPrefill(read);
+async function runRound(charges: RetryCharges, prefill: SendOutcome | undefined, run: SendOutcome): Promise<void> {
+    const reports = (await charges.reserve(prefill !== undefined))!;
+    if (prefill !== undefined) {
+        reports.reportPrefill(prefill);
     }
     reports.reportRun(run);
 }
--- a/packages/basilpaddle/src/node/daemon/gateway/callerRequest.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/callerRequest.ts
@@ -146,13 +146,13 @@
             return Promise.resolve();
         }
         return new Promise(resolve => {
-            const proceed = (): void => {
-                this.response.off("drain", proceed);
-                this.response.off("close", proceed);
+            const resume = (): void => {
+                this.response.off("drain", resume);
+                this.response.off("close", resume);
                 resolve();
             };
-            this.response.on("drain", proceed);
-            this.response.on("close", proceed);
+            this.response.on("drain", resume);
+            this.response.on("close", resume);
         });
     }
 
--- a/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
@@ -117,7 +117,7 @@
                 break;
             }
             if (answer?.kind === "decided") {
-                return this.accept(request, answer.decision, "leader");
+                return this.acceptDecision(request, answer.decision, "leader");
             }
             const result = answer === undefined ? await this.placeLocally(current, signal) : "waiting";
             if (result !== "waiting") {
@@ -157,7 +157,11 @@
         this.cancelTimers.forEach(cancel => cancel());
     }
 
-    private accept(request: PlacementRequest, decision: PlacementDecision, by: PlacementGrant["by"]): PlacementResult {
+    private acceptDecision(
+        request: PlacementRequest,
+        decision: PlacementDecision,
+        by: PlacementGrant["by"],
+    ): PlacementResult {
         if (decision.kind === "refused") {
             return decision;
         }
@@ -201,7 +205,7 @@
             this.localCallbacks.set(request.attempt, decision => {
                 cancel();
                 signal.removeEventListener("abort", onAbort);
-                resolve(this.accept(request, decision, "alone"));
+                resolve(this.acceptDecision(request, decision, "alone"));
             });
             this.deliverLocalDecisions(pool.ask(request, this.options.clock.monotonic()));
         });
--- a/packages/basilpaddle/src/node/daemon/gateway/placementLeader.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementLeader.ts
@@ -34,7 +34,7 @@
     private readonly timeout = LeaderTimeout.create();
     private unresponsive = false;
     private unresponsiveName: string | undefined;
-    private probing = false;
+    private isProbing = false;
 
     private constructor(private readonly options: PlacementLeaderOptions) {}
 
@@ -80,14 +80,14 @@
     /** Checks whether an unresponsive leader answers again; to be called every few hundred milliseconds. */
     async probe(): Promise<void> {
         const { watcher, name, clock } = this.options;
-        if (!this.unresponsive || this.probing) {
+        if (!this.unresponsive || this.isProbing) {
             return;
         }
-        this.probing = true;
+        this.isProbing = true;
         const leader = watcher.leader();
         const askedAt = clock.monotonic();
         const answer = await this.request(leader, { kind: "probe", gateway: name }, this.timeout.probeTimeout());
-        this.probing = false;
+        this.isProbing = false;
         if (answer?.kind === "leading") {
             this.recordAnswer(leader, answer.term, askedAt);
         }
--- a/packages/basilpaddle/src/node/daemon/gateway/serviceExchange.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/serviceExchange.ts
@@ -55,7 +55,7 @@
     async run(): Promise<void> {
         const { options, request, service } = this;
         options.retryAllowance.recordRequest(service.name);
-        let last: Extract<ServerResult, { kind: "next"; }> | undefined;
+        let lastResult: Extract<ServerResult, { kind: "next"; }> | undefined;
         for (let round = 0; round < maxRounds; round++) {
             if (request.isDisconnected() || refuseQuarantined(options, request, this.runCount > 0, this.steps)) {
                 return;
@@ -71,13 +71,13 @@
             if (result.kind === "done") {
                 return;
             }
-            last = result;
+            lastResult = result;
             const { route } = request;
             if (result.mayHaveRun && (route.kind !== "safe" || this.runCount >= route.attempts)) {
                 break;
             }
         }
-        this.endUnanswered(last);
+        this.endUnanswered(lastResult);
     }
 
     private nextServer(): ServerAnnouncement | undefined {
@@ -102,22 +102,22 @@
         return undefined;
     }
 
-    private endUnanswered(last: Extract<ServerResult, { kind: "next"; }> | undefined): void {
+    private endUnanswered(lastResult: Extract<ServerResult, { kind: "next"; }> | undefined): void {
         const { request } = this;
         if (request.isDisconnected()) {
             return;
         }
-        if (last?.forward !== undefined) {
-            last.forward();
+        if (lastResult?.forward !== undefined) {
+            lastResult.forward();
         }
         else if (this.runCount > 0) {
-            request.fail(request.remainingTime() < minAnswerMilliseconds ? 504 : 502, last?.cause ?? "no answer");
+            request.fail(request.remainingTime() < minAnswerMilliseconds ? 504 : 502, lastResult?.cause ?? "no answer");
         }
-        else if (last === undefined) {
+        else if (lastResult === undefined) {
             request.refuse(noServerRetryAfterMilliseconds, "no backend server is known");
         }
         else {
-            request.refuse(fullRetryAfterMilliseconds, last.cause);
+            request.refuse(fullRetryAfterMilliseconds, lastResult.cause);
         }
     }
 
