--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashExchange.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashExchange.spec.ts
@@ -31,9 +31,9 @@
     /** Queries a peer once; returns how many records the query and the reply carried. */
     query(name: string, peer: QuarantinedRequests): readonly [number, number] {
         const { question, count } = this.exchange.question(name);
-        const news = answerCrashQuery(peer, question);
-        this.exchange.mergeReply(name, count, news);
-        return [question.records.length, news.records.length];
+        const reply = answerCrashQuery(peer, question);
+        this.exchange.mergeReply(name, count, reply);
+        return [question.records.length, reply.records.length];
     }
 }
 
--- a/packages/basilpaddle/src/node/daemon/directory/placementService.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/placementService.ts
@@ -157,12 +157,12 @@
         }
         this.poolsOutdated = false;
         const { instances, traffic } = this.options;
-        const all = instances.all();
+        const allInstances = instances.all();
         for (const service of traffic()?.services ?? []) {
             if (service.engine !== undefined) {
                 const pool = this.pools.get(service.name) ?? PlacementQueue.create(leaderPlacementTuning);
                 this.pools.set(service.name, pool);
-                pool.setEngines(all.filter(instance => instance.service === service.name), service.engine);
+                pool.setEngines(allInstances.filter(instance => instance.service === service.name), service.engine);
             }
         }
     }
