--- a/packages/basilpaddle/src/node/coordination/gateway/outlierDetector.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/outlierDetector.ts
@@ -5,18 +5,18 @@
 /** How long an ejected server receives no calls before it is tried again; most such outages last some seconds. */
 const ejectionMilliseconds = 3_000;
 /** Failures, and excess of the failure ratio over that of the service's other servers, before a server is ejected. */
-const minimumFailures = 4;
-const minimumExcessFailureRatio = 0.3;
+const minFailures = 4;
+const minExcessFailureRatio = 0.3;
 /** Fraction of a service's servers that may be ejected; more would overload the others. */
-const maximumEjectedFraction = 0.5;
-/** Decayed call count below which a server's record is deleted. */
-const minimumRememberedCalls = 0.05;
+const maxEjectedFraction = 0.5;
+/** Decayed number of calls below which a server's counts are deleted. */
+const minRememberedCalls = 0.05;
 
 type ServerCallCounts = {
     readonly service: string;
     answered: number;
     failed: number;
-    at: number;
+    updatedAt: number;
     ejectedUntil: number;
 };
 
@@ -24,11 +24,12 @@
  * Ejects failing backend servers of plain services, based on the call counts that all gateways report.
  *
  * It is meant for hundreds of gateways in front of a few servers, one of which hangs or fails some of its calls while its
- * health checks pass. On its own, each gateway sends such a server a request or two before it notices, forgets, and tries
- * again: with 191 gateways and five servers, 123 of 4,200 calls in 13 s failed at the server that hung.
+ * health checks pass. By itself, each gateway sends such a server a request or two before it detects the failure, and tries
+ * it again some seconds later: with 191 gateways and five servers, 123 of 4,200 calls in 13 s failed at the server that
+ * hung.
  */
 export class OutlierDetector {
-    private readonly records = new Map<string, ServerCallCounts>();
+    private readonly countsByServer = new Map<string, ServerCallCounts>();
     private currentlyEjected: readonly string[] = [];
 
     static create(): OutlierDetector {
@@ -38,56 +39,57 @@
     /** Adds call counts reported by a gateway. */
     addCalls(calls: readonly ServerCalls[], now: number): void {
         for (const { id, service, answered, failed } of calls) {
-            const record = this.records.get(id) ?? { service, answered: 0, failed: 0, at: now, ejectedUntil: 0 };
-            this.records.set(id, record);
-            this.decayCounts(record, now);
-            record.answered += answered;
-            record.failed += failed;
+            const counts = this.countsByServer.get(id)
+                ?? { service, answered: 0, failed: 0, updatedAt: now, ejectedUntil: 0 };
+            this.countsByServer.set(id, counts);
+            this.decayCounts(counts, now);
+            counts.answered += answered;
+            counts.failed += failed;
         }
     }
 
     /** Recomputes the ejected servers; returns whether they differ from those of the previous call. */
     updateEjections(now: number): boolean {
-        const before = this.currentlyEjected;
-        this.records.forEach((record, id) => {
-            this.decayCounts(record, now);
-            if (now > record.ejectedUntil && record.answered + record.failed < minimumRememberedCalls) {
-                this.records.delete(id);
+        const previouslyEjected = this.currentlyEjected;
+        this.countsByServer.forEach((counts, id) => {
+            this.decayCounts(counts, now);
+            if (now > counts.ejectedUntil && counts.answered + counts.failed < minRememberedCalls) {
+                this.countsByServer.delete(id);
             }
         });
-        const services = new Set([...this.records.values()].map(({ service }) => service));
+        const services = new Set([...this.countsByServer.values()].map(({ service }) => service));
         this.currentlyEjected = [...services].flatMap(service => this.ejectedServersOf(service, now)).sort();
-        return before.join() !== this.currentlyEjected.join();
+        return previouslyEjected.join() !== this.currentlyEjected.join();
     }
 
-    /** Servers that should receive no calls, as of the last review. */
+    /** Servers that should receive no calls, as of the last call of `updateEjections`. */
     ejected(): readonly string[] {
         return this.currentlyEjected;
     }
 
     private ejectedServersOf(service: string, now: number): string[] {
-        const servers = [...this.records].filter(([, record]) => record.service === service);
-        const answered = servers.reduce((sum, [, record]) => sum + record.answered, 0);
-        const failed = servers.reduce((sum, [, record]) => sum + record.failed, 0);
-        const judged = servers.map(([id, record]) => {
-            const others = failureRatio(answered - record.answered, failed - record.failed);
-            return { id, record, excess: failureRatio(record.answered, record.failed) - others };
+        const servers = [...this.countsByServer].filter(([, counts]) => counts.service === service);
+        const answered = servers.reduce((sum, [, counts]) => sum + counts.answered, 0);
+        const failed = servers.reduce((sum, [, counts]) => sum + counts.failed, 0);
+        const comparisons = servers.map(([id, counts]) => {
+            const othersRatio = failureRatio(answered - counts.answered, failed - counts.failed);
+            return { id, counts, excess: failureRatio(counts.answered, counts.failed) - othersRatio };
         });
-        for (const { record, excess } of judged) {
-            if (record.failed >= minimumFailures && excess >= minimumExcessFailureRatio) {
-                record.ejectedUntil = now + ejectionMilliseconds;
+        for (const { counts, excess } of comparisons) {
+            if (counts.failed >= minFailures && excess >= minExcessFailureRatio) {
+                counts.ejectedUntil = now + ejectionMilliseconds;
             }
         }
-        const ejected = judged.filter(({ record }) => now < record.ejectedUntil);
+        const ejected = comparisons.filter(({ counts }) => now < counts.ejectedUntil);
         ejected.sort((one, other) => other.excess - one.excess);
-        return ejected.slice(0, Math.floor(servers.length * maximumEjectedFraction)).map(({ id }) => id);
+        return ejected.slice(0, Math.floor(servers.length * maxEjectedFraction)).map(({ id }) => id);
     }
 
-    private decayCounts(record: ServerCallCounts, now: number): void {
-        const factor = 0.5 ** ((now - record.at) / countHalfLifeMilliseconds);
-        record.answered *= factor;
-        record.failed *= factor;
-        record.at = now;
+    private decayCounts(counts: ServerCallCounts, now: number): void {
+        const factor = 0.5 ** ((now - counts.updatedAt) / countHalfLifeMilliseconds);
+        counts.answered *= factor;
+        counts.failed *= factor;
+        counts.updatedAt = now;
     }
 }
 
--- a/packages/basilpaddle/src/node/coordination/gateway/serverChoice.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/serverChoice.ts
@@ -10,16 +10,16 @@
 const failureWeight = 8;
 /** Initial and maximum time for which an unreachable server receives no calls. */
 const initialPauseMilliseconds = 500;
-const maximumPauseMilliseconds = 8_000;
+const maxPauseMilliseconds = 8_000;
 /** Fraction of a service's servers that may be excluded for failures; more would overload the others. */
-const maximumExcludedFraction = 0.5;
+const maxExcludedFraction = 0.5;
 /** Score factor of a server in another failure domain: traffic between domains is charged and takes longer. */
 const otherDomainFactor = 1.15;
 /** Packets of a call in both directions, and the delay that a lost one causes. */
 const packetsPerCall = 4;
-const packetLossDelayMilliseconds = 250;
+const lostPacketDelayMilliseconds = 250;
 /** Maximum number of servers to keep statistics for. */
-const serverLimit = 4_096;
+const maxServers = 4_096;
 
 /** How a call to a server ended. */
 export type CallOutcome =
@@ -37,23 +37,23 @@
     meanTime = initialMeanMilliseconds;
     failureMean = 0;
     pausedUntil = 0;
-    pauses = 0;
+    consecutivePauses = 0;
     rejectedUntil = 0;
-    endedAt = 0;
+    lastEndedAt = 0;
 }
 
 /** How long a server that rejected a call counts as full. */
 const rejectionMilliseconds = 30;
-/** Half-life of a server's statistics while it has no call; otherwise one slow period would exclude the server for good. */
-const memoryHalfLifeMilliseconds = 2_000;
+/** Half-life of a server's statistics while it has no open call; without it one slow period would exclude the server for good. */
+const statisticsHalfLifeMilliseconds = 2_000;
 
 /**
  * Selects a server of a service by statistics of this gateway's own calls: open calls, response times, and failures
  * compared with the service's mean. It avoids servers that become slow, that fail some of their calls while their health
- * checks pass, and that are gone before this is announced. It makes no probe calls.
+ * checks pass, or that have terminated without an announcement yet. It makes no probe calls.
  */
 export class ServerChoice {
-    private readonly records = new LRUCache<string, ServerStatistics>({ max: serverLimit });
+    private readonly statisticsByServer = new LRUCache<string, ServerStatistics>({ max: maxServers });
     private readonly failuresOfService = new Map<string, number>();
 
     private constructor(
@@ -80,11 +80,11 @@
         const candidates = servers.filter(server => !avoid.has(server.id));
         const ejected = this.ejected();
         const isHealthy = (server: ServerAnnouncement): boolean => {
-            return now >= this.record(server.id).pausedUntil && !ejected.includes(server.id);
+            return now >= this.statisticsOf(server.id).pausedUntil && !ejected.includes(server.id);
         };
         const healthy = candidates.filter(isHealthy);
         const excluded = servers.length - servers.filter(isHealthy).length;
-        const usable = healthy.length > 0 && excluded <= servers.length * maximumExcludedFraction
+        const usable = healthy.length > 0 && excluded <= servers.length * maxExcludedFraction
             ? healthy
             : candidates;
         const stalls = this.links.stalls(now);
@@ -101,58 +101,60 @@
     }
 
     /** Records the start of a call. */
-    began(id: string): void {
-        this.record(id).outstanding += 1;
+    recordStart(id: string): void {
+        this.statisticsOf(id).outstanding += 1;
     }
 
     /** Records the outcome and duration of a call. */
-    ended(server: ServerAnnouncement, outcome: CallOutcome, milliseconds: number, now: number): void {
-        const record = this.record(server.id);
-        record.outstanding = Math.max(0, record.outstanding - 1);
-        record.endedAt = now;
+    recordOutcome(server: ServerAnnouncement, outcome: CallOutcome, milliseconds: number, now: number): void {
+        const statistics = this.statisticsOf(server.id);
+        statistics.outstanding = Math.max(0, statistics.outstanding - 1);
+        statistics.lastEndedAt = now;
         if (outcome === "rejected") {
-            record.rejectedUntil = now + rejectionMilliseconds;
+            statistics.rejectedUntil = now + rejectionMilliseconds;
             return;
         }
         const failed = outcome === "answered" ? 0 : 1;
-        record.failureMean += meanWeight * (failed - record.failureMean);
+        statistics.failureMean += meanWeight * (failed - statistics.failureMean);
         const mean = this.failuresOfService.get(server.service) ?? 0;
         this.failuresOfService.set(server.service, mean + meanWeight / 3 * (failed - mean));
         if (outcome === "unreachable") {
-            record.pausedUntil = now
-                + Math.min(maximumPauseMilliseconds, initialPauseMilliseconds * 2 ** record.pauses);
-            record.pauses += 1;
+            statistics.pausedUntil = now
+                + Math.min(maxPauseMilliseconds, initialPauseMilliseconds * 2 ** statistics.consecutivePauses);
+            statistics.consecutivePauses += 1;
             return;
         }
-        record.meanTime += meanWeight * (milliseconds - record.meanTime);
+        statistics.meanTime += meanWeight * (milliseconds - statistics.meanTime);
         if (outcome === "answered") {
-            record.pauses = 0;
-            record.pausedUntil = 0;
+            statistics.consecutivePauses = 0;
+            statistics.pausedUntil = 0;
         }
     }
 
     /** Number of this gateway's open calls to a server. */
     outstanding(id: string): number {
-        return this.record(id).outstanding;
+        return this.statisticsOf(id).outstanding;
     }
 
     private score(server: ServerAnnouncement, stalls: LinkStalls, now: number): number {
-        const record = this.record(server.id);
-        const memory = record.outstanding > 0 ? 1 : 0.5 ** ((now - record.endedAt) / memoryHalfLifeMilliseconds);
-        const stall = stallRateOf(stalls, server.failureDomain) * packetsPerCall * packetLossDelayMilliseconds;
-        const time = initialMeanMilliseconds + (record.meanTime - initialMeanMilliseconds) * memory + stall;
-        const excess = Math.max(0, record.failureMean * memory - (this.failuresOfService.get(server.service) ?? 0));
-        const distance = server.failureDomain === this.failureDomain ? 1 : otherDomainFactor;
-        const full = now < record.rejectedUntil ? 2 : 1;
-        return (record.outstanding + 1) * time * (1 + failureWeight * excess) * distance * full;
+        const statistics = this.statisticsOf(server.id);
+        const decay = statistics.outstanding > 0
+            ? 1
+            : 0.5 ** ((now - statistics.lastEndedAt) / statisticsHalfLifeMilliseconds);
+        const linkStallDelay = stallRateOf(stalls, server.failureDomain) * packetsPerCall * lostPacketDelayMilliseconds;
+        const time = initialMeanMilliseconds + (statistics.meanTime - initialMeanMilliseconds) * decay + linkStallDelay;
+        const excess = Math.max(0, statistics.failureMean * decay - (this.failuresOfService.get(server.service) ?? 0));
+        const domainFactor = server.failureDomain === this.failureDomain ? 1 : otherDomainFactor;
+        const fullFactor = now < statistics.rejectedUntil ? 2 : 1;
+        return (statistics.outstanding + 1) * time * (1 + failureWeight * excess) * domainFactor * fullFactor;
     }
 
-    private record(id: string): ServerStatistics {
-        let record = this.records.get(id);
-        if (record === undefined) {
-            record = new ServerStatistics();
-            this.records.set(id, record);
+    private statisticsOf(id: string): ServerStatistics {
+        let statistics = this.statisticsByServer.get(id);
+        if (statistics === undefined) {
+            statistics = new ServerStatistics();
+            this.statisticsByServer.set(id, statistics);
         }
-        return record;
+        return statistics;
     }
 }
