--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -23,10 +23,10 @@
 const deadlineMilliseconds = 5_000;
 /** Share of the callers that may disconnect before the response, and the longest time after which they do. */
 const abandonProbability = 0.12;
-const maximumAbandonMilliseconds = 900;
+const maxAbandonMilliseconds = 900;
 /** Share of the requests that open a new connection; the others use kept-alive connections. */
 const newConnectionProbability = 0.3;
-const maximumIdleConnections = 4;
+const maxIdleConnections = 4;
 const readinessIntervalMilliseconds = 300;
 
 /** Callers of all gateways: each request goes to a gateway that a load balancer would choose. */
@@ -52,7 +52,7 @@
     start(perSecond: number): void {
         this.rotation = [...this.deployment.gateways];
         this.readinessTimer = setInterval(() => void this.chooseGateways(), readinessIntervalMilliseconds);
-        this.sendTimer = setInterval(() => this.sendOne(), 1_000 / perSecond);
+        this.sendTimer = setInterval(() => this.sendRandomRequest(), 1_000 / perSecond);
     }
 
     /** Stops sending and waits for the open requests. */
@@ -64,7 +64,7 @@
     }
 
     /** Sends one request to one gateway, and waits for its outcome. */
-    async ask(
+    async sendRequest(
         gateway: Member,
         kind: RouteKind,
         path = `${routePrefixes[kind]}x`,
@@ -86,11 +86,11 @@
         this.rotation = readyGateways.length > 0 ? readyGateways : [...gateways];
     }
 
-    private sendOne(): void {
+    private sendRandomRequest(): void {
         const gateway = this.rotation[this.random.integer(0, this.rotation.length - 1)]!;
         const kind = routeKinds[this.random.integer(0, routeKinds.length - 1)]!;
         const abandonAfter = this.random.fraction() < abandonProbability
-            ? this.random.integer(1, maximumAbandonMilliseconds)
+            ? this.random.integer(1, maxAbandonMilliseconds)
             : undefined;
         this.createdRequests += 1;
         const request = this.invariants.requestSent(`a${this.createdRequests}`, kind, gateway.name, performance.now());
@@ -150,8 +150,8 @@
         if (agent === undefined) {
             agent = new http.Agent({
                 keepAlive: true,
-                maxSockets: maximumIdleConnections * 10,
-                maxFreeSockets: maximumIdleConnections,
+                maxSockets: maxIdleConnections * 10,
+                maxFreeSockets: maxIdleConnections,
             });
             this.agents.set(gateway.name, agent);
         }
--- a/soak/faults.ts
+++ b/soak/faults.ts
@@ -9,7 +9,7 @@
 import { poisonBody } from "./texts.js";
 
 /** Longest time for which all directories are down together. */
-const maximumOutageMilliseconds = 2_000;
+const maxOutageMilliseconds = 2_000;
 /** Time that a directory with an empty disk gets to replicate the state of the others before a disk may be lost again. */
 const catchUpMilliseconds = 7_000;
 /** Factor by which the processing times of a slow backend server are multiplied. */
@@ -48,17 +48,17 @@
     }
 
     /** Starts each fault at its time; resolves when all of them have ended. */
-    async play(faults: readonly Fault[]): Promise<void> {
+    async injectAll(faults: readonly Fault[]): Promise<void> {
         const start = performance.now();
         for (const fault of faults) {
             await pause(Math.max(0, start + fault.at - performance.now()));
-            const done = this.carryOut(fault).finally(() => this.running.delete(done));
+            const done = this.inject(fault).finally(() => this.running.delete(done));
             this.running.add(done);
         }
         await Promise.all(this.running);
     }
 
-    private async carryOut(fault: Fault): Promise<void> {
+    private async inject(fault: Fault): Promise<void> {
         const { kind } = fault;
         const end = plannedKinds.has(kind) ? undefined : this.invariants.disturb(kind, performance.now());
         try {
@@ -88,9 +88,8 @@
             wipeDirectory: () => this.restartWithEmptyDisk(fault, directory),
             tearLog: () => this.killFor(fault, [directory], lasts, () => directory.appendTornRecord()),
             replaceDirectory: () => this.replace(fault, directory),
-            killDirectories: () =>
-                this.killFor(fault, deployment.directories, Math.min(lasts, maximumOutageMilliseconds)),
-            killAll: () => this.killFor(fault, deployment.members(), Math.min(lasts, maximumOutageMilliseconds)),
+            killDirectories: () => this.killFor(fault, deployment.directories, Math.min(lasts, maxOutageMilliseconds)),
+            killAll: () => this.killFor(fault, deployment.members(), Math.min(lasts, maxOutageMilliseconds)),
             cutDirectory: () => this.cutFor(fault, [directory], this.others(directory)),
             cutDirectoryOneWay: () => this.cutOneWayFor(fault, directory),
             cutGateway: () => this.cutFor(fault, [gateway], deployment.directories),
@@ -277,7 +276,7 @@
         const pendingRequests: Promise<unknown>[] = [];
         for (let count = 0; performance.now() < endsAt; count++) {
             const gateway = this.deployment.gateways[count % this.deployment.gateways.length]!;
-            pendingRequests.push(this.callers.ask(gateway, kind, `${routePrefixes[kind]}x`, body));
+            pendingRequests.push(this.callers.sendRequest(gateway, kind, `${routePrefixes[kind]}x`, body));
             await pause(poisonIntervalMilliseconds);
         }
         await Promise.all(pendingRequests);
--- a/soak/invariants.ts
+++ b/soak/invariants.ts
@@ -10,7 +10,7 @@
 const aftereffectMilliseconds = 4_000;
 
 /** Crashes that one request may cause, and the time after the last of them until all gateways have quarantined it. */
-const maximumCrashes = 3;
+const maxCrashes = 3;
 const quarantinePropagationMilliseconds = 3_000;
 
 /** How a request ended, as its caller saw it. */
@@ -113,7 +113,7 @@
         const serverCrashes = this.crashTimes.get(body) ?? [];
         this.crashTimes.set(body, serverCrashes);
         serverCrashes.push(now);
-        const thirdCrashAt = serverCrashes[maximumCrashes - 1];
+        const thirdCrashAt = serverCrashes[maxCrashes - 1];
         if (
             thirdCrashAt !== undefined && now > thirdCrashAt + quarantinePropagationMilliseconds
             && !this.isOtherwiseDisturbed(thirdCrashAt, now)
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -42,7 +42,7 @@
     return folder;
 }
 
-async function playSeed(seed: number): Promise<boolean> {
+async function runSeed(seed: number): Promise<boolean> {
     const report = await runSoak(createPlan(seed, size));
     const { violations, requests, ends, cuts, faults } = report;
     const summary = `${requests} requests ${JSON.stringify(ends)} ${JSON.stringify(cuts)}, ${faults.length} faults`;
@@ -57,11 +57,11 @@
 
 let next = first;
 let failedSeeds = 0;
-async function playSeeds(): Promise<void> {
+async function runSeeds(): Promise<void> {
     while (next < first + options.seeds) {
         const seed = next++;
         try {
-            failedSeeds += await playSeed(seed) ? 0 : 1;
+            failedSeeds += await runSeed(seed) ? 0 : 1;
         }
         catch (error) {
             failedSeeds += 1;
@@ -70,7 +70,7 @@
     }
 }
 
-await Promise.all(Array.from({ length: options.jobs }, () => playSeeds()));
+await Promise.all(Array.from({ length: options.jobs }, () => runSeeds()));
 console.log(
     `${options.seeds} seeds from ${first}: ${options.seeds - failedSeeds} kept every invariant, ${failedSeeds} didn't`,
 );
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -76,11 +76,11 @@
 const defaultSeconds = 14;
 const millisecondsInSecond = 1_000;
 /** Bounds for the time between the starts of two faults, chosen so that some faults overlap and some don't. */
-const minimumGapMilliseconds = 250;
-const maximumGapMilliseconds = 2_600;
+const minGapMilliseconds = 250;
+const maxGapMilliseconds = 2_600;
 /** Bounds for the duration of a fault: durations fall on both sides of every timeout that lies between them. */
-const minimumDurationMilliseconds = 200;
-const maximumDurationMilliseconds = 5_000;
+const minDurationMilliseconds = 200;
+const maxDurationMilliseconds = 5_000;
 /** Probability that a fault is followed by another of the same kind, since real faults often recur within a short time. */
 const seriesProbability = 0.25;
 const seriesGapMilliseconds = 700;
@@ -98,17 +98,17 @@
     const length = (size.seconds ?? defaultSeconds) * millisecondsInSecond;
     const faults: Fault[] = [];
     const kinds = seed % plannedOnlySeedInterval === 0 ? [...plannedKinds] : faultKinds;
-    let at = random.integer(minimumGapMilliseconds, maximumGapMilliseconds);
+    let at = random.integer(minGapMilliseconds, maxGapMilliseconds);
     let kind = kinds[random.integer(0, kinds.length - 1)]!;
     while (at < length) {
         faults.push({
             kind,
             at,
-            lasts: random.integer(minimumDurationMilliseconds, maximumDurationMilliseconds),
+            lasts: random.integer(minDurationMilliseconds, maxDurationMilliseconds),
             pick: random.fraction(),
         });
         const repeatsKind = random.fraction() < seriesProbability;
-        at += repeatsKind ? seriesGapMilliseconds : random.integer(minimumGapMilliseconds, maximumGapMilliseconds);
+        at += repeatsKind ? seriesGapMilliseconds : random.integer(minGapMilliseconds, maxGapMilliseconds);
         kind = repeatsKind ? kind : kinds[random.integer(0, kinds.length - 1)]!;
     }
     return { seed, directories, gateways, engines: 6, plainServers: 3, length, requestsPerSecond: 30, faults };
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -39,7 +39,7 @@
     const deployment = await SoakDeployment.create(plan, invariants);
     try {
         const run = new Run(plan, deployment, invariants, random);
-        await run.play(line => faults.push(line));
+        await run.execute(line => faults.push(line));
         return run.report(faults);
     }
     finally {
@@ -61,7 +61,7 @@
         this.operator = Operator.create(deployment, invariants, random);
     }
 
-    async play(note: (line: string) => void): Promise<void> {
+    async execute(reportFault: (line: string) => void): Promise<void> {
         const { deployment, operator, callers, invariants, plan } = this;
         await deployment.start();
         await operator.change();
@@ -70,7 +70,7 @@
         callers.start(plan.requestsPerSecond);
         const readTimer = setInterval(() => void operator.read(), checkIntervalMilliseconds);
         const processTimer = setInterval(() => this.checkProcesses(), checkIntervalMilliseconds);
-        await FaultRunner.create(deployment, operator, invariants, callers, note).play(plan.faults);
+        await FaultRunner.create(deployment, operator, invariants, callers, reportFault).injectAll(plan.faults);
         await callers.stop();
         clearInterval(readTimer);
         clearInterval(processTimer);
@@ -103,7 +103,7 @@
         for (const gateway of this.deployment.gateways) {
             for (const kind of ["safe", "unsafe", "resumable", "once"] as const) {
                 await until(`${gateway.name} serves ${kind}`, async () => {
-                    const { end } = await this.callers.ask(gateway, kind);
+                    const { end } = await this.callers.sendRequest(gateway, kind);
                     return end?.kind === "answered" && end.status === 200;
                 }, recoveryTimeoutMilliseconds);
             }
@@ -121,7 +121,7 @@
             for (const gateway of this.deployment.gateways) {
                 await until(`${gateway.name} applies the newest configuration`, async () => {
                     const path = Operator.probePath(this.invariants.newestAcknowledged());
-                    const { end } = await this.callers.ask(gateway, "safe", path);
+                    const { end } = await this.callers.sendRequest(gateway, "safe", path);
                     return end?.kind === "answered" && end.status === 200;
                 }, recoveryTimeoutMilliseconds);
             }
@@ -136,7 +136,7 @@
     private async sendFinalRequests(): Promise<void> {
         for (const gateway of this.deployment.gateways) {
             for (let requestNumber = 0; requestNumber < finalRequests; requestNumber++) {
-                const { end, attempt } = await this.callers.ask(gateway, "once");
+                const { end, attempt } = await this.callers.sendRequest(gateway, "once");
                 if (end?.kind !== "answered" || end.status !== 200) {
                     this.invariants.violate("recovery", `${gateway.name} gave ${attempt} ${JSON.stringify(end)}`);
                 }
--- a/soak/texts.ts
+++ b/soak/texts.ts
@@ -3,8 +3,8 @@
 import { hashToFraction } from "../packages/basilpaddle/src/node/utils/index.js";
 
 /** Bounds for the number of events in a streamed response. */
-const maximumEvents = 24;
-const minimumEvents = 3;
+const maxEvents = 24;
+const minEvents = 3;
 const plainBodyLength = 800;
 
 /** Body of a plain response. */
@@ -14,7 +14,7 @@
 
 /** Number of events in a streamed response; derived from the attempt. */
 export function eventCount(attempt: string): number {
-    return minimumEvents + Math.floor(hashToFraction(attempt) * (maximumEvents - minimumEvents));
+    return minEvents + Math.floor(hashToFraction(attempt) * (maxEvents - minEvents));
 }
 
 /** One event of a streamed response, numbered from 1. */
