--- a/packages/basilpaddle/src/node/coordination/gateway/serverChoice.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/serverChoice.ts
@@ -44,7 +44,7 @@
 
 /** How long a server that rejected a call counts as full. */
 const rejectionMilliseconds = 30;
-/** Half-life of a server's statistics while it has no open call; without it one slow period would exclude the server for good. */
+/** Half-life of a server's statistics while it has no open call; without it one slow period would exclude the server forever. */
 const statisticsHalfLifeMilliseconds = 2_000;
 
 /**
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
@@ -92,7 +92,7 @@
     });
 
     // Guards against quarantining the victims of a rack failure: requests timed out at two unresponsive engines in turn, each
-    // before a first event, and would have been quarantined once heartbeats reported both as gone, though a third engine
+    // before a first event, and would have been quarantined once heartbeats reported both as ended, though a third engine
     // could have served them.
     it("doesn't count a run that timed out at an unresponsive server as an early crash", async () => {
         listening = "unknown";
--- a/packages/basilpaddle/src/node/coordination/quarantine/requestDigest.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/requestDigest.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 
-/** Long enough that nobody can construct a request with the digest of another one. */
+/** Long enough that a request with the digest of another one can't be constructed. */
 const digestBytes = 16;
 
 /** What identifies a request, independent of the attempt and the daemon that receives it. */
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/backendServerRegistry.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/backendServerRegistry.spec.ts
@@ -15,7 +15,7 @@
     });
 }
 
-// Guards against requests rejected with "no backend server is known" for half a second after a power loss of the whole
+// Guards against requests refused with "no backend server is known" for half a second after a power loss of the whole
 // deployment. One plain server was left, which sent its heartbeats to one of three directories; the two others started first,
 // and gateways took their configuration from these. Each directory had stored only servers with heartbeats to itself.
 describe("backend servers that a directory keeps across a restart", () => {
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/placementService.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/placementService.spec.ts
@@ -36,7 +36,7 @@
 }
 
 describe("placement by the leading directory", () => {
-    // Guards against rejected requests ("a placed engine has ended or is unknown") while other engines have room. An engine left
+    // Guards against refused requests ("a placed engine has ended or is unknown") while other engines have room. An engine left
     // within 50 ms after the change of another one had been applied; its own change was applied only after these 50 ms, and
     // runs were placed on it meanwhile.
     it("places nothing on an engine that has just left, even right after another engine's change", async () => {
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/watchService.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/watchService.spec.ts
@@ -53,7 +53,7 @@
     return { gateways, settled: gatewaysSettled };
 }
 
-// Guards against requests rejected for lack of retries in the seconds after a power loss of the whole deployment: restarted
+// Guards against requests refused for lack of retries in the seconds after a power loss of the whole deployment: restarted
 // directories counted only the gateways that had reconnected so far, which is too low a number.
 describe("the count of gateways after a restart", () => {
     it("is the previous one until all gateways have had time to reconnect", async () => {
@@ -146,7 +146,7 @@
         expect(answers.count).to.be.at.least(40 * 2);
     });
 
-    // Guards against requests that are sent to a backend server that has left, or rejected although one is available, for up
+    // Guards against requests that are sent to a backend server that has left, or refused although one is available, for up
     // to 0.1 s in a deployment of a few hosts: a few gateways were throttled as much as hundreds have to be.
     it("are answered almost immediately if there are few", async () => {
         const clock = new ManualClock();
--- a/packages/basilpaddle/src/node/daemon/directory/directoryWire.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/directoryWire.ts
@@ -6,7 +6,7 @@
 export type DirectoryCall =
     /** Heartbeat of a backend server. */
     | { readonly kind: "announce"; readonly name: string; }
-    /** A backend server shuts down for good and should receive no more work. */
+    /** A backend server shuts down and should receive no more work. */
     | { readonly kind: "leave"; readonly name: string; }
     | { readonly kind: "storeConfiguration"; }
     | { readonly kind: "readConfiguration"; }
--- a/packages/basilpaddle/src/node/daemon/directory/watchService.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/watchService.ts
@@ -22,7 +22,7 @@
 /**
  * Time after startup within which gateways reconnect: longer than a restart of all of them. Until then the gateway count from
  * before the restart is used, if there is one. With the count of those connected so far each gateway would take too large a
- * share of the common budgets, and with a guess almost none, so that requests would be rejected for lack of retries.
+ * share of the common budgets, and with a guess almost none, so that requests would be refused for lack of retries.
  */
 const gatewaySettleMilliseconds = 6_000;
 
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
@@ -259,23 +259,23 @@
         const table = this.routeTable ?? await this.awaitRouteTable(wire.parseCaller(incoming.headers).deadlineWithin);
         if (table === undefined) {
             const retryHeaders = { "Retry-After": String(unconfiguredRetryAfterSeconds) };
-            this.rejectRequest(incoming, response, 503, "no configuration received yet", retryHeaders);
+            this.refuseRequest(incoming, response, 503, "no configuration received yet", retryHeaders);
             return;
         }
         const limits = this.callerServer.currentLimits();
         if (headerBytes(incoming.rawHeaders, incoming.method ?? "", incoming.url ?? "") > limits.headerBytes) {
-            this.rejectRequest(incoming, response, 431, `the header is larger than ${limits.headerBytes} bytes`);
+            this.refuseRequest(incoming, response, 431, `the header is larger than ${limits.headerBytes} bytes`);
             return;
         }
         const route = table.match(incoming.headers.host ?? "", incoming.url ?? "");
         if (route === undefined) {
-            this.rejectRequest(incoming, response, 404, "no route matches the request");
+            this.refuseRequest(incoming, response, 404, "no route matches the request");
             return;
         }
         const metadata = wire.parseCaller(incoming.headers);
         const body = await readBody(incoming, limits);
         if (body === "tooLarge") {
-            this.rejectRequest(incoming, response, 413, `the body is larger than ${limits.bodyBytes} bytes`);
+            this.refuseRequest(incoming, response, 413, `the body is larger than ${limits.bodyBytes} bytes`);
             return;
         }
         if (body === undefined) {
@@ -345,7 +345,7 @@
     }
 
     /** Answers a request that can't be routed with an error, and discards the rest of its body. */
-    private rejectRequest(
+    private refuseRequest(
         incoming: http.IncomingMessage,
         response: http.ServerResponse,
         status: number,
