--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewClient.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewClient.spec.ts
@@ -3,7 +3,7 @@
 
 const everyVoter = [0, 1, 2];
 
-async function running(seed = 1, daemons = 1): Promise<Deployment> {
+async function createRunningDeployment(seed = 1, daemons = 1): Promise<Deployment> {
     const deployment = new Deployment({ seed, controls: 3, members: 3, daemons });
     await deployment.run(6_000);
     expect(deployment.daemons.every(daemon => daemon.client.mayStart()), "all daemons may start").to.equal(true);
@@ -11,12 +11,12 @@
 }
 
 /** Runs the simulation until the condition holds, for at most `atMost` milliseconds. */
-async function until(deployment: Deployment, condition: () => boolean, atMost: number): Promise<void> {
-    const end = deployment.world.now + atMost;
-    while (!condition() && deployment.world.now < end) {
+async function runUntil(deployment: Deployment, condition: () => boolean, timeout: number): Promise<void> {
+    const deadline = deployment.world.now + timeout;
+    while (!condition() && deployment.world.now < deadline) {
         await deployment.run(5);
     }
-    expect(condition(), `${condition} within ${atMost} ms`).to.equal(true);
+    expect(condition(), `${condition} within ${timeout} ms`).to.equal(true);
 }
 
 describe("a control client", () => {
@@ -25,7 +25,7 @@
         const { client } = deployment.daemons[0]!;
         expect(client.mayStart()).to.equal(false);
         expect(client.startBlocker()).to.deep.equal({ kind: "neverConfirmed" });
-        await until(deployment, () => client.mayStart(), 6_000);
+        await runUntil(deployment, () => client.mayStart(), 6_000);
         expect(client.view().sessions).to.have.property("entry-0");
     });
 
@@ -35,14 +35,14 @@
      * would still be valid then.
      */
     it("treats its lease as expired when it resumes from a freeze", async () => {
-        const deployment = await running();
+        const deployment = await createRunningDeployment();
         const [daemon] = deployment.daemons;
         daemon!.process.freeze(5_000);
         deployment.proposeChange();
         await deployment.run(4_999);
         expect(deployment.group.accepted.size).to.be.greaterThan(0);
         expect(daemon!.client.mayStart()).to.equal(false);
-        await until(deployment, () => daemon!.client.mayStart(), 6_000);
+        await runUntil(deployment, () => daemon!.client.mayStart(), 6_000);
         expect(daemon!.client.view().index).to.be.at.least(Math.max(...deployment.group.accepted));
     });
 
@@ -51,34 +51,36 @@
      * for an hour, with more changes than the steps of one answer can carry, so that steps in between are missing.
      */
     it("catches up with a snapshot after an hour-long partition", async () => {
-        const deployment = await running();
+        const deployment = await createRunningDeployment();
         const [daemon] = deployment.daemons;
         const before = daemon!.client.view().index;
-        everyVoter.forEach(at => deployment.cutBothWays(daemon!.process, deployment.voter(at).process, 3_600_000));
+        everyVoter.forEach(index =>
+            deployment.cutBothWays(daemon!.process, deployment.voter(index).process, 3_600_000)
+        );
         for (let change = 0; change < 40; change++) {
             deployment.proposeChange();
             await deployment.run(89_000);
         }
         expect(daemon!.client.mayStart()).to.equal(false);
         expect(daemon!.client.view().index).to.equal(before);
-        await until(deployment, () => daemon!.client.mayStart(), 60_000);
+        await runUntil(deployment, () => daemon!.client.mayStart(), 60_000);
         expect(daemon!.client.view().index).to.be.at.least(before + 40);
     });
 
     it("may start work for as long as a majority of the voters is known to be down", async () => {
-        const deployment = await running();
+        const deployment = await createRunningDeployment();
         const [daemon] = deployment.daemons;
         const { started } = daemon!;
-        [0, 1].forEach(at => deployment.voter(at).crash(60_000));
+        [0, 1].forEach(index => deployment.voter(index).crash(60_000));
         await deployment.run(50_000);
         expect(daemon!.client.mayStart()).to.equal(true);
         expect(daemon!.started - started).to.be.greaterThan(1_900);
     });
 
     it("stops starting work within the view lease when a majority is silent", async () => {
-        const deployment = await running();
+        const deployment = await createRunningDeployment();
         const [daemon] = deployment.daemons;
-        [0, 1].forEach(at => deployment.voter(at).process.freeze(60_000));
+        [0, 1].forEach(index => deployment.voter(index).process.freeze(60_000));
         await deployment.run(deployment.timing.viewLease);
         const { started } = daemon!;
         expect(daemon!.client.startBlocker()).to.include({ kind: "noMajority" });
@@ -91,12 +93,12 @@
      * out, which it learns from the other voters; it has to reopen the session and not just open it at startup.
      */
     it("reopens its session after it timed out", async () => {
-        const deployment = await running();
+        const deployment = await createRunningDeployment();
         const [daemon] = deployment.daemons;
         const leader = deployment.group.voters.find(voter => voter.isLeading())!;
         deployment.cutBothWays(daemon!.process, leader.process, 6_000);
-        await until(deployment, () => daemon!.client.startBlocker()?.kind === "noSession", 6_000);
-        await until(deployment, () => daemon!.client.mayStart(), 10_000);
+        await runUntil(deployment, () => daemon!.client.startBlocker()?.kind === "noSession", 6_000);
+        await runUntil(deployment, () => daemon!.client.mayStart(), 10_000);
     });
 
     /*
@@ -104,7 +106,7 @@
      * name; the first one must not reopen its session as if it had timed out.
      */
     it("stops permanently when another process has opened a session under its name", async () => {
-        const deployment = await running();
+        const deployment = await createRunningDeployment();
         const [daemon] = deployment.daemons;
         const first = daemon!.client;
         const session = { daemon: "entry-0", incarnation: "other" };
@@ -121,24 +123,24 @@
     });
 
     it("sends a command to the new leader, and reports it as undecided without a leader", async () => {
-        const deployment = await running();
+        const deployment = await createRunningDeployment();
         const { client } = deployment.daemons[0]!;
-        const lease = (name: string) =>
+        const grantLease = (name: string) =>
             client.propose({ kind: "grantLease", lease: name, holder: client.session(), at: 0 }, 8_000);
         deployment.group.voters.find(voter => voter.isLeading())!.crash(60_000);
-        const [afterLeaderChange] = await Promise.all([lease("orders"), deployment.run(8_000)]);
+        const [afterLeaderChange] = await Promise.all([grantLease("orders"), deployment.run(8_000)]);
         expect(afterLeaderChange.isRight()).to.equal(true);
-        everyVoter.forEach(at => deployment.voter(at).crash(60_000));
-        const [withoutLeader] = await Promise.all([lease("scheduler/x"), deployment.run(9_000)]);
+        everyVoter.forEach(index => deployment.voter(index).crash(60_000));
+        const [withoutLeader] = await Promise.all([grantLease("scheduler/x"), deployment.run(9_000)]);
         expect(withoutLeader.extract()).to.include({ kind: "undecided" });
     });
 
     /*
      * Guards against a daemon that starts work without a change that a new leader accepts within milliseconds. The
-     * daemon loses its connection to the leader only and its session is closed. Before it learns so, the leader and
-     * another voter die, and their refusals extend its lease beyond a view lease. They restart, the third voter leads, and
-     * the daemon is partitioned from all: a new leader that considers the close long past and waits only for the open
-     * sessions would accept the change too early.
+     * daemon loses only its connection to the leader, and its session is closed. Before it receives that, the leader and
+     * another voter crash, and their refusals extend its lease beyond a view lease. They restart, the third voter becomes
+     * leader, and the daemon is partitioned from all voters. If the new leader ignored the closed session because it was
+     * closed long ago, and waited only for the open sessions, it would accept the change too early.
      */
     it("has no valid lease once a new leader considers it expired, although its session was closed before", async () => {
         let cases = 0;
@@ -149,16 +151,16 @@
     });
 });
 
-/** Throws if the daemon starts work on a stale view. False if it learned of the close too early for the scenario to occur. */
+/** Throws if the daemon starts work on a stale view. False if it received the closed session too early for the scenario. */
 async function isExtendedAfterSessionClose(seed: number): Promise<boolean> {
-    const deployment = await running(seed, 2);
+    const deployment = await createRunningDeployment(seed, 2);
     const [daemon] = deployment.daemons;
     const { voters } = deployment.group;
     const leader = voters.find(voter => voter.isLeading())!;
     const survivor = voters[(voters.indexOf(leader) + 1) % voters.length]!;
     const others = voters.filter(voter => voter !== survivor);
     deployment.cutBothWays(daemon!.process, leader.process, 6_000);
-    await until(deployment, () => survivor.openSessions().every(({ daemon }) => daemon !== "entry-0"), 6_000);
+    await runUntil(deployment, () => survivor.openSessions().every(({ daemon }) => daemon !== "entry-0"), 6_000);
     deployment.cutBothWays(daemon!.process, survivor.process, 60_000);
     deployment.cutBothWays(daemon!.process, leader.process, 0);
     others.forEach(voter => voter.crash(5_000));
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewLease.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewLease.spec.ts
@@ -4,12 +4,12 @@
 const voters = ["a", "b", "c"];
 const timing = { viewLease: 3_000, electionTimeout: 600 };
 
-function answer(voter: string, appendedView: number, more: Partial<VoterAnswer> = {}): VoterAnswer {
-    return { voter, voting: true, voters, appendedView, ...more };
+function answer(voter: string, appendedView: number, overrides: Partial<VoterAnswer> = {}): VoterAnswer {
+    return { voter, voting: true, voters, appendedView, ...overrides };
 }
 
 /** A lease that is confirmed as of 1000, with view index 5 applied. */
-function confirmed(): ViewLease {
+function createConfirmedLease(): ViewLease {
     const lease = ViewLease.create(timing);
     lease.recordApplied(5);
     lease.startRound(1, 1_000);
@@ -20,7 +20,7 @@
 
 describe("the view lease", () => {
     it("is valid from the time the request was sent and expires exactly at its end", () => {
-        const lease = confirmed();
+        const lease = createConfirmedLease();
         expect(lease.status(3_999)).to.deep.equal({ confirmedUntil: 4_000, blocker: undefined });
         expect(lease.isValid(4_000)).to.equal(false);
         expect(lease.status(4_000).blocker).to.include({ kind: "noMajority" });
@@ -39,7 +39,7 @@
      * rounds later; if it counted as of its arrival or for a newer round, the lease would be too long.
      */
     it("counts a delayed answer only for its own round", () => {
-        const lease = confirmed();
+        const lease = createConfirmedLease();
         lease.startRound(2, 2_000);
         lease.startRound(3, 3_000);
         lease.recordAnswer(3, answer("a", 5));
@@ -52,7 +52,7 @@
     });
 
     it("is not renewed until a newer view command in the logs of a majority has been applied", () => {
-        const lease = confirmed();
+        const lease = createConfirmedLease();
         lease.startRound(2, 2_000);
         lease.recordAnswer(2, answer("a", 7));
         lease.recordAnswer(2, answer("b", 7));
@@ -80,7 +80,7 @@
      * which accepts a change, and the old leader resumes and answers first; its answer alone must not confirm the view.
      */
     it("counts the answer of a deposed leader as a single vote", () => {
-        const lease = confirmed();
+        const lease = createConfirmedLease();
         lease.startRound(2, 2_000);
         lease.recordAnswer(2, answer("a", 5));
         lease.recordAnswer(2, answer("b", 6));
@@ -90,7 +90,7 @@
 
     describe("when the quorum is lost", () => {
         it("is extended from the time of the request that a majority refused", () => {
-            const lease = confirmed();
+            const lease = createConfirmedLease();
             lease.startRound(2, 2_000);
             lease.recordRefusal(2, "b", 2_001);
             expect(lease.status(2_001).confirmedUntil).to.equal(4_000);
@@ -135,7 +135,7 @@
         ];
         for (const [condition, applyEvents] of cases) {
             it(`is not extended if ${condition}`, () => {
-                const lease = confirmed();
+                const lease = createConfirmedLease();
                 applyEvents(lease);
                 expect(lease.status(3_000).confirmedUntil).to.equal(4_000);
             });
@@ -147,11 +147,11 @@
          * even number of voters blocks a majority of them, but not of a group that is larger by one.
          */
         it("is not extended by refusals of exactly half of an even number of voters", () => {
-            const four = [...voters, "d"];
+            const fourVoters = [...voters, "d"];
             const lease = ViewLease.create(timing);
             lease.startRound(1, 1_000);
             for (const voter of ["a", "b", "c"]) {
-                lease.recordAnswer(1, answer(voter, 0, { voters: four }));
+                lease.recordAnswer(1, answer(voter, 0, { voters: fourVoters }));
             }
             lease.startRound(2, 2_000);
             lease.recordRefusal(2, "a", 2_001);
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewOverTcp.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewOverTcp.spec.ts
@@ -17,16 +17,16 @@
 
     beforeEach(async () => {
         group = await ControlGroup.create(names, timing);
-        clients = [0, 1].map(at =>
+        clients = [0, 1].map(index =>
             PeerControlClient.create({
-                session: commands.session(`entry-${at}`),
+                session: commands.session(`entry-${index}`),
                 failureDomain: "pocitos",
                 peers: { host: "127.0.0.1", port: 1 },
                 controls: group.settings(names[0]!).controls,
                 timing,
-                network: new CuttableNetwork(group.wiring, firstClientPort + at),
+                network: new CuttableNetwork(group.wiring, firstClientPort + index),
                 clock: SystemClock.create(),
-                randomness: SeededRandomness.create(at),
+                randomness: SeededRandomness.create(index),
                 logger: createSilentLogger(),
             })
         );
@@ -51,22 +51,22 @@
     });
 
     it("transfer the leases of an unreachable client, and release those of a closing client at once", async () => {
-        const granted = await until("a lease holder", () => clients[0]!.view().leases[ordersLease]);
-        const holder = clients.findIndex(client => client.session().daemon === granted.holder.daemon);
+        const firstLease = await until("a lease holder", () => clients[0]!.view().leases[ordersLease]);
+        const holder = clients.findIndex(client => client.session().daemon === firstLease.holder.daemon);
         const other = clients[1 - holder]!;
         group.wiring.cutOff.add(firstClientPort + holder);
-        const next = await until("the other client as lease holder", () => {
+        const newLease = await until("the other client as lease holder", () => {
             const lease = other.view().leases[ordersLease];
             return lease?.holder.daemon === other.session().daemon ? lease : undefined;
         });
-        expect(next.fence).to.be.greaterThan(granted.fence);
+        expect(newLease.fence).to.be.greaterThan(firstLease.fence);
         expect(clients[holder]!.mayStart()).to.equal(false);
         group.wiring.cutOff.delete(firstClientPort + holder);
         await until("the session to be reopened", () => clients[holder]!.mayStart() || undefined);
         await other.close();
         await until("the lease to return", () => {
             const lease = clients[holder]!.view().leases[ordersLease];
-            return lease?.holder.daemon === granted.holder.daemon ? lease : undefined;
+            return lease?.holder.daemon === firstLease.holder.daemon ? lease : undefined;
         });
     });
 
--- a/packages/basilpaddle/src/node/coordination/view/pendingRenewals.ts
+++ b/packages/basilpaddle/src/node/coordination/view/pendingRenewals.ts
@@ -1,6 +1,6 @@
 import type { PeerRequest } from "../../protocol/index.js";
 
-/** Renewals in the form in which a `confirmView` request carries them. */
+/** Renewals as sent in a `confirmView` request. */
 export type RenewalList = Extract<PeerRequest, { kind: "confirmView"; }>["renewals"];
 
 /** Renewals of backend servers that no control daemon has acknowledged yet, at most one per backend server. */
@@ -12,10 +12,10 @@
         return new PendingRenewals();
     }
 
-    /** Records a renewal. A delayed one of an earlier incarnation doesn't replace that of a later incarnation. */
-    note(id: string, incarnation: number): void {
-        const earlier = this.unacknowledged.get(id);
-        if (earlier !== undefined && earlier.incarnation > incarnation) {
+    /** Records a renewal. A delayed renewal of an earlier incarnation doesn't replace one of a later incarnation. */
+    record(id: string, incarnation: number): void {
+        const previous = this.unacknowledged.get(id);
+        if (previous !== undefined && previous.incarnation > incarnation) {
             return;
         }
         this.unacknowledged.set(id, { incarnation, sequence: ++this.lastSequence });
@@ -27,7 +27,7 @@
         return { list, upTo: this.lastSequence };
     }
 
-    /** Removes the renewals up to the given sequence number. One that was recorded again since then stays. */
+    /** Removes the renewals up to the given sequence number. A renewal that was recorded again later is kept. */
     acknowledge(upTo: number): void {
         for (const [id, renewal] of this.unacknowledged) {
             if (renewal.sequence <= upTo) {
--- a/packages/basilpaddle/src/node/coordination/view/proposer.ts
+++ b/packages/basilpaddle/src/node/coordination/view/proposer.ts
@@ -11,21 +11,21 @@
 import type { Clock, Randomness } from "../../utils/index.js";
 import type { Undecided } from "../controlClient.js";
 
-/** A command that is stored by a quorum. */
+/** A command that a quorum has stored. */
 export type CommittedCommand = { readonly index: number; readonly result: CommandResult; };
 
 /** Name and network address of a control daemon. */
 export type ControlAddress = { readonly name: string; readonly host: string; readonly port: number; };
 
 type ProposalAttempt =
-    | { readonly kind: "held"; readonly held: CommittedCommand; }
+    | { readonly kind: "held"; readonly committed: CommittedCommand; }
     | { readonly kind: "moved"; readonly leader: string | undefined; }
     | { readonly kind: "failed"; readonly reason: string; };
 
-/** Timeout of one attempt in election timeouts. A leader that is silent for longer has been replaced or soon will be. */
-const attemptTimeoutElections = 2;
-/** Mean pause, in heartbeat intervals, before the next control daemon is tried while no leader is known. */
-const retryPauseHeartbeats = 0.5;
+/** Timeout of one attempt, in election timeouts. A leader that is silent for longer has been replaced or soon will be. */
+const attemptTimeoutInElections = 2;
+/** Mean delay, in heartbeat intervals, before the next control daemon is tried while no leader is known. */
+const retryDelayInHeartbeats = 0.5;
 
 /** Proposes commands, retrying the same command until a leader answers or the timeout expires. */
 export class Proposer {
@@ -54,7 +54,7 @@
     }
 
     /** Stores the leader that a control daemon reported. Unknown names are ignored. */
-    noteLeader(leader: string | undefined): void {
+    recordLeader(leader: string | undefined): void {
         if (leader !== undefined && this.controls.some(control => control.name === leader)) {
             this.leader = leader;
         }
@@ -67,12 +67,12 @@
     async propose(command: Command, timeout: number): Promise<Either<Undecided, CommittedCommand>> {
         const deadline = this.clock.monotonic() + timeout;
         let reason = "no attempt was made";
-        for (let left = timeout; left > 0 && !this.closed; left = deadline - this.clock.monotonic()) {
+        for (let remaining = timeout; remaining > 0 && !this.closed; remaining = deadline - this.clock.monotonic()) {
             const control = this.nextControl();
-            const attempt = await this.attempt(control, command, Math.min(left, this.attemptTimeout(command)));
+            const attempt = await this.attempt(control, command, Math.min(remaining, this.attemptTimeout(command)));
             if (attempt.kind === "held") {
                 this.leader = control.name;
-                return Right(attempt.held);
+                return Right(attempt.committed);
             }
             reason = attempt.kind === "failed"
                 ? `${control.name}: ${attempt.reason}`
@@ -91,8 +91,8 @@
     }
 
     private nextControl(): ControlAddress {
-        const known = this.controls.find(control => control.name === this.leader);
-        return known ?? this.controls[this.nextControlIndex++ % this.controls.length]!;
+        const knownLeader = this.controls.find(control => control.name === this.leader);
+        return knownLeader ?? this.controls[this.nextControlIndex++ % this.controls.length]!;
     }
 
     private async prepareNextAttempt(
@@ -105,12 +105,13 @@
             this.leader = undefined;
         }
         if (leaderHint !== undefined && leaderHint !== control.name) {
-            this.noteLeader(leaderHint);
+            this.recordLeader(leaderHint);
             return;
         }
-        // There is no leader during an election. Without a pause, all daemons would flood the control daemons with proposals.
-        const pause = this.timing.heartbeatInterval * retryPauseHeartbeats * (0.5 + this.randomness.fraction());
-        await this.sleep(Math.min(pause, Math.max(0, deadline - this.clock.monotonic())));
+        // There is no leader during an election. Without a delay, all daemons would flood the control daemons with
+        // proposals.
+        const delay = this.timing.heartbeatInterval * retryDelayInHeartbeats * (0.5 + this.randomness.fraction());
+        await this.sleep(Math.min(delay, Math.max(0, deadline - this.clock.monotonic())));
     }
 
     private async attempt(control: ControlAddress, command: Command, timeout: number): Promise<ProposalAttempt> {
@@ -129,15 +130,15 @@
     }
 
     private attemptTimeout(command: Command): number {
-        const electionsTimeout = this.timing.electionTimeout * attemptTimeoutElections;
+        const baseTimeout = this.timing.electionTimeout * attemptTimeoutInElections;
         // A configuration change is answered only once it is in force, which may take a whole view lease.
-        return command.kind === "changeConfiguration" ? electionsTimeout + 2 * this.timing.viewLease : electionsTimeout;
+        return command.kind === "changeConfiguration" ? baseTimeout + 2 * this.timing.viewLease : baseTimeout;
     }
 
     private link(control: ControlAddress): Link {
-        const known = this.links.get(control.name);
-        if (known !== undefined) {
-            return known;
+        const knownLink = this.links.get(control.name);
+        if (knownLink !== undefined) {
+            return knownLink;
         }
         const link = this.network.link(control);
         this.links.set(control.name, link);
@@ -155,7 +156,7 @@
         }
         this.links.delete(control.name);
         this.retiredLinks.add(link);
-        this.clock.after(this.timing.electionTimeout * attemptTimeoutElections, () => {
+        this.clock.after(this.timing.electionTimeout * attemptTimeoutInElections, () => {
             this.retiredLinks.delete(link);
             link.close();
         });
@@ -173,7 +174,7 @@
     }
     switch (answer.data.kind) {
         case "result":
-            return { kind: "held", held: { index: answer.data.index, result: answer.data.result } };
+            return { kind: "held", committed: { index: answer.data.index, result: answer.data.result } };
         case "notLeader":
             return { kind: "moved", leader: answer.data.leader };
         case "undecided":
--- a/packages/basilpaddle/src/node/coordination/view/sessionKeeper.ts
+++ b/packages/basilpaddle/src/node/coordination/view/sessionKeeper.ts
@@ -3,13 +3,15 @@
 import type { Clock, Logger } from "../../utils/index.js";
 import type { Proposer } from "./proposer.js";
 
-/** Location of the daemon as published in its session: its failure domain and the address for its peers. */
+/**
+ * Location of the daemon as published in its session: its failure domain, and the address at which other daemons connect.
+ */
 export type DaemonLocation = {
     readonly failureDomain: string;
     readonly peers: { readonly host: string; readonly port: number; };
 };
 
-/** Dependencies of a session keeper. */
+/** Options of a session keeper. */
 export type SessionKeeperOptions = DaemonLocation & {
     readonly session: Incarnation;
     readonly timing: Timing;
@@ -18,14 +20,14 @@
     readonly proposer: Proposer;
 };
 
-/** Timeout of one proposal to open the session; it is proposed again after that. */
+/** Timeout of one proposal to open the session. After it, the opening is proposed again. */
 const openTimeoutMilliseconds = 5_000;
 
 /** Opens the session, reopens it after it timed out, and detects another process that runs under the same daemon name. */
 export class SessionKeeper {
     private readonly listeners = new Set<(by: Incarnation) => void>();
     private view: View | undefined;
-    /** Log index at which the session was last opened. A newer view without the session means that it has been closed since. */
+    /** Log index at which the session was last opened. If a newer view lacks the session, it has been closed since. */
     private openedAt: number | undefined;
     private opening = false;
     private replacement: Incarnation | undefined;
@@ -54,8 +56,8 @@
     }
 
     /**
-     * Checks the view for a replacement after each step. If only the result of a whole batch were checked, a process
-     * whose session was opened and closed within the batch would go undetected, and the two processes would keep
+     * Checks the view for a replacement after each applied step. If only the result of a whole batch were checked, another
+     * process whose session was opened and closed within the batch would not be detected, and the two processes would keep
      * replacing each other.
      */
     observe(view: View): void {
@@ -88,7 +90,10 @@
         }
     }
 
-    /** Closes the session, which releases its leases at once. Gives up after four election timeouts; then it times out. */
+    /**
+     * Closes the session, which releases its leases at once. Gives up after four election timeouts; then the session
+     * times out.
+     */
     async close(): Promise<void> {
         this.closed = true;
         this.listeners.clear();
@@ -111,18 +116,18 @@
         }
         this.opening = true;
         const { session, failureDomain, peers, clock, proposer, logger } = this.options;
-        const opened = await proposer.propose(
+        const result = await proposer.propose(
             { kind: "openSession", session, failureDomain, peers, at: clock.wall() },
             openTimeoutMilliseconds,
         );
         this.opening = false;
-        opened.ifLeft(undecided => {
+        result.ifLeft(undecided => {
             logger.warn("could not open the session", undecided);
-        }).ifRight(held => {
-            this.openedAt = held.index;
-            logger.info("session opened", { session, index: held.index });
+        }).ifRight(committed => {
+            this.openedAt = committed.index;
+            logger.info("session opened", { session, index: committed.index });
         });
-        // The view may have advanced meanwhile, with or without the opened session.
+        // The view may have advanced during the proposal, with or without the opened session.
         if (this.view !== undefined) {
             this.ensureOpen(this.view);
         }
--- a/packages/basilpaddle/src/node/coordination/view/viewClient.ts
+++ b/packages/basilpaddle/src/node/coordination/view/viewClient.ts
@@ -11,7 +11,7 @@
 import { type LeaseBlocker, ViewLease } from "./viewLease.js";
 import { type ViewAnswer, ViewPoller } from "./viewPoller.js";
 
-/** Dependencies of a client of the control daemons. */
+/** Options of a client of the control daemons. */
 export type PeerControlClientOptions = {
     /** This incarnation of the daemon. */
     readonly session: Incarnation;
@@ -24,7 +24,7 @@
     readonly clock: Clock;
     readonly randomness: Randomness;
     readonly logger: Logger;
-    /** This daemon's records of requests that backend servers crashed on. @default none */
+    /** This daemon's records of requests that crashed backend servers. @default none */
     readonly quarantined?: QuarantinedRequests | undefined;
 };
 
@@ -125,7 +125,7 @@
         this.poller.recordRenewal(id, incarnation);
     }
 
-    /** Sends the records of requests that backend servers crashed on to the control daemons with an early poll. */
+    /** Sends the records of requests that crashed backend servers to the control daemons, with an early poll. */
     reportCrashes(digests: readonly string[]): void {
         digests.forEach(digest => this.crashes?.markChanged(digest));
         this.poller.pollSoon();
@@ -142,11 +142,11 @@
         this.listeners.clear();
     }
 
-    /** Applies an answer. Its steps continue from the index that was sent in the request, or from its snapshot. */
+    /** Applies an answer. Its steps continue from its snapshot, or else from the index that was sent in the request. */
     private applyAnswer(answer: ViewAnswer): void {
-        this.proposer.noteLeader(answer.leader);
-        const before = this.view();
-        if (answer.snapshot !== undefined && answer.snapshot.index > before.index) {
+        this.proposer.recordLeader(answer.leader);
+        const previousView = this.view();
+        if (answer.snapshot !== undefined && answer.snapshot.index > previousView.index) {
             this.state = ViewState.fromSnapshot(answer.snapshot);
         }
         for (const step of answer.steps ?? []) {
@@ -156,12 +156,12 @@
                 this.sessions.observe(this.view());
             }
         }
-        if (this.view() !== before) {
-            this.viewChanged();
+        if (this.view() !== previousView) {
+            this.handleViewChange();
         }
     }
 
-    private viewChanged(): void {
+    private handleViewChange(): void {
         const view = this.view();
         this.lease.recordApplied(view.index);
         this.sessions.ensureOpen(view);
--- a/packages/basilpaddle/src/node/coordination/view/viewLease.ts
+++ b/packages/basilpaddle/src/node/coordination/view/viewLease.ts
@@ -11,9 +11,9 @@
  * so a majority of the named membership and a majority of the next one share a voter.
  *
  * Extension by refusals. The lease was confirmed as of w, and a majority of the voters refused connections between the
- * request, sent at x, and now < w + viewLease: each of their processes was down at some time after x. Until now no
- * missing change was accepted, because of the confirmation as of w. From now on each commit, vote and confirmation of
- * leadership needs one of the refusing voters, and each of them stays silent for 2 × electionTimeout after it starts.
+ * request, sent at x, and now < w + viewLease: each of their processes was down at some time after x. Up to now no missing
+ * change was accepted, because of the confirmation as of w. From now on each commit, vote and confirmation of leadership
+ * needs one of the refusing voters, and each of them sends nothing for 2 × electionTimeout after it starts.
  * That is longer than `refusalWindow` plus electionTimeout, so a leader elected before x has stepped down before the
  * first of them takes part again, and a leader elected after x waits a whole view lease before it accepts a change. This
  * also requires membership changes to be at least a view lease apart: then at most one membership is in use that the
@@ -54,15 +54,15 @@
     readonly refused: Set<string>;
 };
 
-/** Upper bound of the time from a request to a refusal that still counts for its round. */
-const maximumRefusalWindowMilliseconds = 200;
+/** Maximum time from a request to a refusal that still counts for its round. */
+const maxRefusalWindowMilliseconds = 200;
 /**
- * Upper bound of the refusal window in election timeouts. A restarted voter is silent for 2 × electionTimeout, and most of
- * that must remain for the old leader to step down.
+ * Maximum refusal window, in election timeouts. A restarted voter sends nothing for 2 × electionTimeout, and most of that
+ * time must remain for the old leader to step down.
  */
-const refusalWindowFraction = 0.25;
+const maxRefusalWindowFraction = 0.25;
 
-/** State machine of the view lease, without clock and network access. All times are monotonic milliseconds of this host. */
+/** State machine of the view lease. Uses no clock and no network; all times are monotonic milliseconds of this host. */
 export class ViewLease {
     private readonly rounds = new Map<number, Round>();
     private confirmedAt: number | undefined;
@@ -75,14 +75,14 @@
     ) {}
 
     static create(timing: { readonly viewLease: number; readonly electionTimeout: number; }): ViewLease {
-        const window = Math.min(maximumRefusalWindowMilliseconds, timing.electionTimeout * refusalWindowFraction);
+        const window = Math.min(maxRefusalWindowMilliseconds, timing.electionTimeout * maxRefusalWindowFraction);
         return new ViewLease(timing.viewLease, window);
     }
 
     /** Starts a round of requests with a new number. Its answers confirm the view as of `sentAt`, however late they arrive. */
     startRound(roundNumber: number, sentAt: number): void {
-        for (const [number, earlier] of this.rounds) {
-            if (earlier.sentAt + this.viewLease <= sentAt) {
+        for (const [number, previousRound] of this.rounds) {
+            if (previousRound.sentAt + this.viewLease <= sentAt) {
                 this.rounds.delete(number);
             }
         }
@@ -109,7 +109,10 @@
         this.extendByRefusals(round, at);
     }
 
-    /** Records that the view has been applied up to the index. Answers that reported an index up to this one now count. */
+    /**
+     * Records that the view has been applied up to the index. Earlier answers that reported an index up to this one now
+     * count.
+     */
     recordApplied(index: number): void {
         if (index <= this.appliedIndex) {
             return;
@@ -157,7 +160,7 @@
     }
 
     private extendByRefusals(round: Round, at: number): void {
-        // An expired lease must not be revived by refusals: a change may have been accepted since it expired.
+        // Refusals must not extend an expired lease: a change may have been accepted since it expired.
         if (!this.isValid(at)) {
             return;
         }
@@ -206,6 +209,6 @@
     return voters.length > 0 && count * 2 > voters.length;
 }
 
-function sameVoters(some: readonly string[], others: readonly string[]): boolean {
-    return some.length === others.length && some.every(voter => others.includes(voter));
+function sameVoters(first: readonly string[], second: readonly string[]): boolean {
+    return first.length === second.length && first.every(voter => second.includes(voter));
 }
--- a/packages/basilpaddle/src/node/coordination/view/viewPoller.ts
+++ b/packages/basilpaddle/src/node/coordination/view/viewPoller.ts
@@ -30,9 +30,12 @@
 
 type Poll = { readonly round: number; readonly sentAt: number; readonly wantsSteps: boolean; };
 
-/** Fraction by which an interval is randomly shortened or lengthened, so that daemons don't poll in lockstep. */
+/** Fraction by which an interval is randomly shortened or lengthened, so that daemons don't poll at the same instants. */
 const intervalJitter = 0.2;
-/** Upper bound of the random delay before an early round, as a fraction of the interval: many daemons see a change at once. */
+/**
+ * Maximum random delay before an early round, as a fraction of the interval: many daemons apply a change at the same
+ * time.
+ */
 const earlyRoundFraction = 0.5;
 /** Request timeout in poll intervals. After a timeout the next request uses a new connection. */
 const requestTimeoutIntervals = 2;
@@ -64,7 +67,7 @@
 
     /** Adds a backend server's renewal to the coming rounds, until a control daemon has acknowledged it. */
     recordRenewal(id: string, incarnation: number): void {
-        this.renewals.note(id, incarnation);
+        this.renewals.record(id, incarnation);
     }
 
     /** Polls now and then once per interval. */
@@ -77,7 +80,7 @@
         this.scheduleRound(timing.viewInterval * (1 - intervalJitter + 2 * intervalJitter * randomness.fraction()));
     }
 
-    /** Brings the next round forward: a leader waits until this daemon reports that it has applied a change. */
+    /** Starts the next round early, because a leader waits until this daemon reports that it has applied a change. */
     pollSoon(): void {
         const { timing, randomness } = this.options;
         this.scheduleRound(timing.viewInterval * earlyRoundFraction * randomness.fraction());
@@ -103,19 +106,20 @@
         const sentAt = this.options.clock.monotonic();
         const round = ++this.round;
         this.options.lease.startRound(round, sentAt);
-        const source = this.nextStepsSource(sentAt);
+        const stepsSource = this.nextStepsSource(sentAt);
         for (const control of this.controls) {
-            // At most one request in flight per control daemon. Otherwise requests would queue up on a silent connection,
-            // and a refusal could belong to a connection attempt of an earlier round, before the process was started.
+            // At most one request is in flight per control daemon. Otherwise requests would queue up on a silent
+            // connection, and a refusal could belong to a connection attempt of an earlier round, from before the process
+            // was started.
             if (!control.requestInFlight) {
-                void this.poll(control, { round, sentAt, wantsSteps: control === source });
+                void this.poll(control, { round, sentAt, wantsSteps: control === stepsSource });
             }
         }
     }
 
     /** Steps are requested from one control daemon at a time, in rotation, preferring one that answered its last request. */
     private nextStepsSource(now: number): ControlPeer | undefined {
-        // A snapshot takes a while to arrive. Requesting it from a second daemon would send it twice and slow down both.
+        // A snapshot takes a while to arrive. Requesting it from a second daemon as well would slow down both transfers.
         if (
             this.controls.some(({ stepsRequestedAt }) =>
                 stepsRequestedAt !== undefined && now < stepsRequestedAt + this.requestTimeout()
@@ -123,7 +127,7 @@
         ) {
             return undefined;
         }
-        for (let tried = 0; tried < this.controls.length; tried++) {
+        for (let checked = 0; checked < this.controls.length; checked++) {
             this.stepsSourceIndex = (this.stepsSourceIndex + 1) % this.controls.length;
             const control = this.controls[this.stepsSourceIndex]!;
             if (control.lastRequestAnswered && !control.requestInFlight) {
@@ -148,7 +152,7 @@
         };
         control.requestInFlight = true;
         control.stepsRequestedAt = poll.wantsSteps ? poll.sentAt : undefined;
-        // A snapshot takes longer to transfer than a bare confirmation.
+        // A snapshot takes longer to transfer than a confirmation without steps.
         const timeout = this.requestTimeout() + (poll.wantsSteps ? timing.viewLease : 0);
         const answer = await control.link.request(request, timeout);
         control.requestInFlight = false;
@@ -176,7 +180,7 @@
         }
         if (failure.kind === "timeout") {
             // After a partition that drops packets silently, TCP retransmits with exponential backoff and can stay stalled
-            // for minutes after the network has recovered. A new connection gets through at once.
+            // for minutes after the network has recovered. A new connection works at once.
             control.link.close();
             control.link = this.options.network.link(control.address);
         }
@@ -203,7 +207,7 @@
     }
 }
 
-/** Dependencies of a view poller. */
+/** Options of a view poller. */
 export type ViewPollerOptions = {
     readonly session: Incarnation;
     readonly controls: readonly ControlAddress[];
@@ -213,7 +217,9 @@
     readonly randomness: Randomness;
     readonly logger: Logger;
     readonly lease: ViewLease;
-    /** Exchanges records of requests that backend servers crashed on, within the polls. @default no records are exchanged */
+    /**
+     * Exchanges records of requests that crashed backend servers, as part of the polls. @default no records are exchanged
+     */
     readonly crashes?: CrashExchange | undefined;
     /** Log index and configuration revision that this daemon has applied. */
     readonly progress: () => { readonly applied: number; readonly revision: number; };
