--- a/scripts/control/deployment.ts
+++ b/scripts/control/controlDeployment.ts
@@ -10,11 +10,11 @@
 import { createSilentLogger, SystemClock, SystemRandomness } from "../../packages/basilpaddle/src/node/utils/index.js";
 import type { Usage } from "./controlProcess.js";
 
-const names = ["control-a", "control-b", "control-c"];
+const controlNames = ["control-a", "control-b", "control-c"];
 const logger = createSilentLogger();
 
-/** Three control daemons in processes of their own, with data folders on disk, and clients in this process. */
-export class Deployment {
+/** Three control daemons in separate processes with data folders on disk, and clients in this process. */
+export class ControlDeployment {
     readonly clients: PeerControlClient[] = [];
 
     private constructor(
@@ -23,11 +23,11 @@
         private readonly settings: ControlSettings,
     ) {}
 
-    static async create(): Promise<Deployment> {
+    static async create(): Promise<ControlDeployment> {
         const folder = await fs.mkdtemp(path.join(os.tmpdir(), "basilpaddle-measure-"));
-        const ports = await freePorts(names.length);
-        const controls = names.map((name, position) => ({ name, host: "127.0.0.1", port: ports[position]! }));
-        const all = controls.map(({ name, host, port }) =>
+        const ports = await findFreePorts(controlNames.length);
+        const controls = controlNames.map((name, position) => ({ name, host: "127.0.0.1", port: ports[position]! }));
+        const allSettings = controls.map(({ name, host, port }) =>
             controlSettingsSchema.parse({
                 role: "control",
                 name,
@@ -39,13 +39,15 @@
             })
         );
         const program = path.join(import.meta.dirname, "controlProcess.ts");
-        const children = all.map(settings => fork(program, [JSON.stringify(settings)], { execArgv: ["--import=tsx"] }));
+        const children = allSettings.map(settings =>
+            fork(program, [JSON.stringify(settings)], { execArgv: ["--import=tsx"] })
+        );
         await Promise.all(children.map(child => once(child, "message")));
-        return new Deployment(folder, children, all[0]!);
+        return new ControlDeployment(folder, children, allSettings[0]!);
     }
 
-    /** Adds clients until there are so many, and waits until each may start work. */
-    async grow(count: number): Promise<void> {
+    /** Adds clients until there are `count`, and waits until each of them may start requests. */
+    async addClients(count: number): Promise<void> {
         while (this.clients.length < count) {
             this.clients.push(PeerControlClient.create({
                 session: { daemon: `entry-${this.clients.length}`, incarnation: "1" },
@@ -64,8 +66,8 @@
         }
     }
 
-    /** Processor time and memory of each control daemon. */
-    async usages(): Promise<readonly Usage[]> {
+    /** Reads CPU time and memory of each control daemon. */
+    async readUsage(): Promise<readonly Usage[]> {
         return Promise.all(this.children.map(async child => {
             const answer = once(child, "message");
             child.send("usage");
@@ -84,7 +86,7 @@
     }
 }
 
-async function freePorts(count: number): Promise<number[]> {
+async function findFreePorts(count: number): Promise<number[]> {
     const servers = Array.from({ length: count }, () => net.createServer().listen(0, "127.0.0.1"));
     await Promise.all(servers.map(server => once(server, "listening")));
     const ports = servers.map(server => (server.address() as net.AddressInfo).port);
--- a/scripts/control/controlProcess.ts
+++ b/scripts/control/controlProcess.ts
@@ -1,9 +1,9 @@
-/** One control daemon in a process of its own, so that its processor time is its own. Tells its usage when asked. */
+/** Runs one control daemon in a separate process, so that its CPU time can be measured. Answers each message with its usage. */
 import { ControlDaemon, initialiseControl } from "../../packages/basilpaddle/src/node/daemon/control/index.js";
 import { controlSettingsSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { createLogger, SystemClock, SystemRandomness } from "../../packages/basilpaddle/src/node/utils/index.js";
 
-/** Processor time and memory of a control daemon. */
+/** CPU time and resident memory of a control daemon. */
 export type Usage = { readonly cpuMilliseconds: number; readonly residentBytes: number; };
 
 const settings = controlSettingsSchema.parse(JSON.parse(process.argv[2]!));
--- a/scripts/control/measure.ts
+++ b/scripts/control/measure.ts
@@ -1,4 +1,7 @@
-/** Measures control daemons in processes of their own: changes until in force, run records, cost of confirmations. */
+/**
+ * Measures control daemons in separate processes: time until configuration changes are in force, rate of run records, and the cost
+ * of confirming the view while idle.
+ */
 import * as hdr from "hdr-histogram-js";
 import type { PeerControlClient } from "../../packages/basilpaddle/src/node/coordination/index.js";
 import {
@@ -9,51 +12,51 @@
     type PeerRequest,
 } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { encodeFrame } from "../../packages/basilpaddle/src/node/transport/index.js";
-import { Deployment } from "./deployment.js";
+import { ControlDeployment } from "./controlDeployment.js";
 
-const sizes = [8, 60, 360];
-const changes = 60;
-const startRuns = 2_000;
-const concurrency = [1, 16, 128];
-const restMilliseconds = 10_000;
-const patience = 20_000;
+const sessionCounts = [8, 60, 360];
+const changeCount = 60;
+const startRunCount = 2_000;
+const concurrencyLevels = [1, 16, 128];
+const idleMilliseconds = 10_000;
+const proposalTimeout = 20_000;
 
-const deployment = await Deployment.create();
+const deployment = await ControlDeployment.create();
 try {
-    for (const sessions of sizes) {
-        await deployment.grow(sessions);
-        await measureRest(sessions);
+    for (const sessions of sessionCounts) {
+        await deployment.addClients(sessions);
+        await measureIdle(sessions);
         await measureChanges(sessions);
     }
-    for (const arrivals of concurrency) {
-        await measureStartRuns(arrivals);
+    for (const concurrency of concurrencyLevels) {
+        await measureStartRuns(concurrency);
     }
-    tellFrames();
+    printFrameSizes();
 }
 finally {
     await deployment.close();
 }
 
-async function measureRest(sessions: number): Promise<void> {
-    await pause(2_000);
-    const before = await deployment.usages();
-    const began = performance.now();
-    await pause(restMilliseconds);
-    const after = await deployment.usages();
-    const seconds = (performance.now() - began) / 1_000;
+async function measureIdle(sessions: number): Promise<void> {
+    await sleep(2_000);
+    const before = await deployment.readUsage();
+    const startedAt = performance.now();
+    await sleep(idleMilliseconds);
+    const after = await deployment.readUsage();
+    const seconds = (performance.now() - startedAt) / 1_000;
     const cores = after.map((usage, position) =>
         (usage.cpuMilliseconds - before[position]!.cpuMilliseconds) / seconds / 10
     );
     const resident = after.map(usage => usage.residentBytes / 1024 / 1024);
     console.log(
-        `rest, ${sessions} sessions: % of a core ${format(cores, 2)}; resident MiB ${format(resident, 1)}`,
+        `idle, ${sessions} sessions: % of a core ${formatValues(cores, 2)}; resident MiB ${formatValues(resident, 1)}`,
     );
 }
 
 async function measureChanges(sessions: number): Promise<void> {
     const histogram = createHistogram();
     const client = deployment.clients[0]!;
-    for (let count = 0; count < changes; count++) {
+    for (let count = 0; count < changeCount; count++) {
         const base = client.view().configuration.revision;
         const change: Command = {
             kind: "changeConfiguration",
@@ -67,23 +70,23 @@
             },
             at: Date.now(),
         };
-        await timed(histogram, () => proposed(client, change, "accepted"));
-        const behind = deployment.clients.filter(each => each.view().configuration.revision <= base).length;
-        if (behind > 0) {
-            throw new Error(`${behind} daemons lack a change that was answered as accepted`);
+        await recordTime(histogram, () => proposeAndCheck(client, change, "accepted"));
+        const outdated = deployment.clients.filter(each => each.view().configuration.revision <= base).length;
+        if (outdated > 0) {
+            throw new Error(`${outdated} daemons have not applied a change that was answered as accepted`);
         }
     }
-    tell(`change to in force, ${sessions} sessions`, histogram);
+    printTimes(`configuration change until in force, ${sessions} sessions`, histogram);
 }
 
-async function measureStartRuns(arrivals: number): Promise<void> {
+async function measureStartRuns(concurrency: number): Promise<void> {
     const histogram = createHistogram();
-    const began = performance.now();
+    const startedAt = performance.now();
     let next = 0;
-    await Promise.all(Array.from({ length: arrivals }, async (_, lane) => {
-        const client = deployment.clients[lane % 8]!;
-        while (next < startRuns) {
-            const key = `organisation/route/${arrivals}-${next++}`;
+    await Promise.all(Array.from({ length: concurrency }, async (_, worker) => {
+        const client = deployment.clients[worker % 8]!;
+        while (next < startRunCount) {
+            const key = `organisation/route/${concurrency}-${next++}`;
             const start: Command = {
                 kind: "startRun",
                 key,
@@ -92,22 +95,26 @@
                 token: key,
                 at: Date.now(),
             };
-            await timed(histogram, () => proposed(client, start, "started"));
+            await recordTime(histogram, () => proposeAndCheck(client, start, "started"));
         }
     }));
-    const perSecond = startRuns / ((performance.now() - began) / 1_000);
-    tell(`startRun, ${arrivals} at once, ${perSecond.toFixed(0)} a second`, histogram);
+    const perSecond = startRunCount / ((performance.now() - startedAt) / 1_000);
+    printTimes(`startRun, ${concurrency} concurrent, ${perSecond.toFixed(0)} per second`, histogram);
 }
 
-async function proposed(client: PeerControlClient, command: Command, wanted: CommandResult["kind"]): Promise<void> {
-    const result = (await client.propose(command, patience)).extract();
-    if (result.kind !== wanted) {
+async function proposeAndCheck(
+    client: PeerControlClient,
+    command: Command,
+    expectedKind: CommandResult["kind"],
+): Promise<void> {
+    const result = (await client.propose(command, proposalTimeout)).extract();
+    if (result.kind !== expectedKind) {
         throw new Error(`${command.kind} was answered ${JSON.stringify(result)}`);
     }
 }
 
-/** Bytes of one confirmation of a view that is the newest. */
-function tellFrames(): void {
+/** Prints the frame sizes of confirming a view that is up to date. */
+function printFrameSizes(): void {
     const session = { daemon: "entry-100", incarnation: "8f14e45f-ceea-467f-a9d0-5b2f3e1c9a77" };
     const request: PeerRequest = {
         kind: "confirmView",
@@ -129,18 +136,20 @@
         committedView: 123_456,
     };
     const renewal = { id: "decode-100", incarnation: 17 };
-    const question = encodeFrame({ id: 100_000, body: request }).length;
-    const withRenewal = encodeFrame({ id: 100_000, body: { ...request, renewals: [renewal] } }).length;
-    const answered = encodeFrame({ answerTo: 100_000, body: answer }).length;
+    const requestBytes = encodeFrame({ id: 100_000, body: request }).length;
+    const requestBytesWithRenewal = encodeFrame({ id: 100_000, body: { ...request, renewals: [renewal] } }).length;
+    const answerBytes = encodeFrame({ answerTo: 100_000, body: answer }).length;
     console.log(
-        `frames: question ${question} B, ${withRenewal - question} B more for each renewal, answer ${answered} B`,
+        `confirmView frames: request ${requestBytes} B, ${
+            requestBytesWithRenewal - requestBytes
+        } B for each renewal, answer ${answerBytes} B`,
     );
 }
 
-async function timed(histogram: hdr.Histogram, action: () => Promise<void>): Promise<void> {
-    const began = performance.now();
+async function recordTime(histogram: hdr.Histogram, action: () => Promise<void>): Promise<void> {
+    const startedAt = performance.now();
     await action();
-    histogram.recordValue(Math.round((performance.now() - began) * 1_000));
+    histogram.recordValue(Math.round((performance.now() - startedAt) * 1_000));
 }
 
 function createHistogram(): hdr.Histogram {
@@ -151,16 +160,16 @@
     });
 }
 
-function tell(what: string, histogram: hdr.Histogram): void {
+function printTimes(label: string, histogram: hdr.Histogram): void {
     const [p50, p99] = [50, 99].map(percentile => (histogram.getValueAtPercentile(percentile) / 1_000).toFixed(1));
     const worst = (histogram.maxValue / 1_000).toFixed(1);
-    console.log(`${what}: p50 ${p50} ms, p99 ${p99} ms, worst ${worst} ms (${histogram.totalCount} times)`);
+    console.log(`${label}: p50 ${p50} ms, p99 ${p99} ms, worst ${worst} ms (${histogram.totalCount} values)`);
 }
 
-function format(values: readonly number[], digits: number): string {
+function formatValues(values: readonly number[], digits: number): string {
     return values.map(value => value.toFixed(digits)).join(" / ");
 }
 
-function pause(milliseconds: number): Promise<void> {
+function sleep(milliseconds: number): Promise<void> {
     return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
--- a/scripts/control/memory.ts
+++ b/scripts/control/memory.ts
@@ -1,4 +1,4 @@
-/** Measures what the ledger holds in memory and in a snapshot, for each thing of a kind. Needs `--expose-gc`. */
+/** Measures the ledger's heap and snapshot size per entry of each kind. Needs `--expose-gc`. */
 import {
     announcementSchema,
     type Command,
@@ -6,49 +6,49 @@
 } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { Ledger } from "../../packages/basilpaddle/src/node/state/index.js";
 
-const kinds: readonly {
+const samples: readonly {
     readonly name: string;
     readonly sizes: readonly number[];
     readonly commands: (size: number) => Command[];
 }[] = [
-    { name: "session", sizes: [8, 60, 360], commands: size => each(size, sessionCommand) },
-    { name: "backend server", sizes: [15, 150, 600], commands: size => each(size, backendCommand) },
-    { name: "run record", sizes: [200, 2_000, 40_000], commands: size => each(size, runCommand) },
-    { name: "organisation", sizes: [100, 2_400, 24_000], commands: size => [changeCommand(size)] },
+    { name: "session", sizes: [8, 60, 360], commands: size => createCommands(size, createSessionCommand) },
+    { name: "backend server", sizes: [15, 150, 600], commands: size => createCommands(size, createBackendCommand) },
+    { name: "run record", sizes: [200, 2_000, 40_000], commands: size => createCommands(size, createRunCommand) },
+    { name: "organisation", sizes: [100, 2_400, 24_000], commands: size => [createChangeCommand(size)] },
 ];
 
-for (const { name, sizes, commands } of kinds) {
+for (const { name, sizes, commands } of samples) {
     for (const size of sizes) {
-        const empty = heapBytes();
+        const empty = measureHeapBytes();
         const ledger = Ledger.create();
-        // Through text, as commands come from a log: otherwise parts of one command would be shared by all.
-        const list = JSON.parse(JSON.stringify(commands(size))) as Command[];
-        list.forEach((command, position) => ledger.apply(position + 1, command));
-        list.length = 0;
-        const held = heapBytes() - empty;
-        const began = performance.now();
-        const snapshot = ledger.snapshot().length;
-        const milliseconds = performance.now() - began;
+        // Serialized and parsed like commands read from a log; otherwise commands would share objects and heap sizes would be too small.
+        const commandList = JSON.parse(JSON.stringify(commands(size))) as Command[];
+        commandList.forEach((command, position) => ledger.apply(position + 1, command));
+        commandList.length = 0;
+        const heapUsed = measureHeapBytes() - empty;
+        const startedAt = performance.now();
+        const snapshotBytes = ledger.snapshot().length;
+        const milliseconds = performance.now() - startedAt;
         console.log(
-            `${size} x ${name}: ${held} B of heap, ${(held / size).toFixed(0)} B each; `
-                + `snapshot ${snapshot} B, ${(snapshot / size).toFixed(0)} B each, written in ${
+            `${size} x ${name}: ${heapUsed} B of heap, ${(heapUsed / size).toFixed(0)} B each; `
+                + `snapshot ${snapshotBytes} B, ${(snapshotBytes / size).toFixed(0)} B each, written in ${
                     milliseconds.toFixed(1)
                 } ms`,
         );
     }
 }
 
-function each(size: number, make: (position: number) => Command): Command[] {
-    return Array.from({ length: size }, (_, position) => make(position));
+function createCommands(size: number, createCommand: (position: number) => Command): Command[] {
+    return Array.from({ length: size }, (_, position) => createCommand(position));
 }
 
-function sessionCommand(position: number): Command {
+function createSessionCommand(position: number): Command {
     const session = { daemon: `entry-${position}`, incarnation: "8f14e45f-ceea-467f-a9d0-5b2f3e1c9a77" };
     const peers = { host: "127.0.0.1", port: 7_000 + position };
     return { kind: "openSession", session, failureDomain: "ciudad-vieja", peers, at: 1 };
 }
 
-function backendCommand(position: number): Command {
+function createBackendCommand(position: number): Command {
     const announcement = announcementSchema.parse({
         id: `decode-${position}`,
         incarnation: 3,
@@ -62,14 +62,14 @@
     return { kind: "announceBackend", announcement, at: 1 };
 }
 
-function runCommand(position: number): Command {
+function createRunCommand(position: number): Command {
     const key = `organisation-${position % 100}/letters/8f14e45f-ceea-467f-a9d0-${position}`;
     const owner = { daemon: `entry-${position % 8}`, incarnation: "8f14e45f-ceea-467f-a9d0-5b2f3e1c9a77" };
     const token = `${position}-5b2f3e1c9a77`;
     return { kind: "startRun", key, digest: "0123456789abcdef", owner, token, at: 1 };
 }
 
-function changeCommand(size: number): Command {
+function createChangeCommand(size: number): Command {
     const organisations = Object.fromEntries(
         Array.from({ length: size }, (_, position) => [`organisation-${position}`, { share: 2, openRequests: 20 }]),
     );
@@ -79,7 +79,7 @@
     return { kind: "changeConfiguration", change, at: 1 };
 }
 
-function heapBytes(): number {
+function measureHeapBytes(): number {
     globalThis.gc!();
     globalThis.gc!();
     const { heapUsed, arrayBuffers } = process.memoryUsage();
