--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/latestIncarnations.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/latestIncarnations.spec.ts
@@ -87,10 +87,10 @@
             announced({ id: "full", stage: "decode", address: "10.0.0.2:1" }),
         ];
         queue.setEngines(failing, singleSlotRule);
-        expect(queue.ask(typicalPlacementRequest("first", { avoid: ["full"] }), 0)).to.have.length(1);
-        expect(queue.ask(typicalPlacementRequest("second"), 0)).to.have.length(1);
+        expect(queue.enqueueRequest(typicalPlacementRequest("first", { avoid: ["full"] }), 0)).to.have.length(1);
+        expect(queue.enqueueRequest(typicalPlacementRequest("second"), 0)).to.have.length(1);
         queue.release("first", { failed: "i@1000" }, 1);
-        expect(queue.ask(typicalPlacementRequest("third"), 2)).to.deep.equal([]);
+        expect(queue.enqueueRequest(typicalPlacementRequest("third"), 2)).to.deep.equal([]);
         queue.setEngines([incarnation(2_000, { stage: "decode" }), failing[1]!], singleSlotRule);
         const [placed] = queue.review(30);
         expect(placed).to.include({ kind: "placed", attempt: "third", decode: "i@2000" });
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/linkQuality.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/linkQuality.spec.ts
@@ -115,7 +115,7 @@
 
     function placementDomains(queue: PlacementQueue, count: number, linkStalls: LinkStalls): string[] {
         return Array.from({ length: count }, (_, number) => {
-            const decisions = queue.ask(typicalPlacementRequest(`d-${number}`, { linkStalls }), number);
+            const decisions = queue.enqueueRequest(typicalPlacementRequest(`d-${number}`, { linkStalls }), number);
             // Otherwise the queue of prompts would move the other requests to other engines, regardless of the links.
             if (linkStalls.length > 0) {
                 queue.prefillCompleted(`d-${number}`, number);
--- a/packages/basilpaddle/src/node/coordination/gateway/__tests__/placementQueue.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/__tests__/placementQueue.spec.ts
@@ -50,17 +50,17 @@
         for (; nextArrival <= now; nextArrival += intervalAt(nextArrival)) {
             const attempt = `at-${Math.round(nextArrival)}`;
             arrivedAt.set(attempt, now);
-            recordDecisions(queue.ask(typicalPlacementRequest(attempt), now), now);
+            recordDecisions(queue.enqueueRequest(typicalPlacementRequest(attempt), now), now);
         }
         recordDecisions(queue.review(now), now);
-        maxAllocatedTokens = Math.max(maxAllocatedTokens, ...queue.counts().heldTokens.values());
+        maxAllocatedTokens = Math.max(maxAllocatedTokens, ...queue.counts().allocated.values());
     }
     return { waitTimes, refusalTimes, maxAllocatedTokens };
 }
 
 describe("the placement queue", () => {
     it("places a request at once while there is room, at a prefill and a decode engine in one failure domain", () => {
-        const [decision] = createQueue(3, 3).ask(typicalPlacementRequest("one"), 0);
+        const [decision] = createQueue(3, 3).enqueueRequest(typicalPlacementRequest("one"), 0);
         expect(decision).to.include({ kind: "placed", attempt: "one" });
         const { prefill, decode } = decision as Extract<PlacementDecision, { kind: "placed"; }>;
         expect(prefill!.split("-")[1]).to.equal(decode.split("-")[1]);
@@ -99,9 +99,9 @@
     it("refuses a request at once that can't be served before its caller's timeout, with a retry-after time", () => {
         const queue = createQueue(1, 1);
         for (let number = 0; number < 8; number++) {
-            queue.ask(typicalPlacementRequest(`held-${number}`), 0);
+            queue.enqueueRequest(typicalPlacementRequest(`held-${number}`), 0);
         }
-        const [decision] = queue.ask(typicalPlacementRequest("hopeless", { patienceWithin: 300 }), 1);
+        const [decision] = queue.enqueueRequest(typicalPlacementRequest("hopeless", { patienceWithin: 300 }), 1);
         expect(decision).to.include({ kind: "refused", attempt: "hopeless" });
         expect((decision as Extract<PlacementDecision, { kind: "refused"; }>).comeBackIn).to.be.above(0);
     });
@@ -109,24 +109,29 @@
     it("moves requests that can't meet their target behind those that still can", () => {
         const queue = createQueue(1, 1);
         for (let number = 0; number < 8; number++) {
-            queue.ask(typicalPlacementRequest(`held-${number}`), 0);
+            queue.enqueueRequest(typicalPlacementRequest(`held-${number}`), 0);
         }
-        queue.ask(typicalPlacementRequest("late", { targetWithin: -100 }), 1);
+        queue.enqueueRequest(typicalPlacementRequest("late", { targetWithin: -100 }), 1);
         queue.review(30);
-        queue.ask(typicalPlacementRequest("early", { targetWithin: 900 }), 31);
+        queue.enqueueRequest(typicalPlacementRequest("early", { targetWithin: 900 }), 31);
         expect(placed(queue.release("held-0", {}, 60))[0]).to.equal("early");
     });
 
     it("lets a small request overtake one that doesn't fit, for a limited time", () => {
         const queue = createQueue(1, 1);
         for (let number = 0; number < 7; number++) {
-            queue.ask(typicalPlacementRequest(`held-${number}`), 0);
+            queue.enqueueRequest(typicalPlacementRequest(`held-${number}`), 0);
             // Otherwise the queue of prompts alone makes the large request late, and no engine is reserved for late ones.
             queue.prefillCompleted(`held-${number}`, 0);
         }
-        expect(placed(queue.ask(typicalPlacementRequest("large", { cacheTokens: 6_000 }), 0))).to.deep.equal([]);
-        expect(placed(queue.ask(typicalPlacementRequest("small", { cacheTokens: 500 }), 40))).to.deep.equal(["small"]);
-        expect(placed(queue.ask(typicalPlacementRequest("smaller", { cacheTokens: 400 }), 400))).to.deep.equal([]);
+        expect(placed(queue.enqueueRequest(typicalPlacementRequest("large", { cacheTokens: 6_000 }), 0))).to.deep.equal(
+            [],
+        );
+        expect(placed(queue.enqueueRequest(typicalPlacementRequest("small", { cacheTokens: 500 }), 40))).to.deep.equal([
+            "small",
+        ]);
+        expect(placed(queue.enqueueRequest(typicalPlacementRequest("smaller", { cacheTokens: 400 }), 400))).to.deep
+            .equal([]);
     });
 
     // Guards against unused room in a burst of twice the capacity while small requests wait that could meet their target: the
@@ -135,11 +140,14 @@
     it("lets others overtake a request that would miss its target even with an engine reserved for it", () => {
         const queue = createQueue(1, 1);
         for (let number = 0; number < 8; number++) {
-            queue.ask(typicalPlacementRequest(`held-${number}`), 0);
+            queue.enqueueRequest(typicalPlacementRequest(`held-${number}`), 0);
             queue.prefillCompleted(`held-${number}`, 0);
         }
-        expect(placed(queue.ask(typicalPlacementRequest("large", { cacheTokens: 15_000 }), 0))).to.deep.equal([]);
-        expect(placed(queue.ask(typicalPlacementRequest("small", { cacheTokens: 300 }), 400))).to.deep.equal(["small"]);
+        expect(placed(queue.enqueueRequest(typicalPlacementRequest("large", { cacheTokens: 15_000 }), 0))).to.deep
+            .equal([]);
+        expect(placed(queue.enqueueRequest(typicalPlacementRequest("small", { cacheTokens: 300 }), 400))).to.deep.equal(
+            ["small"],
+        );
     });
 
     // Guards against wasted prefills: two of ten decode engines rejected 90 runs within 12 s, since placement used their
@@ -151,7 +159,7 @@
         const decodes = (from: number, now: number): Set<string> => {
             const decisions = Array.from(
                 { length: 6 },
-                (_, number) => queue.ask(typicalPlacementRequest(`p-${from + number}`), now),
+                (_, number) => queue.enqueueRequest(typicalPlacementRequest(`p-${from + number}`), now),
             )
                 .flat();
             return new Set(decisions.map(decision => decision.kind === "placed" ? decision.decode : "none"));
@@ -165,7 +173,7 @@
         const queue = createQueue(1, 10);
         const decisions = Array.from(
             { length: 14 },
-            (_, number) => queue.ask(typicalPlacementRequest(`p-${number}`), 0),
+            (_, number) => queue.enqueueRequest(typicalPlacementRequest(`p-${number}`), 0),
         ).flat();
         const combined = decisions.filter(decision => decision.kind === "placed" && decision.prefill === undefined);
         expect(combined.length).to.be.within(3, 12);
@@ -181,7 +189,7 @@
             for (let number = 0; number < 60; number++) {
                 const now = number * 100;
                 const attempt = `p-${number}`;
-                const [decision] = queue.ask(typicalPlacementRequest(attempt), now);
+                const [decision] = queue.enqueueRequest(typicalPlacementRequest(attempt), now);
                 const { prefill } = decision as Extract<PlacementDecision, { kind: "placed"; }>;
                 atPrefill += prefill === undefined ? 0 : 1;
                 queue.prefillCompleted(attempt, now + (prefill === undefined ? 270 : prefillMilliseconds));
@@ -194,13 +202,13 @@
     });
 
     it("names no prefill engine if none is ready", () => {
-        const [decision] = createQueue(0, 2).ask(typicalPlacementRequest("one"), 0);
+        const [decision] = createQueue(0, 2).enqueueRequest(typicalPlacementRequest("one"), 0);
         expect(decision).to.deep.include({ kind: "placed", prefill: undefined });
     });
 
     it("keeps requests waiting for a pool without announced engines", () => {
         const queue = createQueue(0, 0);
-        expect(queue.ask(typicalPlacementRequest("one"), 0)).to.deep.equal([]);
+        expect(queue.enqueueRequest(typicalPlacementRequest("one"), 0)).to.deep.equal([]);
         queue.setEngines(engines(1, 1), rule);
         expect(placed(queue.review(500))).to.deep.equal(["one"]);
     });
@@ -208,29 +216,29 @@
     it("uses silent engines if no other is left", () => {
         const queue = createQueue(0, 0);
         queue.setEngines(engines(1, 2).map(engine => ({ ...engine, state: "silent" as const })), rule);
-        expect(placed(queue.ask(typicalPlacementRequest("one"), 0))).to.deep.equal(["one"]);
+        expect(placed(queue.enqueueRequest(typicalPlacementRequest("one"), 0))).to.deep.equal(["one"]);
         const [silent, ready] = engines(0, 2);
         queue.setEngines([{ ...silent!, state: "silent" }, ready!], rule);
-        const [decision] = queue.ask(typicalPlacementRequest("two"), 10);
+        const [decision] = queue.enqueueRequest(typicalPlacementRequest("two"), 10);
         expect(decision).to.include({ kind: "placed", decode: ready!.id });
     });
 
     it("refuses requests if no engine is announced after a while", () => {
         const queue = createQueue(0, 0);
-        queue.ask(typicalPlacementRequest("one"), 0);
+        queue.enqueueRequest(typicalPlacementRequest("one"), 0);
         expect(refused(queue.review(2_000))).to.deep.equal(["one"]);
     });
 
     it("avoids a failed engine, for the request itself and for a while for all", () => {
         const queue = createQueue(1, 2);
-        const first = queue.ask(typicalPlacementRequest("one"), 0)[0] as Extract<
+        const first = queue.enqueueRequest(typicalPlacementRequest("one"), 0)[0] as Extract<
             PlacementDecision,
             { kind: "placed"; }
         >;
         queue.release("one", { failed: first.decode }, 10);
-        const again = queue.ask(typicalPlacementRequest("two", { avoid: [] }), 20)[0] as typeof first;
+        const again = queue.enqueueRequest(typicalPlacementRequest("two", { avoid: [] }), 20)[0] as typeof first;
         expect(again.decode).not.to.equal(first.decode);
-        const avoiding = queue.ask(
+        const avoiding = queue.enqueueRequest(
             typicalPlacementRequest("three", { avoid: [again.decode] }),
             2_000,
         )[0] as typeof first;
@@ -240,16 +248,19 @@
     it("places a resumed run before all that haven't started", () => {
         const queue = createQueue(1, 1);
         for (let number = 0; number < 8; number++) {
-            queue.ask(typicalPlacementRequest(`held-${number}`), 0);
+            queue.enqueueRequest(typicalPlacementRequest(`held-${number}`), 0);
         }
-        queue.ask(typicalPlacementRequest("new"), 1);
-        queue.ask(typicalPlacementRequest("broken", { resumed: true, targetWithin: -500 }), 2);
+        queue.enqueueRequest(typicalPlacementRequest("new"), 1);
+        queue.enqueueRequest(typicalPlacementRequest("broken", { resumed: true, targetWithin: -500 }), 2);
         expect(placed(queue.release("held-0", {}, 30))[0]).to.equal("broken");
     });
 
     it("allocates only its share if every gateway places locally", () => {
         const queue = createQueue(1, 2, 0.25);
-        const decisions = Array.from({ length: 8 }, (_, number) => queue.ask(typicalPlacementRequest(`p-${number}`), 0))
+        const decisions = Array.from(
+            { length: 8 },
+            (_, number) => queue.enqueueRequest(typicalPlacementRequest(`p-${number}`), 0),
+        )
             .flat();
         expect(placed(decisions).length).to.equal(4);
     });
@@ -258,17 +269,17 @@
     // connection, or a gateway crashed.
     it("releases placements that their gateway doesn't list, and those of a gateway that is gone", () => {
         const queue = createQueue(1, 1);
-        queue.ask(typicalPlacementRequest("known", { gateway: "g" }), 0);
-        queue.ask(typicalPlacementRequest("lost", { gateway: "g" }), 0);
+        queue.enqueueRequest(typicalPlacementRequest("known", { gateway: "g" }), 0);
+        queue.enqueueRequest(typicalPlacementRequest("lost", { gateway: "g" }), 0);
         queue.reconcile(
             "g",
             [{ demand: typicalPlacementRequest("known", { gateway: "g" }), decode: "decode-0" }],
             1_500,
             5_000,
         );
-        expect(queue.counts().held).to.equal(1);
+        expect(queue.counts().active).to.equal(1);
         queue.dropGateway("g", 5_001);
-        expect(queue.counts().held).to.equal(0);
+        expect(queue.counts().active).to.equal(0);
     });
 
     it("adds the placements of a previous leader at a new one", () => {
@@ -278,14 +289,14 @@
             (_, number) => ({ demand: typicalPlacementRequest(`h-${number}`), decode: "decode-0" }),
         );
         queue.reconcile("gateway", reported, 1_500, 0);
-        expect(placed(queue.ask(typicalPlacementRequest("next"), 1))).to.deep.equal([]);
+        expect(placed(queue.enqueueRequest(typicalPlacementRequest("next"), 1))).to.deep.equal([]);
     });
 
     it("drops an engine's runs with the engine", () => {
         const queue = createQueue(1, 1);
-        queue.ask(typicalPlacementRequest("one"), 0);
+        queue.enqueueRequest(typicalPlacementRequest("one"), 0);
         queue.setEngines([announced({ id: "decode-9", stage: "decode" })], rule);
-        expect(queue.counts().heldTokens.get("decode-9")).to.equal(0);
+        expect(queue.counts().allocated.get("decode-9")).to.equal(0);
     });
 
     it("holds nothing after all requests have ended, whatever happened in between", () => {
@@ -297,7 +308,7 @@
                     const now = at * 20;
                     const attempt = `p-${number}`;
                     if (kind === "ask") {
-                        queue.ask(typicalPlacementRequest(attempt), now);
+                        queue.enqueueRequest(typicalPlacementRequest(attempt), now);
                     }
                     else if (kind === "review") {
                         queue.review(now);
@@ -312,8 +323,8 @@
                 for (let number = 0; number <= 30; number++) {
                     queue.withdraw(`p-${number}`, 10_000);
                 }
-                expect(queue.counts().held).to.equal(0);
-                expect([...queue.counts().heldTokens.values()]).to.deep.equal([0, 0, 0, 0, 0]);
+                expect(queue.counts().active).to.equal(0);
+                expect([...queue.counts().allocated.values()]).to.deep.equal([0, 0, 0, 0, 0]);
             }),
             { seed: 1, numRuns: 200 },
         );
--- a/packages/basilpaddle/src/node/coordination/gateway/placementQueue.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/placementQueue.ts
@@ -106,7 +106,7 @@
     }
 
     /** Queues a request. The decisions returned, here and by the other methods, may concern other requests as well. */
-    ask(request: PlacementRequest, now: number): PlacementDecision[] {
+    enqueueRequest(request: PlacementRequest, now: number): PlacementDecision[] {
         const existing = this.placements.get(request.attempt);
         if (existing !== undefined) {
             return [placedDecision(existing)];
@@ -224,11 +224,11 @@
     }
 
     /** Numbers of queued requests and of placements, and the allocated tokens by engine, for metrics and tests. */
-    counts(): { readonly waiting: number; readonly held: number; readonly heldTokens: ReadonlyMap<string, number>; } {
+    counts(): { readonly waiting: number; readonly active: number; readonly allocated: ReadonlyMap<string, number>; } {
         return {
             waiting: this.queue.length,
-            held: this.placements.size,
-            heldTokens: this.pool.allocatedTokensByEngine(),
+            active: this.placements.size,
+            allocated: this.pool.allocatedTokensByEngine(),
         };
     }
 
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
@@ -31,8 +31,8 @@
         });
         detector = CrashDetector.create({
             quarantine: quarantinedRequests,
-            isGone: id => lostServers.has(id),
-            listens: async () => {
+            isLost: id => lostServers.has(id),
+            listenStatusOf: async () => {
                 probeCount += 1;
                 return listening;
             },
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashExchange.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashExchange.spec.ts
@@ -25,7 +25,7 @@
     }
 
     crash(digest: string, ...servers: string[]): void {
-        servers.forEach(server => this.records.note(digest, { server, phase: "early", age: 0 }));
+        servers.forEach(server => this.records.addCrash(digest, { server, phase: "early", age: 0 }));
     }
 
     /** Queries a peer once; returns how many records the query and the reply carried. */
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/quarantine.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/quarantine.spec.ts
@@ -1,10 +1,5 @@
 import { expect } from "chai";
-import {
-    type Crash,
-    type CrashRecord,
-    maximumRecordedCrashes,
-    quarantineRulesSchema,
-} from "../../../protocol/index.js";
+import { type Crash, type CrashRecord, maxRecordedCrashes, quarantineRulesSchema } from "../../../protocol/index.js";
 import { Quarantine } from "../quarantine.js";
 
 const early = (server: string, age = 0): Crash => ({ server, phase: "early", age });
@@ -107,7 +102,7 @@
     it("limits the crashes per request and the number of requests", () => {
         const many = Array.from({ length: 40 }, (_, index) => early(`s${index}`));
         many.forEach(crash => quarantine.merge([recordOf("a", crash)], 0));
-        expect(quarantine.currentStatus("a", 0)?.crashes).to.have.length(maximumRecordedCrashes);
+        expect(quarantine.currentStatus("a", 0)?.crashes).to.have.length(maxRecordedCrashes);
         for (let index = 0; index < 10_000; index++) {
             quarantine.merge([recordOf(`new${index}`, early("s"))], 0);
         }
--- a/packages/basilpaddle/src/node/coordination/quarantine/crashDetector.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/crashDetector.ts
@@ -37,9 +37,9 @@
 export type CrashDetectorOptions = {
     readonly quarantine: QuarantinedRequests;
     /** Whether the incarnation with this identifier is known to have ended. */
-    readonly isGone: (id: string) => boolean;
+    readonly isLost: (id: string) => boolean;
     /** Probes whether anything accepts connections at an address. */
-    readonly listens: (address: string) => Promise<ListenStatus>;
+    readonly listenStatusOf: (address: string) => Promise<ListenStatus>;
     readonly clock: Clock;
     readonly logger: Logger;
     readonly metrics: Metrics;
@@ -106,7 +106,7 @@
         if (pendingProbe !== undefined) {
             return pendingProbe;
         }
-        const probe = this.options.listens(server.address).finally(() => this.pendingProbes.delete(server.id));
+        const probe = this.options.listenStatusOf(server.address).finally(() => this.pendingProbes.delete(server.id));
         this.pendingProbes.set(server.id, probe);
         return probe;
     }
@@ -114,7 +114,7 @@
     private checkPendingRuns(): void {
         const { clock } = this.options;
         const oldestPending = this.now() - endReportTimeoutMilliseconds;
-        const hasLostServer = ({ server }: LostRun): boolean => this.options.isGone(server.id);
+        const hasLostServer = ({ server }: LostRun): boolean => this.options.isLost(server.id);
         const lostServerRuns = this.pendingRuns.filter(hasLostServer);
         this.pendingRuns = this.pendingRuns.filter(run => !hasLostServer(run) && run.at > oldestPending);
         lostServerRuns.forEach(run => this.recordCrash(run, "its end was reported"));
@@ -135,7 +135,7 @@
             proof,
         });
         metrics.count("basilpaddle_crashes_under_requests_total", { phase });
-        quarantine.note(digest, { server: server.id, phase, age });
+        quarantine.addCrash(digest, { server: server.id, phase, age });
     }
 
     private now(): number {
--- a/packages/basilpaddle/src/node/coordination/quarantine/crashHistory.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/crashHistory.ts
@@ -1,4 +1,4 @@
-import { type Crash, type CrashPhase, type CrashRecord, maximumRecordedCrashes } from "../../protocol/index.js";
+import { type Crash, type CrashPhase, type CrashRecord, maxRecordedCrashes } from "../../protocol/index.js";
 
 /**
  * Difference up to which two timestamps are taken for the same event. Records carry ages, which don't include the transit
@@ -65,7 +65,7 @@
 
     private addCrash({ server, phase, age }: Crash, now: number): boolean {
         const at = now - age;
-        if (this.crashes.has(server) || this.crashes.size >= maximumRecordedCrashes || at <= this.lastClearedAt) {
+        if (this.crashes.has(server) || this.crashes.size >= maxRecordedCrashes || at <= this.lastClearedAt) {
             return false;
         }
         this.crashes.set(server, { server, phase, at });
--- a/packages/basilpaddle/src/node/coordination/quarantine/quarantinedRequests.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/quarantinedRequests.ts
@@ -64,7 +64,7 @@
     }
 
     /** Records that a backend server crashed while running a request, and publishes it. */
-    note(digest: string, crash: CrashRecord["crashes"][number]): void {
+    addCrash(digest: string, crash: CrashRecord["crashes"][number]): void {
         this.mergeAndPublish({ digest, crashes: [crash] });
     }
 
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/watchService.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/watchService.spec.ts
@@ -226,12 +226,12 @@
             wantsDocument: false,
             observer: false,
         } as const;
-        quarantined.note("single", { server: "s1", phase: "early", age: 0 });
-        quarantined.note("both", { server: "s1", phase: "early", age: 0 });
-        quarantined.note("both", { server: "s2", phase: "early", age: 0 });
+        quarantined.addCrash("single", { server: "s1", phase: "early", age: 0 });
+        quarantined.addCrash("both", { server: "s1", phase: "early", age: 0 });
+        quarantined.addCrash("both", { server: "s2", phase: "early", age: 0 });
         const first = await watchService.watch({ ...watch, incarnation: "" });
         expect(first.crashes?.map(({ digest }) => digest)).to.deep.equal(["both"]);
-        quarantined.note("both", { server: "s3", phase: "early", age: 0 });
+        quarantined.addCrash("both", { server: "s3", phase: "early", age: 0 });
         const next = await watchService.watch({ ...watch, incarnation: "one", crashCursor: first.crashCursor });
         expect(next.crashes?.[0]?.crashes).to.have.length(3);
         const later = watchService.watch({ ...watch, incarnation: "one", crashCursor: next.crashCursor });
--- a/packages/basilpaddle/src/node/daemon/directory/backendServerCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/backendServerCalls.ts
@@ -38,7 +38,7 @@
         const { wire, registry } = this.options;
         return this.applyCall(
             name,
-            wire.announcement(name, body).chain(validateAnnouncement),
+            wire.parseAnnouncement(name, body).chain(validateAnnouncement),
             announced => registry.announce(announced),
         );
     }
@@ -46,7 +46,7 @@
     /** Handles a backend server's call that it leaves. */
     leave(name: string, body: string): CallResponse {
         const { wire, registry } = this.options;
-        return this.applyCall(name, wire.departure(name, body), departure => registry.leave(departure));
+        return this.applyCall(name, wire.parseDeparture(name, body), departure => registry.leave(departure));
     }
 
     /** Applies a valid call. An invalid one is rejected: it may come from another program and identifies no usable server. */
--- a/packages/basilpaddle/src/node/daemon/directory/callServer.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/callServer.ts
@@ -69,7 +69,7 @@
         response.on("error", error => this.logger.debug("writing a response failed", { error: error.message }));
         const path = (request.url ?? "").split("?", 1)[0]!;
         try {
-            const call = this.wire.call(request.method ?? "", path);
+            const call = this.wire.parseCall(request.method ?? "", path);
             const body = await readBody(request);
             const result = body === undefined
                 ? { kind: "invalid" as const, findings: [bodyTooLarge] }
--- a/packages/basilpaddle/src/node/daemon/directory/configurationCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/configurationCalls.ts
@@ -33,7 +33,7 @@
     /** Validates a configuration sent by an operator and stores it in the group. */
     async store(body: string): Promise<CallResponse> {
         const { wire, group, logger } = this.options;
-        const traffic = wire.traffic(body);
+        const traffic = wire.parseTraffic(body);
         if (traffic.isLeft()) {
             const findings = traffic.swap().orDefault([]);
             logger.warn("rejected an invalid configuration", { findings: findings.slice(0, maxLoggedFindings) });
--- a/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
@@ -225,7 +225,7 @@
     private currentTraffic(): Traffic | undefined {
         const { version, content } = this.group.current();
         if (this.parsedTraffic?.version !== version) {
-            this.parsedTraffic = { version, traffic: this.options.wire.traffic(content).toMaybe().extract() };
+            this.parsedTraffic = { version, traffic: this.options.wire.parseTraffic(content).toMaybe().extract() };
         }
         return this.parsedTraffic.traffic;
     }
--- a/packages/basilpaddle/src/node/daemon/directory/directoryWire.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/directoryWire.ts
@@ -30,22 +30,22 @@
 /** Codec for the calls that directories receive and for the orders that they send. It only translates and makes no decisions. */
 export abstract class DirectoryWire {
     /** Maps a request line to a call. */
-    abstract call(method: string, path: string): DirectoryCall;
+    abstract parseCall(method: string, path: string): DirectoryCall;
 
     /** Parses the body of a heartbeat. */
-    abstract announcement(name: string, body: string): Either<readonly Finding[], ServerAnnouncement>;
+    abstract parseAnnouncement(name: string, body: string): Either<readonly Finding[], ServerAnnouncement>;
 
     /** Parses the body of a leave call. */
-    abstract departure(name: string, body: string): Either<readonly Finding[], Departure>;
+    abstract parseDeparture(name: string, body: string): Either<readonly Finding[], Departure>;
 
     /** Parses and validates a configuration. */
-    abstract traffic(content: string): Either<readonly Finding[], Traffic>;
+    abstract parseTraffic(content: string): Either<readonly Finding[], Traffic>;
 
     /** Encodes an order as an HTTP call to its engine. */
     abstract order(order: StageOrder): EngineCall;
 
     /** Maps the HTTP status of an engine's answer to the outcome of the order. */
-    abstract orderOutcome(status: number): StageOrderOutcome;
+    abstract parseOrderOutcome(status: number): StageOrderOutcome;
 
     /** Encodes findings as a response body. */
     abstract findings(findings: readonly Finding[]): string;
--- a/packages/basilpaddle/src/node/daemon/directory/placementService.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/placementService.ts
@@ -139,7 +139,7 @@
         const statuses = [...this.pools.values()].map(pool => pool.counts());
         return {
             waiting: statuses.reduce((sum, status) => sum + status.waiting, 0),
-            placements: statuses.reduce((sum, status) => sum + status.held, 0),
+            placements: statuses.reduce((sum, status) => sum + status.active, 0),
         };
     }
 
@@ -188,7 +188,7 @@
                 resolve(this.decisionReply(decision));
             });
         });
-        this.deliverDecisions(pool.ask(request, now));
+        this.deliverDecisions(pool.enqueueRequest(request, now));
         return answer;
     }
 
--- a/packages/basilpaddle/src/node/daemon/directory/stageOrders.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/stageOrders.ts
@@ -177,7 +177,7 @@
         );
         if (isAnswer(result)) {
             drain(result);
-            return wire.orderOutcome(result.status);
+            return wire.parseOrderOutcome(result.status);
         }
         logger.warn("an order got no answer; the engine may still execute it", { engine: engine.id, ...result });
         return "unknown";
--- a/packages/basilpaddle/src/node/daemon/entry/entryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/entryDaemon.ts
@@ -212,8 +212,8 @@
         metrics,
         crashDetector: CrashDetector.create({
             quarantine: parts.quarantinedRequests,
-            isGone: incarnation => hasEnded(control.view(), incarnation),
-            listens: probeListening,
+            isLost: incarnation => hasEnded(control.view(), incarnation),
+            listenStatusOf: probeListening,
             clock,
             logger,
             metrics,
--- a/packages/basilpaddle/src/node/daemon/gateway/backendSender.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/backendSender.ts
@@ -70,7 +70,10 @@
             deadlineWithin: Math.max(1, Math.floor(request.remainingTime())),
             instance: serverName(server),
         });
-        const replacedNames = new Set([...wire.reserved, ...Object.keys(runHeaders).map(name => name.toLowerCase())]);
+        const replacedNames = new Set([
+            ...wire.systemHeaders,
+            ...Object.keys(runHeaders).map(name => name.toLowerCase()),
+        ]);
         const result = await connections.call(
             {
                 server,
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
@@ -82,8 +82,8 @@
         });
         this.crashDetector = CrashDetector.create({
             quarantine: this.quarantinedRequests,
-            isGone: id => this.instances.isLost(id),
-            listens: probeListening,
+            isLost: id => this.instances.isLost(id),
+            listenStatusOf: probeListening,
             clock,
             logger,
             metrics,
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayWire.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayWire.ts
@@ -48,7 +48,7 @@
     abstract readonly readinessPath: string;
 
     /** Lower-case names of headers that only this system sets; a caller's headers of these names are dropped. */
-    abstract readonly reserved: ReadonlySet<string>;
+    abstract readonly systemHeaders: ReadonlySet<string>;
 
     /** Parses a caller's headers. */
     abstract parseCaller(headers: IncomingHttpHeaders): CallerMetadata;
@@ -63,7 +63,7 @@
     abstract parsePrefill(body: string): string | undefined;
 
     /** The call that frees a prompt's unused KV cache. */
-    abstract dropHandle(handle: string): EngineCall;
+    abstract freeHandle(handle: string): EngineCall;
 
     /** Parses a configuration; Left holds the findings. */
     abstract parseTraffic(content: string): Either<readonly Finding[], Traffic>;
--- a/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/placementClient.ts
@@ -207,7 +207,7 @@
                 signal.removeEventListener("abort", onAbort);
                 resolve(this.acceptDecision(request, decision, "alone"));
             });
-            this.deliverLocalDecisions(pool.ask(request, this.options.clock.monotonic()));
+            this.deliverLocalDecisions(pool.enqueueRequest(request, this.options.clock.monotonic()));
         });
     }
 
--- a/packages/basilpaddle/src/node/daemon/gateway/prefilledPrompt.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/prefilledPrompt.ts
@@ -44,7 +44,7 @@
     if (options.instances.get(prompt.engine.id) === undefined) {
         return;
     }
-    const { method, path, headers } = options.wire.dropHandle(prompt.handle);
+    const { method, path, headers } = options.wire.freeHandle(prompt.handle);
     const call = {
         server: prompt.engine,
         method,
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/metricsServer.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/metricsServer.spec.ts
@@ -18,7 +18,7 @@
             clock,
             logger,
         });
-        ["s1", "s2"].forEach(id => quarantine.note("d", { server: id, phase: "early", age: 0 }));
+        ["s1", "s2"].forEach(id => quarantine.addCrash("d", { server: id, phase: "early", age: 0 }));
         const metrics = RecordedMetrics.create();
         quarantine.measure(metrics);
         server = await MetricsServer.create({ host: "127.0.0.1", port: 0 }, metrics, quarantine);
--- a/packages/basilpaddle/src/node/protocol/crash.ts
+++ b/packages/basilpaddle/src/node/protocol/crash.ts
@@ -4,7 +4,7 @@
 const milliseconds = z.number().min(0);
 
 /** Maximum number of crashes that are stored and reported for one request. */
-export const maximumRecordedCrashes = 8;
+export const maxRecordedCrashes = 8;
 
 /** When a request is quarantined because backend servers crashed while running it. The same for all daemons of a deployment. */
 export const quarantineRulesSchema = z.object({
@@ -47,7 +47,7 @@
 export const crashRecordSchema = z.object({
     /** Digest of the request, as computed by `digestOf`. */
     digest: identifier,
-    crashes: z.array(crashSchema).max(maximumRecordedCrashes),
+    crashes: z.array(crashSchema).max(maxRecordedCrashes),
     /** Milliseconds since it was answered completely or released by an operator; earlier crashes don't count. */
     clearedAge: milliseconds.optional(),
 });
--- a/simulation/places/__tests__/randomDays.spec.ts
+++ b/simulation/places/__tests__/randomDays.spec.ts
@@ -58,7 +58,7 @@
                 for (let now = 0; now < length + settleMilliseconds; now += tickMilliseconds) {
                     simulation.advanceTo(now);
                 }
-                expect(simulation.status()).to.deep.equal({ waiting: 0, allocated: 0, maxAllocatedTokens: 0 });
+                expect(simulation.status()).to.deep.equal({ waiting: 0, active: 0, maxAllocatedTokens: 0 });
                 const { requests, inTime, late, unserved, lost } = simulation.outcome();
                 expect(inTime + late + unserved + lost).to.be.closeTo(requests === 0 ? 0 : 1, 1e-9);
             }),
--- a/simulation/places/cost.ts
+++ b/simulation/places/cost.ts
@@ -5,7 +5,7 @@
 
 const simulatedSeconds = 10;
 const millisecondsInSecond = 1_000;
-const measuredMethods = ["ask", "review", "release", "prefilled"] as const;
+const measuredMethods = ["enqueueRequest", "review", "release", "prefillCompleted"] as const;
 type Method = (this: PlacementQueue, ...parameters: unknown[]) => unknown;
 
 let spentMilliseconds = 0;
--- a/simulation/places/daySimulation.ts
+++ b/simulation/places/daySimulation.ts
@@ -110,13 +110,13 @@
         this.placementQueues.forEach(queue => this.handleDecisions(queue.review(now), now));
     }
 
-    /** Number of waiting requests and of allocations of all placement queues, and the most tokens allocated at one engine by one queue. */
-    status(): { readonly waiting: number; readonly allocated: number; readonly maxAllocatedTokens: number; } {
+    /** Number of waiting requests and of placements of all placement queues, and the most tokens allocated at one engine by one queue. */
+    status(): { readonly waiting: number; readonly active: number; readonly maxAllocatedTokens: number; } {
         const statuses = this.placementQueues.map(queue => queue.counts());
         return {
             waiting: statuses.reduce((sum, { waiting }) => sum + waiting, 0),
-            allocated: statuses.reduce((sum, { held }) => sum + held, 0),
-            maxAllocatedTokens: Math.max(0, ...statuses.flatMap(({ heldTokens }) => [...heldTokens.values()])),
+            active: statuses.reduce((sum, { active }) => sum + active, 0),
+            maxAllocatedTokens: Math.max(0, ...statuses.flatMap(({ allocated }) => [...allocated.values()])),
         };
     }
 
@@ -151,7 +151,7 @@
 
     private requestPlacement(call: Call, now: number): void {
         const request = this.placementRequest(call, now);
-        this.handleDecisions(this.placementQueueOf(request.attempt).ask(request, now), now);
+        this.handleDecisions(this.placementQueueOf(request.attempt).enqueueRequest(request, now), now);
     }
 
     private placementRequest({ request, retries, avoid }: Call, now: number): PlacementRequest {
--- a/simulation/requests/rig.ts
+++ b/simulation/requests/rig.ts
@@ -105,8 +105,8 @@
                     ...shared,
                     publishRecords: () => undefined,
                 }),
-                isGone: life => hasEnded(control.view(), life),
-                listens: async () => "yes",
+                isLost: life => hasEnded(control.view(), life),
+                listenStatusOf: async () => "yes",
             }),
             attempts: AttemptIds.create(control.session()),
         });
