--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/orderService.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/orderService.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { Left, Right } from "purify-ts";
-import { ManualClock, rest } from "../../../../../../../simulation/manualClock.js";
-import { announce, pool, viewOf } from "../../../../../../../simulation/orders/samples.js";
+import { flushPromises, ManualClock } from "../../../../../../../simulation/manualClock.js";
+import { engineAnnouncement, pool, viewOf } from "../../../../../../../simulation/orders/samples.js";
 import type { EngineState, View } from "../../../protocol/index.js";
 import { createSilentLogger } from "../../../utils/index.js";
 import { OrderService } from "../orderService.js";
@@ -16,7 +16,7 @@
 const interval = 1_000;
 
 describe("the order service", () => {
-    const announcement = announce("decode-1", { models: [] });
+    const announcement = engineAnnouncement("decode-1", { models: [] });
     let clock: ManualClock;
     let control: FakeControl;
     let engine: FakeOrderEngine;
@@ -53,13 +53,13 @@
     it("sends orders for the declaration under its fencing number, and records them in the audit trail first", async () => {
         let ordersWhenAudited: number | undefined;
         control.onPropose = () => ordersWhenAudited ??= engine.receivedOrders.length;
-        await clock.pass(takeoverDelay);
+        await clock.advance(takeoverDelay);
         expect(engine.receivedOrders).to.deep.equal([
             { orderId: "5/1", fence: 5, order: { action: "load", model: "m", version: "2", adapters: [] } },
         ]);
         expect(ordersWhenAudited).to.equal(0);
         engine.current = warm;
-        await clock.pass(interval);
+        await clock.advance(interval);
         expect(control.outcomes()).to.deep.equal(["sent", "done"]);
         expect(control.records()[0]).to.deep.include({ fence: 5, backend: "decode-1", incarnation: 1, by: "entry-1" });
         expect(control.records()[0]!.action).to.equal("load m@2 (order 5/1: drafting declares m@2)");
@@ -70,13 +70,13 @@
         // Guards against contradicting orders at an engine that doesn't check fencing numbers. The previous holder is
         // partitioned, considers its lease valid for one more view lease, and sends an order at the end of it; a new
         // holder must not start as soon as the lease is granted.
-        await clock.pass(takeoverDelay - 1);
+        await clock.advance(takeoverDelay - 1);
         expect(engine.stateReads).to.equal(0);
         control.publishView(viewHeldBy(other, 6));
         control.publishView(viewHeldBy(own, 7));
-        await clock.pass(takeoverDelay - 1);
+        await clock.advance(takeoverDelay - 1);
         expect(engine.stateReads).to.equal(0);
-        await clock.pass(1);
+        await clock.advance(1);
         expect(engine.receivedOrders[0]).to.include({ orderId: "7/1", fence: 7 });
     });
 
@@ -87,7 +87,7 @@
             clock.freeze(60_000);
             control.mayStartWork = false;
         };
-        await clock.pass(takeoverDelay);
+        await clock.advance(takeoverDelay);
         expect(engine.stateReads).to.equal(1);
         expect(engine.receivedOrders).to.deep.equal([]);
         expect(control.proposed).to.deep.equal([]);
@@ -98,24 +98,24 @@
             clock.freeze(60_000);
             control.mayStartWork = false;
         };
-        await clock.pass(takeoverDelay);
+        await clock.advance(takeoverDelay);
         expect(engine.receivedOrders).to.deep.equal([]);
         expect(control.outcomes()).to.deep.equal(["sent", "failed"]);
     });
 
     it("stops when the view names another holder, even during a round", async () => {
         engine.onState = () => control.publishView(viewHeldBy(other, 6));
-        await clock.pass(takeoverDelay + 5 * interval);
+        await clock.advance(takeoverDelay + 5 * interval);
         expect(engine.receivedOrders).to.deep.equal([]);
         expect(engine.stateReads).to.equal(1);
     });
 
     it("sends no order that is not recorded in the audit trail", async () => {
         control.undecided = true;
-        await clock.pass(takeoverDelay + 3 * interval);
+        await clock.advance(takeoverDelay + 3 * interval);
         expect(engine.receivedOrders).to.deep.equal([]);
         control.undecided = false;
-        await clock.pass(interval);
+        await clock.advance(interval);
         expect(engine.receivedOrders.length).to.equal(1);
     });
 
@@ -123,13 +123,13 @@
         // Guards against loading a model twice, or changing a role back and forth. The answer is lost, and the state is
         // read before the order arrives: treating that reading as proof would send the order again.
         engine.answer = Left({ kind: "unknown", code: undefined, message: "reset" });
-        await clock.pass(takeoverDelay);
+        await clock.advance(takeoverDelay);
         expect(control.outcomes()).to.deep.equal(["sent"]);
-        await clock.pass(limits.orderTimeout - interval);
+        await clock.advance(limits.orderTimeout - interval);
         expect(engine.receivedOrders.length).to.equal(1);
         expect(service.openOrders()).to.have.length(1);
         engine.current = warm;
-        await clock.pass(2 * interval);
+        await clock.advance(2 * interval);
         expect(control.outcomes()).to.deep.equal(["sent", "done"]);
         expect(engine.receivedOrders.length).to.equal(1);
         expect(service.openOrders()).to.deep.equal([]);
@@ -137,24 +137,24 @@
 
     it("retries an order that was lost in transit with increasing backoff", async () => {
         engine.answer = Left({ kind: "unknown", code: undefined, message: "reset" });
-        await clock.pass(takeoverDelay + limits.orderTimeout);
+        await clock.advance(takeoverDelay + limits.orderTimeout);
         expect(control.outcomes()).to.deep.equal(["sent", "failed"]);
         expect(engine.receivedOrders.length).to.equal(1);
-        await clock.pass(interval);
+        await clock.advance(interval);
         expect(engine.receivedOrders.length).to.equal(2);
-        await clock.pass(limits.orderTimeout + interval);
+        await clock.advance(limits.orderTimeout + interval);
         expect(engine.receivedOrders.length).to.equal(2);
-        await clock.pass(interval);
+        await clock.advance(interval);
         expect(engine.receivedOrders.length).to.equal(3);
     });
 
     it("backs off after an order that the engine refused", async () => {
         engine.answer = Right({ outcome: "refused", highestFence: 9, message: "old" });
-        await clock.pass(takeoverDelay);
+        await clock.advance(takeoverDelay);
         expect(control.outcomes()).to.deep.equal(["sent", "refused"]);
-        await clock.pass(interval);
+        await clock.advance(interval);
         expect(engine.receivedOrders.length).to.equal(2);
-        await clock.pass(interval);
+        await clock.advance(interval);
         expect(engine.receivedOrders.length).to.equal(2);
     });
 
@@ -163,14 +163,14 @@
             engine.onState = () => {};
             throw new Error("a fault");
         };
-        await clock.pass(takeoverDelay);
+        await clock.advance(takeoverDelay);
         expect(engine.receivedOrders).to.deep.equal([]);
-        await clock.pass(interval);
+        await clock.advance(interval);
         expect(engine.receivedOrders.length).to.equal(1);
         await service.close();
         const { stateReads } = engine;
-        await clock.pass(10 * interval);
-        await rest();
+        await clock.advance(10 * interval);
+        await flushPromises();
         expect(engine.stateReads).to.equal(stateReads);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/quiescence.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/quiescence.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { announce } from "../../../../../../../simulation/orders/samples.js";
+import { engineAnnouncement } from "../../../../../../../simulation/orders/samples.js";
 import type { ObservedEngine, QuiescenceWait } from "../orderState.js";
 import { advanceQuiescence, isQuiescent, PoolActivity } from "../quiescence.js";
 
@@ -8,7 +8,7 @@
 function observed(id: string, role: "prefill" | "decode", askedAt: number, active?: string[]): ObservedEngine {
     const state = { id, incarnation: 1, role, models: [], highestFence: 0 };
     const reading = active === undefined ? undefined : { state: { ...state, active }, askedAt };
-    return { announcement: announce(id, { role }), state: "ready", reading };
+    return { announcement: engineAnnouncement(id, { role }), state: "ready", reading };
 }
 
 /** Quiescence of a decode engine by round, from the active attempts at it and at a prefill engine; undefined: not read. */
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/reconciler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/reconciler.spec.ts
@@ -1,18 +1,18 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
-import { Holder, limits, playRounds, roundTime } from "../../../../../../../simulation/orders/holder.js";
-import { declarationRuns, handOverRuns } from "../../../../../../../simulation/orders/runs.js";
+import { Holder, limits, roundInterval, runRounds } from "../../../../../../../simulation/orders/holder.js";
+import { declarationProperty, handoverProperty } from "../../../../../../../simulation/orders/runs.js";
 import { pool } from "../../../../../../../simulation/orders/samples.js";
 import { World } from "../../../../../../../simulation/orders/world.js";
 import { SeededRandomness } from "../../../utils/index.js";
 
 describe("orders derived from the declaration and the engines' states", () => {
     it("abort no requests, keep the floor and the load limit, and converge to the declaration", () => {
-        fc.assert(declarationRuns(), { seed: 7, numRuns: 150 });
+        fc.assert(declarationProperty(), { seed: 7, numRuns: 150 });
     });
 
     it("don't contradict those of the previous holder, whether engines check fencing numbers or not", () => {
-        fc.assert(handOverRuns(), { seed: 11, numRuns: 150 });
+        fc.assert(handoverProperty(), { seed: 11, numRuns: 150 });
     });
 
     it("of the previous holder that are delayed take effect before the next holder acts", () => {
@@ -38,20 +38,20 @@
         copies: { prefill: Math.max(0, prefill - 1), decode: decode + 1 },
         floor: { prefill: 0, decode: 0 },
     });
-    world.pass(roundTime);
+    world.advance(roundInterval);
     const previous = new Holder(world, 10);
-    previous.lateBy = limits.orderTimeout - 100;
+    previous.roleChangeDelay = limits.orderTimeout - 100;
     const changesRole = () => [...previous.state.open.values()].some(({ order }) => order.action === "changeRole");
     for (let round = 0; round < 30 && !changesRole(); round++) {
-        playRounds(world, previous, 1);
+        runRounds(world, previous, 1);
     }
     // The change is no longer required, so that the next holder returns the engine to placement at once.
     world.declared = pool({ models, copies: { prefill, decode } });
-    world.pass(waitTime);
+    world.advance(waitTime);
     const next = new Holder(world, 20);
     for (let round = 0; round < 10; round++) {
         next.round();
-        world.pass(roundTime);
+        world.advance(roundInterval);
     }
     return world.violations.length > 0;
 }
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/servedVersion.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/servedVersion.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { announce, pool, poolName, viewOf } from "../../../../../../../simulation/orders/samples.js";
+import { engineAnnouncement, pool, poolName, viewOf } from "../../../../../../../simulation/orders/samples.js";
 import { servedVersion, versionToServe } from "../servedVersion.js";
 
 const old = { name: "m", version: "1", adapters: [] };
@@ -8,8 +8,8 @@
 /** The version to serve of a pool with four decode engines, some of which have the declared version, and one prefill engine. */
 function versionFor(warmDecodes: number, prefillWarm: boolean, oldLeft = true): string | undefined {
     const carried = (warm: boolean) => [...(oldLeft ? [old] : []), ...(warm ? [declared] : [])];
-    const decodes = [0, 1, 2, 3].map(n => announce(`decode-${n}`, { models: carried(n < warmDecodes) }));
-    const prefill = announce("prefill-0", { role: "prefill", models: carried(prefillWarm) });
+    const decodes = [0, 1, 2, 3].map(n => engineAnnouncement(`decode-${n}`, { models: carried(n < warmDecodes) }));
+    const prefill = engineAnnouncement("prefill-0", { role: "prefill", models: carried(prefillWarm) });
     return versionToServe([...decodes, prefill], pool(), "m", undefined);
 }
 
@@ -33,14 +33,17 @@
 
 describe("the served version", () => {
     const both = { models: [old, declared] };
-    const engines = [announce("prefill-0", { role: "prefill", ...both }), announce("decode-0", both)];
+    const engines = [
+        engineAnnouncement("prefill-0", { role: "prefill", ...both }),
+        engineAnnouncement("decode-0", both),
+    ];
     const view = viewOf(pool(), engines);
 
     it("is the named one while a pair of engines has it, whatever most engines have", () => {
         // Guards against requests that are aborted because the version that they run is unloaded. After traffic has moved
         // and while the old version is being unloaded, some engines restart with it: if the served version were the one
         // that most engines carry, the old one would be served again.
-        const restarted = [1, 2, 3].map(n => announce(`decode-${n}`, { models: [old] }));
+        const restarted = [1, 2, 3].map(n => engineAnnouncement(`decode-${n}`, { models: [old] }));
         const later = viewOf(pool(), [...engines, ...restarted]);
         expect(servedVersion({ ...later, served: { [poolName]: { m: "2" } } }, poolName, "m")).to.equal("2");
         expect(servedVersion({ ...view, served: { [poolName]: { m: "1" } } }, poolName, "m")).to.equal("1");
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/steps.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/steps.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { announce, pool, poolName, viewOf } from "../../../../../../../simulation/orders/samples.js";
+import { engineAnnouncement, pool, poolName, viewOf } from "../../../../../../../simulation/orders/samples.js";
 import type { Announcement, EngineState, Pool, View } from "../../../protocol/index.js";
 import { emptyReconcilerState, type EngineReading, type OrderLimits, type ReconcilerAction } from "../orderState.js";
 import { Reconciler } from "../reconciler.js";
@@ -18,10 +18,10 @@
     models = [current],
     state: Partial<EngineState> = {},
 ): EngineSample {
-    return { announcement: announce(id, { role, models, abilities }), state: { role, ...state } };
+    return { announcement: engineAnnouncement(id, { role, models, abilities }), state: { role, ...state } };
 }
 
-const abilities = { ...announce("x").abilities, changesRole: true };
+const abilities = { ...engineAnnouncement("x").abilities, changesRole: true };
 
 function stateOf({ announcement, state }: EngineSample): EngineState {
     const models = announcement.models.map(model => ({ ...model, phase: "warm" as const, loadingAdapters: [] }));
--- a/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/quarantine/__tests__/crashDetector.spec.ts
@@ -60,10 +60,10 @@
                 { id: `s ${found}`, address: "10.0.0.1:80" },
                 "late",
             );
-            await clock.pass(2_000);
+            await clock.advance(2_000);
             expect(quarantinedRequests.isSuspected(digest)).to.equal(false);
             lostServers.add(`s ${found}`);
-            await clock.pass(300);
+            await clock.advance(300);
             expect(quarantinedRequests.isSuspected(digest)).to.equal(true);
         }
     });
@@ -81,11 +81,11 @@
         detector.reportAnswered(request);
         quarantinedRequests.merge([{ digest: request.digest, crashes: [], clearedAge: 0 }]);
         other.merge([{ digest: request.digest, crashes: [], clearedAge: 0 }]);
-        await clock.pass(300);
+        await clock.advance(300);
         const crashes = ["s1", "s2"].map(id => ({ server: id, phase: "early" as const, age: 0 }));
         [quarantinedRequests, other].forEach(copy => copy.merge([{ digest: request.digest, crashes }]));
         expect(detector.quarantineStatus(request)).to.equal(undefined);
-        await clock.pass(10);
+        await clock.advance(10);
         other.merge(quarantinedRequests.changedAfter(0));
         expect(other.quarantineStatus(request.digest)).to.equal(undefined);
         expect(other.merge(quarantinedRequests.changedAfter(0))).to.deep.equal([]);
@@ -100,7 +100,7 @@
             await detector.reportLostRun(request, { ...server, id }, "early");
             lostServers.add(id);
         }
-        await clock.pass(1_000);
+        await clock.advance(1_000);
         expect(quarantinedRequests.all()[0]?.crashes).to.have.length(2);
         expect(detector.quarantineStatus(request)).to.equal(undefined);
     });
@@ -108,9 +108,9 @@
     it("doesn't attribute a server's end to a run that was lost long before", async () => {
         listening = "yes";
         await detector.reportLostRun(request, server, "early");
-        await clock.pass(20_000);
+        await clock.advance(20_000);
         lostServers.add(server.id);
-        await clock.pass(1_000);
+        await clock.advance(1_000);
         expect(quarantinedRequests.all()).to.deep.equal([]);
     });
 
@@ -118,16 +118,16 @@
         await detector.reportLostRun(request, server, "early");
         await detector.reportLostRun(request, { ...server, id: "s2" }, "early");
         expect(detector.quarantineStatus(request)?.crashes).to.have.length(2);
-        await clock.pass(10);
+        await clock.advance(10);
         detector.reportAnswered(request);
         expect(detector.quarantineStatus(request)).to.equal(undefined);
         // Other daemons report crashes while it was answered here: it is a common request.
-        await clock.pass(5_000);
+        await clock.advance(5_000);
         const crashes = ["s3", "s4"].map(id => ({ server: id, phase: "early" as const, age: 0 }));
         quarantinedRequests.merge([{ digest: request.digest, crashes }]);
         expect(detector.quarantineStatus(request)).to.equal(undefined);
         // An old answer is no evidence about the servers that run now.
-        await clock.pass(120_000);
+        await clock.advance(120_000);
         quarantinedRequests.merge([{
             digest: request.digest,
             crashes: ["s5", "s6"].map(id => ({ server: id, phase: "early" as const, age: 0 })),
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { rest } from "../../../../../../../simulation/manualClock.js";
+import { flushPromises } from "../../../../../../../simulation/manualClock.js";
 import { engine, schedulingRequest } from "../../../../../../../simulation/scheduling/samples.js";
 import type { EngineHolding, SchedulingDecision } from "../../../protocol/index.js";
 import { incarnation, sampleView, TestDaemons } from "./fakes.js";
@@ -27,7 +27,7 @@
         daemons = new TestDaemons(["a", "b", "c"], sampleView(["a", "b", "c"], engines));
         decisions = new Map();
         daemons.grantLease("drafts", "a");
-        await daemons.clock.pass(2_000);
+        await daemons.clock.advance(2_000);
     });
 
     afterEach(() => daemons.close());
@@ -57,10 +57,10 @@
 
     async function reserveAndPrefill(daemon: string, name: string): Promise<void> {
         reserve(daemon, name);
-        await daemons.clock.pass(200);
+        await daemons.clock.advance(200);
         const attempt = `${daemon}/i1/${name}`;
         daemons.placement(daemon).progress("drafts", { attempt, stage: "prefilled", tokens: 0 });
-        await daemons.clock.pass(10);
+        await daemons.clock.advance(10);
     }
 
     it("asks the holder of the scheduler lease, and assigns each slot once", async () => {
@@ -69,7 +69,7 @@
         await reserveAndPrefill("b", "three");
         expect([outcome("one"), outcome("two"), outcome("three")]).to.deep.equal([11, 11, "waits"]);
         end("c", "two");
-        await daemons.clock.pass(100);
+        await daemons.clock.advance(100);
         expect(outcome("three")).to.equal(11);
     });
 
@@ -79,7 +79,7 @@
         await reserveAndPrefill("c", "two");
         reserve("a", "three");
         reserve("b", "four");
-        await daemons.clock.pass(300);
+        await daemons.clock.advance(300);
         expect([outcome("three"), outcome("four")]).to.deep.equal(["waits", "waits"]);
         const addedEngines = [engine("d2", "decode"), engine("p2", "prefill")];
         daemons.change(view => ({
@@ -89,7 +89,7 @@
                 ...Object.fromEntries(addedEngines.map(entry => [entry.announcement.id, entry])),
             },
         }));
-        await rest();
+        await flushPromises();
         expect([outcome("three"), outcome("four")]).to.deep.equal([11, 11]);
         expect(daemons.placement("a").status().get("drafts")!.held.get("d2")).to.equal(2);
     });
@@ -101,11 +101,11 @@
         daemons.kill("a");
         daemons.closeSession("a");
         daemons.grantLease("drafts", "c");
-        await daemons.clock.pass(100);
+        await daemons.clock.advance(100);
         await reserveAndPrefill("b", "three");
         expect(outcome("three")).to.equal("waits");
         end("b", "one");
-        await daemons.clock.pass(100);
+        await daemons.clock.advance(100);
         expect(outcome("three")).to.equal(13);
     });
 
@@ -116,10 +116,10 @@
         await reserveAndPrefill("c", "three");
         expect(outcome("three")).to.equal("waits");
         daemons.partitioned.add("a");
-        await daemons.clock.pass(500);
+        await daemons.clock.advance(500);
         expect(outcome("three")).to.equal(0);
         daemons.partitioned.clear();
-        await daemons.clock.pass(500);
+        await daemons.clock.advance(500);
         expect(daemons.placement("a").status().get("drafts")!.waiting).to.equal(0);
     });
 
@@ -129,12 +129,12 @@
         await reserveAndPrefill("c", "two");
         reserve("c", "three");
         reserve("c", "four");
-        await daemons.clock.pass(10_000);
+        await daemons.clock.advance(10_000);
         expect([outcome("three"), outcome("four")]).to.deep.equal(["waits", "waits"]);
         daemons.partitioned.add("a");
-        await daemons.clock.pass(500);
+        await daemons.clock.advance(500);
         expect([outcome("three"), outcome("four")]).to.deep.equal([0, "waits"]);
-        await daemons.clock.pass(5_000);
+        await daemons.clock.advance(5_000);
         expect(outcome("four")).to.equal("poolFull");
     });
 
@@ -143,7 +143,7 @@
         const caller = new AbortController();
         reserve("b", "one", caller.signal);
         caller.abort();
-        await daemons.clock.pass(500);
+        await daemons.clock.advance(500);
         expect(outcome("one")).to.equal("callerGone");
         expect(daemons.placement("a").status().get("drafts")!.held.get("d1")).to.equal(0);
     });
@@ -156,10 +156,10 @@
         const poolStatus = () => daemons.placement("a").status().get("drafts")!;
         expect(poolStatus().waiting).to.equal(1);
         daemons.kill("b");
-        await rest();
+        await flushPromises();
         expect(poolStatus().waiting).to.equal(0);
         daemons.closeSession("b");
-        await rest();
+        await flushPromises();
         expect(poolStatus().held.get("d1")).to.equal(0);
     });
 
@@ -172,7 +172,7 @@
         daemons.kill("b");
         daemons.closeSession("b");
         daemons.closeSession("c");
-        await daemons.clock.pass(4_000);
+        await daemons.clock.advance(4_000);
         expect([...new Set(daemons.cancelledAttempts)]).to.deep.equal(["b/i1/one"]);
     });
 
@@ -183,11 +183,11 @@
                 const active = ["c/i1/one"];
                 const sequence = daemons.clock.monotonic();
                 daemons.placement("a").load("drafts", { id: "d1", incarnation: 1, sequence, active, queuedTokens: 0 });
-                await daemons.clock.pass(1_000);
+                await daemons.clock.advance(1_000);
             }
         };
         reserve("c", "one", new AbortController().signal, { deadlineWithin: 600_000 });
-        await daemons.clock.pass(200);
+        await daemons.clock.advance(200);
         expect(outcome("one")).to.equal(11);
         daemons.closeSession("c");
         await reportFor(60);
@@ -204,9 +204,9 @@
     it("treats an unknown owner as dead only after the view was confirmed", async () => {
         const report = { id: "d1", incarnation: 1, sequence: 5, active: ["new/i1/one"], queuedTokens: 0 };
         daemons.placement("a").load("drafts", report);
-        await daemons.clock.pass(2_500);
+        await daemons.clock.advance(2_500);
         expect(daemons.cancelledAttempts).to.deep.equal([]);
-        await daemons.clock.pass(4_000);
+        await daemons.clock.advance(4_000);
         expect([...new Set(daemons.cancelledAttempts)]).to.deep.equal(["new/i1/one"]);
     });
 
@@ -223,18 +223,18 @@
                 daemons.partitioned.add("a");
             }
             await reserveAndPrefill("b", "one");
-            await daemons.clock.pass(500);
+            await daemons.clock.advance(500);
             expect(outcome("one")).to.equal(local ? 0 : 11);
             daemons.partitioned.clear();
-            await daemons.clock.pass(500);
+            await daemons.clock.advance(500);
             daemons.change(view => ({ ...view, backends: { ...view.backends, d2: engine("d2", "decode") } }));
             const moved = daemons.placement("b").move(allocationOf("b", "one", "prefilled"));
-            await daemons.clock.pass(300);
+            await daemons.clock.advance(300);
             expect(await moved).to.equal("d2");
             const { held } = daemons.placement("a").status().get("drafts")!;
             expect([...held]).to.deep.equal([["p1", 0], ["d1", 0], ["d2", 1]]);
             end("b", "one");
-            await daemons.clock.pass(100);
+            await daemons.clock.advance(100);
             expect(daemons.placement("a").status().get("drafts")!.held.get("d2")).to.equal(0);
         });
     }
@@ -245,7 +245,7 @@
         daemons.change(view => ({ ...view, backends: { ...view.backends, d2: engine("d2", "decode") } }));
         daemons.partitioned.add("a");
         const moved = daemons.placement("b").move(allocationOf("b", "one", "prefilled"));
-        await daemons.clock.pass(500);
+        await daemons.clock.advance(500);
         expect(await moved).to.equal("d2");
     });
 
@@ -253,12 +253,12 @@
     // reachable again.
     it("returns requests that wait for local placement to the scheduler once it answers again", async () => {
         daemons.partitioned.add("a");
-        await daemons.clock.pass(500);
+        await daemons.clock.advance(500);
         reserve("b", "once", neverAborted, { once: true });
-        await daemons.clock.pass(1_000);
+        await daemons.clock.advance(1_000);
         expect(outcome("once")).to.equal("waits");
         daemons.partitioned.clear();
-        await daemons.clock.pass(500);
+        await daemons.clock.advance(500);
         expect(outcome("once")).to.equal(11);
     });
 
@@ -269,14 +269,14 @@
         });
         daemons.clock.freeze(400);
         reserve("a", "later");
-        await rest();
+        await flushPromises();
         for (const request of localPlacements) {
             await daemons.placement("a").handlePeer(request, { gone: neverAborted });
         }
-        await daemons.clock.pass(300);
+        await daemons.clock.advance(300);
         expect(outcome("later")).to.equal("waits");
         end("b", "one");
-        await daemons.clock.pass(300);
+        await daemons.clock.advance(300);
         expect(outcome("later")).to.equal(11);
     });
 
@@ -294,13 +294,13 @@
         reportLoads([]);
         daemons.partitioned.add("a");
         reserve("b", "once", neverAborted, { once: true });
-        await daemons.clock.pass(500);
+        await daemons.clock.advance(500);
         reportLoads(["x1", "x2", "x3", "x4", "x5", "x6", "x7", "x8"]);
-        await daemons.clock.pass(500);
+        await daemons.clock.advance(500);
         expect(outcome("once")).to.equal("waits");
         reportLoads([]);
         reserve("c", "another once", neverAborted, { once: true });
-        await daemons.clock.pass(1_000);
+        await daemons.clock.advance(1_000);
         expect(outcome("another once")).to.equal(0);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewOverTcp.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewOverTcp.spec.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { ControlGroup, groupTiming, until } from "../../../../../../../simulation/control/controlGroup.js";
-import { CuttableNetwork } from "../../../../../../../simulation/control/cuttableNetwork.js";
+import { PartitionableNetwork } from "../../../../../../../simulation/control/partitionableNetwork.js";
 import { ordersLease, timingSchema } from "../../../protocol/index.js";
 import { commands } from "../../../state/__tests__/commands.js";
 import { createSilentLogger, SeededRandomness, SystemClock } from "../../../utils/index.js";
@@ -8,7 +8,7 @@
 
 const names = ["one", "two", "three"];
 const timing = timingSchema.parse({ ...groupTiming, viewLease: 1_000, electionTimeout: 300 });
-/** Ports that identify the clients in the simulated wiring. */
+/** Ports that identify the clients in the simulated topology. */
 const firstClientPort = 100;
 
 describe("control clients and control daemons over TCP", () => {
@@ -24,7 +24,7 @@
                 peers: { host: "127.0.0.1", port: 1 },
                 controls: group.settings(names[0]!).controls,
                 timing,
-                network: new CuttableNetwork(group.wiring, firstClientPort + index),
+                network: new PartitionableNetwork(group.topology, firstClientPort + index),
                 clock: SystemClock.create(),
                 randomness: SeededRandomness.create(index),
                 logger: createSilentLogger(),
@@ -54,14 +54,14 @@
         const firstLease = await until("a lease holder", () => clients[0]!.view().leases[ordersLease]);
         const holder = clients.findIndex(client => client.session().daemon === firstLease.holder.daemon);
         const other = clients[1 - holder]!;
-        group.wiring.cutOff.add(firstClientPort + holder);
+        group.topology.isolatedPorts.add(firstClientPort + holder);
         const newLease = await until("the other client as lease holder", () => {
             const lease = other.view().leases[ordersLease];
             return lease?.holder.daemon === other.session().daemon ? lease : undefined;
         });
         expect(newLease.fence).to.be.greaterThan(firstLease.fence);
         expect(clients[holder]!.mayStart()).to.equal(false);
-        group.wiring.cutOff.delete(firstClientPort + holder);
+        group.topology.isolatedPorts.delete(firstClientPort + holder);
         await until("the session to be reopened", () => clients[holder]!.mayStart() || undefined);
         await other.close();
         await until("the lease to return", () => {
@@ -86,7 +86,7 @@
             "the lease to be extended by twice its duration",
             () => client!.confirmedUntil()! > expiryAtLoss + 2 * timing.viewLease || undefined,
         );
-        names.slice(0, 2).forEach(name => group.cut(name));
+        names.slice(0, 2).forEach(name => group.isolate(name));
         await until("the lease to expire", () => !client!.mayStart() || undefined);
         expect(client!.startBlocker()).to.include({ kind: "noMajority" });
     });
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewRandom.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewRandom.spec.ts
@@ -6,8 +6,8 @@
 async function assertRuns(runsOf: (tally: Tally) => fc.IAsyncProperty<unknown>, numRuns: number): Promise<void> {
     const tally = new Tally();
     await fc.assert(runsOf(tally), { seed: 20_261_202, numRuns });
-    expect(tally.noted("starts"), "starts").to.be.greaterThan(numRuns * 100);
-    expect(tally.noted("acceptedChanges"), "accepted changes").to.be.greaterThan(numRuns);
+    expect(tally.countOf("starts"), "starts").to.be.greaterThan(numRuns * 100);
+    expect(tally.countOf("acceptedChanges"), "accepted changes").to.be.greaterThan(numRuns);
 }
 
 describe("the view lease in randomized simulations", () => {
--- a/packages/basilpaddle/src/node/daemon/control/__tests__/controlGroup.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/controlGroup.spec.ts
@@ -112,7 +112,7 @@
         // was treated as the newest because it still considers itself the leader.
         const entry = await follower("entry-1");
         const cut = await group.leader();
-        group.cut(cut);
+        group.isolate(cut);
         group.clocks.get(cut)!.shift += hourMilliseconds;
         for (let base = 0; base < 2; base++) {
             await entry.propose(commands.change(`change-${base}`, base));
@@ -120,7 +120,7 @@
         const old = group.daemon(cut);
         expect(old.status().view().configuration.revision).to.equal(0);
         expect((await old.propose(commands.change("late", 0))).kind).to.be.oneOf(["notLeader", "undecided"]);
-        group.mend(cut);
+        group.reconnect(cut);
         const answer = await until("an answer", () => entry.view().index > 0 ? entry.ask(cut) : undefined);
         expect(answer?.snapshot?.index ?? entry.view().index).to.be.at.least(entry.view().index);
         await until("the newest view", () => old.status().view().configuration.revision === 2 || undefined);
--- a/packages/basilpaddle/src/node/daemon/control/__tests__/faultRun.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/faultRun.spec.ts
@@ -7,7 +7,7 @@
             // Failure: a daemon starts work with an old configuration after the operator was answered `accepted`, or two
             // configurations have the same revision. Kills, network partitions, races and resends occur in an order
             // derived from the seed.
-            const counts = await FaultRun.play(seed, 5_000);
+            const counts = await FaultRun.execute(seed, 5_000);
             expect(counts.steps).to.be.above(0);
         });
     }
--- a/packages/basilpaddle/src/node/daemon/control/__tests__/follower.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/follower.ts
@@ -1,5 +1,5 @@
 import type { ControlGroup } from "../../../../../../../simulation/control/controlGroup.js";
-import { CuttableNetwork } from "../../../../../../../simulation/control/cuttableNetwork.js";
+import { PartitionableNetwork } from "../../../../../../../simulation/control/partitionableNetwork.js";
 import type { Command, Incarnation, PeerAnswer, PeerRequest, View } from "../../../protocol/index.js";
 import { commands } from "../../../state/__tests__/commands.js";
 import { ViewState } from "../../../state/index.js";
@@ -25,7 +25,7 @@
 
     constructor(group: ControlGroup, daemon: string) {
         this.session = commands.session(daemon);
-        const network = new CuttableNetwork(group.wiring, 0);
+        const network = new PartitionableNetwork(group.topology, 0);
         this.links = new Map(group.settings(group.names[0]!).controls.map(each => [each.name, network.link(each)]));
     }
 
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/stageOrders.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/stageOrders.spec.ts
@@ -34,7 +34,7 @@
         lease: 500,
         firstHolder: true,
     }, 1);
-    await clock.pass(milliseconds);
+    await clock.advance(milliseconds);
     orders.close();
     return ordered;
 }
--- a/packages/basilpaddle/src/node/daemon/directory/__tests__/watchService.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/__tests__/watchService.spec.ts
@@ -118,17 +118,17 @@
         const announcements = Announcements.create(1_000);
         const watchService = createService(0, clock, announcements);
         const answers = countAnswers(watchService, clock, 40, 0);
-        await clock.pass(10);
+        await clock.advance(10);
         answers.count = 0;
         await announceMany(watchService, announcements, clock, 60, 10);
         expect(answers.count).to.be.at.most(40 * 8);
         expect(answers.count).to.be.at.least(40 * 2);
-        await clock.pass(300);
+        await clock.advance(300);
         answers.count = 0;
         const before = clock.monotonic();
         announcements.apply(announced({ id: "single" }), before);
         watchService.notifyWatchers();
-        await clock.pass(0);
+        await clock.advance(0);
         expect(answers.count).to.equal(40);
         expect(answers.lastAt).to.equal(before);
     });
@@ -139,7 +139,7 @@
         const announcements = Announcements.create(1_000);
         const watchService = createService(0, clock, announcements);
         const answers = countAnswers(watchService, clock, 40, 2);
-        await clock.pass(10);
+        await clock.advance(10);
         answers.count = 0;
         await announceMany(watchService, announcements, clock, 600, 1);
         expect(answers.count).to.be.at.most(40 * 8);
@@ -153,7 +153,7 @@
         const announcements = Announcements.create(1_000);
         const watchService = createService(0, clock, announcements);
         const answers = countAnswers(watchService, clock, 2, 0);
-        await clock.pass(10);
+        await clock.advance(10);
         answers.count = 0;
         await announceMany(watchService, announcements, clock, 60, 10);
         expect(answers.count).to.equal(2 * 60);
@@ -164,10 +164,10 @@
         const announcements = Announcements.create(1_000);
         const watchService = createService(0, clock, announcements);
         countAnswers(watchService, clock, 40, 0);
-        await clock.pass(10);
+        await clock.advance(10);
         announcements.apply(announced({ id: "new" }), clock.monotonic());
         watchService.notifyWatchers();
-        await clock.pass(1);
+        await clock.advance(1);
         const restartedWatch = { kind: "watch", gateway: "g-1", version: -1, incarnation: "", cursor: 0 } as const;
         const { announced: announcedServers } = await watchService.watch({
             ...restartedWatch,
@@ -209,7 +209,7 @@
     for (let number = 0; number < count; number++) {
         announcements.apply(announced({ id: `i-${number}` }), clock.monotonic());
         watchService.notifyWatchers();
-        await clock.pass(gap);
+        await clock.advance(gap);
     }
 }
 
@@ -235,7 +235,7 @@
         const next = await watchService.watch({ ...watch, incarnation: "one", crashCursor: first.crashCursor });
         expect(next.crashes?.[0]?.crashes).to.have.length(3);
         const later = watchService.watch({ ...watch, incarnation: "one", crashCursor: next.crashCursor });
-        await clock.pass(1_200);
+        await clock.advance(1_200);
         expect((await later).crashes).to.equal(undefined);
     });
 });
--- a/simulation/control/controlGroup.ts
+++ b/simulation/control/controlGroup.ts
@@ -4,7 +4,7 @@
 import { ControlDaemon, initialiseControl } from "../../packages/basilpaddle/src/node/daemon/control/index.js";
 import { type ControlSettings, controlSettingsSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { createSilentLogger, SeededRandomness, SystemClock } from "../../packages/basilpaddle/src/node/utils/index.js";
-import { CuttableNetwork, NetworkTopology } from "./cuttableNetwork.js";
+import { NetworkTopology, PartitionableNetwork } from "./partitionableNetwork.js";
 
 /** Timing in milliseconds: short enough for tests, yet long enough for a machine under load. */
 export const groupTiming = {
@@ -28,7 +28,7 @@
 
 /** A group of control daemons in one process, with real data folders and TCP connections over the loopback interface. */
 export class ControlGroup {
-    readonly wiring = new NetworkTopology();
+    readonly topology = new NetworkTopology();
     readonly clocks = new Map<string, ShiftedClock>();
     private readonly daemons = new Map<string, ControlDaemon>();
 
@@ -61,18 +61,18 @@
             clock,
             randomness: SeededRandomness.create(this.configuredPortOf(name)),
             logger: createSilentLogger(),
-            network: new CuttableNetwork(this.wiring, this.configuredPortOf(name)),
+            network: new PartitionableNetwork(this.topology, this.configuredPortOf(name)),
         });
         this.clocks.set(name, clock);
         this.daemons.set(name, daemon);
-        this.wiring.actualPorts.set(this.configuredPortOf(name), daemon.port());
-        this.wiring.cutOff.delete(this.configuredPortOf(name));
+        this.topology.actualPorts.set(this.configuredPortOf(name), daemon.port());
+        this.topology.isolatedPorts.delete(this.configuredPortOf(name));
         return daemon;
     }
 
     /** Isolates a control daemon and then closes it, so that it can't notify the others. */
     async kill(name: string): Promise<void> {
-        this.cut(name);
+        this.isolate(name);
         await this.stop(name);
     }
 
@@ -84,13 +84,13 @@
     }
 
     /** Drops all messages to and from a control daemon. */
-    cut(name: string): void {
-        this.wiring.cutOff.add(this.configuredPortOf(name));
+    isolate(name: string): void {
+        this.topology.isolatedPorts.add(this.configuredPortOf(name));
     }
 
     /** Delivers messages to and from a control daemon again. */
-    mend(name: string): void {
-        this.wiring.cutOff.delete(this.configuredPortOf(name));
+    reconnect(name: string): void {
+        this.topology.isolatedPorts.delete(this.configuredPortOf(name));
     }
 
     daemon(name: string): ControlDaemon {
@@ -103,7 +103,8 @@
             "a leader",
             () =>
                 [...this.daemons].find(([name, daemon]) =>
-                    daemon.status().replicaStatus().leading && !this.wiring.cutOff.has(this.configuredPortOf(name))
+                    daemon.status().replicaStatus().leading
+                    && !this.topology.isolatedPorts.has(this.configuredPortOf(name))
                 )?.[0],
         );
     }
--- a/simulation/control/faultRun.ts
+++ b/simulation/control/faultRun.ts
@@ -3,7 +3,7 @@
 import { commands } from "../../packages/basilpaddle/src/node/state/__tests__/commands.js";
 import { createSilentLogger, SeededRandomness, SystemClock } from "../../packages/basilpaddle/src/node/utils/index.js";
 import { ControlGroup } from "./controlGroup.js";
-import { CuttableNetwork } from "./cuttableNetwork.js";
+import { PartitionableNetwork } from "./partitionableNetwork.js";
 
 const names = ["one", "two", "three"];
 const clientCount = 4;
@@ -40,7 +40,7 @@
     }
 
     /** Executes one run for the given duration. @throws Error with the first violated invariant */
-    static async play(seed: number, milliseconds: number): Promise<FaultCounts> {
+    static async execute(seed: number, milliseconds: number): Promise<FaultCounts> {
         const run = new FaultRun(await ControlGroup.create(names), SeededRandomness.create(seed));
         try {
             for (const end = performance.now() + milliseconds; performance.now() < end && run.failure === undefined;) {
@@ -67,7 +67,7 @@
         switch (this.randomness.integer(0, 7)) {
             case 0:
                 this.counts.cuts += 1;
-                this.group.wiring.cutOff.add(port);
+                this.group.topology.isolatedPorts.add(port);
                 return;
             case 1: {
                 this.counts.kills += 1;
@@ -78,7 +78,7 @@
             }
             case 2:
             case 3:
-                this.group.wiring.cutOff.clear();
+                this.group.topology.isolatedPorts.clear();
                 return;
             case 4:
                 this.resendAcceptedChange();
@@ -152,7 +152,7 @@
 
     /** Ends all faults; every client must then reach the newest accepted revision and be able to start work. */
     private async waitForConvergence(): Promise<void> {
-        this.group.wiring.cutOff.clear();
+        this.group.topology.isolatedPorts.clear();
         await Promise.all(this.pendingProposals);
         const newestRevision = Math.max(0, ...[...this.acceptedChanges.values()].map(accepted => accepted.revision));
         const end = performance.now() + 20_000;
@@ -176,7 +176,7 @@
             peers: { host: "127.0.0.1", port: 1 },
             controls: settings.controls,
             timing: settings.timing,
-            network: new CuttableNetwork(this.group.wiring, firstClientPort + index),
+            network: new PartitionableNetwork(this.group.topology, firstClientPort + index),
             clock: SystemClock.create(),
             randomness: SeededRandomness.create(index + 1),
             logger: createSilentLogger(),
--- a/simulation/control/cuttableNetwork.ts
+++ b/simulation/control/partitionableNetwork.ts
@@ -7,11 +7,11 @@
     /** Port that a daemon listens on, by its port in the settings. */
     readonly actualPorts = new Map<number, number>();
     /** Ports in the settings of the daemons that are isolated from all others, in both directions. */
-    readonly cutOff = new Set<number>();
+    readonly isolatedPorts = new Set<number>();
 }
 
 /** The network as used by one daemon: TCP that resolves ports by the topology and drops the messages of isolated daemons. */
-export class CuttableNetwork extends Network {
+export class PartitionableNetwork extends Network {
     private readonly network = TcpNetwork.create(createSilentLogger());
 
     /** `ownPort` is the port of this daemon in the topology. 0 for a daemon that is never isolated itself. */
@@ -55,7 +55,7 @@
     }
 
     private isPartitioned(): boolean {
-        return this.topology.cutOff.has(this.ownPort) || this.topology.cutOff.has(this.address.port);
+        return this.topology.isolatedPorts.has(this.ownPort) || this.topology.isolatedPorts.has(this.address.port);
     }
 
     private link(): Link {
--- a/simulation/experiment/variant.ts
+++ b/simulation/experiment/variant.ts
@@ -1,7 +1,7 @@
 import type { Either } from "purify-ts";
 import { z } from "zod";
 import type { Finding } from "../../packages/basilpaddle/src/node/protocol/index.js";
-import { readCheckedFile } from "../checkedFile.js";
+import { readJsonFile } from "../jsonFile.js";
 
 /** Overrides of the placement tuning; omitted parameters keep the product's defaults. */
 export const tuningSchema = z.strictObject({
@@ -26,5 +26,5 @@
 
 /** Reads variants from a file; returns all findings if the file is invalid. */
 export function readVariants(file: string): Either<readonly Finding[], readonly Variant[]> {
-    return readCheckedFile(file, variantsSchema).map(({ variants }) => variants);
+    return readJsonFile(file, variantsSchema).map(({ variants }) => variants);
 }
--- a/simulation/checkedFile.ts
+++ b/simulation/jsonFile.ts
@@ -4,7 +4,7 @@
 import { type Finding, findingsFromZodError } from "../packages/basilpaddle/src/node/protocol/index.js";
 
 /** Reads a JSON file and validates it against a schema; returns all findings if the file is unreadable or invalid. */
-export function readCheckedFile<T>(file: string, schema: z.ZodType<T>): Either<readonly Finding[], T> {
+export function readJsonFile<T>(file: string, schema: z.ZodType<T>): Either<readonly Finding[], T> {
     let content: unknown;
     try {
         content = JSON.parse(readFileSync(file, "utf8"));
--- a/simulation/manualClock.ts
+++ b/simulation/manualClock.ts
@@ -26,10 +26,10 @@
     }
 
     /** Advances the time and runs the timers that are due, in order. Promises settle before each timer and at the end. */
-    async pass(milliseconds: number): Promise<void> {
+    async advance(milliseconds: number): Promise<void> {
         const until = this.now + milliseconds;
         for (;;) {
-            await rest();
+            await flushPromises();
             const due = this.timers.filter(({ at }) => at <= until).sort((one, other) => one.at - other.at)[0];
             if (due === undefined) {
                 break;
@@ -39,7 +39,7 @@
             due.callback();
         }
         this.now = until;
-        await rest();
+        await flushPromises();
     }
 
     /** Advances the time without running timers, as if the process were suspended. */
@@ -49,7 +49,7 @@
 }
 
 /** Runs all code that waits only for promises: five turns of the event loop. */
-export async function rest(): Promise<void> {
+export async function flushPromises(): Promise<void> {
     for (let turn = 0; turn < 5; turn++) {
         await setImmediate();
     }
--- a/simulation/orders/holder.ts
+++ b/simulation/orders/holder.ts
@@ -10,7 +10,7 @@
 /** Limits of the orders in every simulation. */
 export const limits: OrderLimits = { concurrentLoads: 2, orderTimeout: 4_000, settle: 3_060, retryPause: 500 };
 /** Milliseconds from one round of a holder to the next. */
-export const roundTime = 1_000;
+export const roundInterval = 1_000;
 
 /** A holder of the orders lease, which applies the reconciler's actions to a simulated pool and checks invariants at each. */
 export class Holder {
@@ -20,7 +20,7 @@
     /** Identifiers of the orders whose outcome is known. */
     readonly completedOrders: string[] = [];
     /** Milliseconds by which role changes are delayed, with their answers lost; 0 doesn't delay them. */
-    lateBy = 0;
+    roleChangeDelay = 0;
     rounds = 0;
     private readonly reconciler: Reconciler;
 
@@ -50,9 +50,9 @@
                 expect(action.open.cause).not.to.equal("");
                 expect(this.issuedOrders.has(action.open.orderId)).to.equal(false);
                 this.issuedOrders.add(action.open.orderId);
-                const isDelayed = action.open.order.action === "changeRole" && this.lateBy > 0;
+                const isDelayed = action.open.order.action === "changeRole" && this.roleChangeDelay > 0;
                 const sent = isDelayed
-                    ? world.sendDelayed(action.open, this.fence, this.lateBy)
+                    ? world.sendDelayed(action.open, this.fence, this.roleChangeDelay)
                     : world.send(action.open, this.fence);
                 this.state = this.reconciler.recordSendResult(this.state, action.open, sent, world.now);
                 if (sent.result !== "started" && sent.result !== "unknown") {
@@ -84,11 +84,11 @@
 }
 
 /** Runs rounds, and checks in each that no attempt was aborted and that the limit on concurrent loads is kept. */
-export function playRounds(world: World, holder: Holder, count: number): void {
+export function runRounds(world: World, holder: Holder, count: number): void {
     for (let round = 0; round < count; round++) {
         holder.round();
         expect(world.countLoading()).to.be.at.most(limits.concurrentLoads);
-        world.pass(roundTime);
+        world.advance(roundInterval);
         expect(world.violations).to.deep.equal([]);
     }
 }
--- a/simulation/orders/runs.ts
+++ b/simulation/orders/runs.ts
@@ -2,7 +2,7 @@
 import * as fc from "fast-check";
 import { SeededRandomness } from "../../packages/basilpaddle/src/node/utils/index.js";
 import { Tally } from "../subject.js";
-import { Holder, limits, playRounds, roundTime } from "./holder.js";
+import { Holder, limits, roundInterval, runRounds } from "./holder.js";
 import { pool } from "./samples.js";
 import { World } from "./world.js";
 
@@ -37,17 +37,17 @@
 }
 
 /** Property: orders abort no attempts, keep the floor and the limit on concurrent loads, and converge to the declaration. */
-export function declarationRuns(tally = new Tally()) {
+export function declarationProperty(tally = new Tally()) {
     return fc.property(runArbitrary, settings => {
         const world = worldOf(settings);
         const holder = new Holder(world, 10);
         for (const declaration of settings.declarations) {
             world.declared = poolOf(declaration);
-            world.pass(roundTime);
-            playRounds(world, holder, 25);
+            world.advance(roundInterval);
+            runRounds(world, holder, 25);
         }
         world.stopFaults();
-        playRounds(world, holder, 100);
+        runRounds(world, holder, 100);
         const openOrders = [...holder.state.open.values()].map(({ orderId }) => orderId);
         expect(openOrders).to.deep.equal([]);
         expect(holder.completedOrders.length).to.equal(holder.issuedOrders.size);
@@ -55,23 +55,23 @@
         if (settings.declarations.at(-1)!.floor === 0) {
             expect(world.matchesDeclaration()).to.equal(true);
         }
-        tally.add(holder.rounds);
+        tally.addRun(holder.rounds);
     });
 }
 
 /** Property: the orders of the next holder don't conflict with those of the previous one. */
-export function handOverRuns(tally = new Tally()) {
+export function handoverProperty(tally = new Tally()) {
     return fc.property(runArbitrary, fc.integer({ min: 1, max: 25 }), (settings, handoverRound) => {
         const world = worldOf(settings);
         const previous = new Holder(world, 10);
-        playRounds(world, previous, handoverRound);
+        runRounds(world, previous, handoverRound);
         world.declared = poolOf(settings.declarations.at(-1)!);
-        world.pass(limits.settle + limits.orderTimeout);
+        world.advance(limits.settle + limits.orderTimeout);
         const next = new Holder(world, 20);
-        playRounds(world, next, 25);
+        runRounds(world, next, 25);
         world.stopFaults();
-        playRounds(world, next, 100);
+        runRounds(world, next, 100);
         expect(next.round()).to.equal(false);
-        tally.add(previous.rounds + next.rounds);
+        tally.addRun(previous.rounds + next.rounds);
     });
 }
--- a/simulation/orders/samples.ts
+++ b/simulation/orders/samples.ts
@@ -21,7 +21,7 @@
 }
 
 /** The announcement of a decode engine. */
-export function announce(id: string, overrides: Partial<Announcement> = {}): Announcement {
+export function engineAnnouncement(id: string, overrides: Partial<Announcement> = {}): Announcement {
     const url = "http://127.0.0.9:8000";
     return announcementSchema.parse({
         id,
--- a/simulation/orders/world.ts
+++ b/simulation/orders/world.ts
@@ -10,7 +10,7 @@
     View,
 } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import type { SeededRandomness } from "../../packages/basilpaddle/src/node/utils/index.js";
-import { announce, poolName, viewOf } from "./samples.js";
+import { engineAnnouncement, poolName, viewOf } from "./samples.js";
 
 type Role = EngineState["role"];
 type WorldEngine = EngineState & { announced: Announcement; draining: boolean; checksFence: boolean; };
@@ -135,7 +135,7 @@
     }
 
     /** Advances the time: attempts start and end, loads complete, delayed orders take effect, and engines restart. */
-    pass(milliseconds: number): void {
+    advance(milliseconds: number): void {
         const until = this.now + milliseconds;
         while (this.now < until) {
             this.step();
@@ -299,7 +299,7 @@
     private startEngine(id: string, role: Role, incarnation = 1): void {
         const models = [{ name: "m", version: "1", adapters: [], phase: "warm" as const, loadingAdapters: [] }];
         const { checksFence } = this.rules;
-        const announced = announce(id, { role, incarnation });
+        const announced = engineAnnouncement(id, { role, incarnation });
         const state = { id, incarnation, role, models, highestFence: 0, active: [] };
         this.engines.set(id, { ...state, announced, draining: false, checksFence });
     }
@@ -329,7 +329,7 @@
             if (incarnation !== engine.announced.incarnation || this.random.fraction() >= this.rules.faults) {
                 const models = engine.models.filter(({ phase }) => phase === "warm");
                 const abilities = { ...engine.announced.abilities, changesRole: true };
-                engine.announced = announce(id, { role, incarnation, models, abilities });
+                engine.announced = engineAnnouncement(id, { role, incarnation, models, abilities });
             }
         }
         const draining = [...this.engines.values()].filter(engine => engine.draining).map(({ id }) => id);
--- a/simulation/places/day.ts
+++ b/simulation/places/day.ts
@@ -4,7 +4,7 @@
 import type { Either } from "purify-ts";
 import { z } from "zod";
 import type { Finding } from "../../packages/basilpaddle/src/node/protocol/index.js";
-import { readCheckedFile } from "../checkedFile.js";
+import { readJsonFile } from "../jsonFile.js";
 
 /** Directory of the days that are bundled with the project. */
 const bundledDaysDirectory = fileURLToPath(new URL("./days/", import.meta.url));
@@ -96,7 +96,7 @@
 
 /** Reads a day from a file; returns all findings if the file is invalid. */
 export function readDay(file: string): Either<readonly Finding[], Day> {
-    return readCheckedFile(file, daySchema);
+    return readJsonFile(file, daySchema);
 }
 
 /** Names of the days that are bundled with the project. */
--- a/simulation/requests/runs.ts
+++ b/simulation/requests/runs.ts
@@ -89,7 +89,7 @@
         const state = rig.control.runs.get("k")?.state;
         expect(state).to.not.equal("running");
         const cancels = rig.engines.reduce((sum, engine) => sum + engine.cancels, 0);
-        tally.add(
+        tally.addRun(
             rig.placement.schedulingRequests.length + rig.ranStages().length + cancels + rig.control.commands.length,
         );
     });
--- a/simulation/scheduling/runs.ts
+++ b/simulation/scheduling/runs.ts
@@ -140,7 +140,7 @@
             const finalStatus = bench.scheduler.status();
             expect([...finalStatus.held.values()].every(count => count === 0)).to.equal(true);
             expect(finalStatus.waiting).to.equal(0);
-            tally.add(actions.length);
+            tally.addRun(actions.length);
         },
     );
 }
--- a/simulation/subject.ts
+++ b/simulation/subject.ts
@@ -7,18 +7,18 @@
     private readonly counts = new Map<string, number>();
 
     /** Counts a successful run and its steps. */
-    add(steps: number): void {
+    addRun(steps: number): void {
         this.runs += 1;
         this.steps += steps;
     }
 
     /** Increments a counter that is specific to the subject. */
-    note(name: string, count: number): void {
-        this.counts.set(name, this.noted(name) + count);
+    addCount(name: string, count: number): void {
+        this.counts.set(name, this.countOf(name) + count);
     }
 
     /** Value of a counter that is specific to the subject; 0 if it was never incremented. */
-    noted(name: string): number {
+    countOf(name: string): number {
         return this.counts.get(name) ?? 0;
     }
 
@@ -26,7 +26,7 @@
     merge(batch: Tally): void {
         this.runs += batch.runs;
         this.steps += batch.steps;
-        batch.counts.forEach((count, name) => this.note(name, count));
+        batch.counts.forEach((count, name) => this.addCount(name, count));
     }
 
     /** Formats all counts on one line. */
--- a/simulation/subjects.ts
+++ b/simulation/subjects.ts
@@ -1,6 +1,6 @@
 import { agreementProperty } from "./agreement/runs.js";
 import { type FaultCounts, FaultRun } from "./control/faultRun.js";
-import { declarationRuns, handOverRuns } from "./orders/runs.js";
+import { declarationProperty, handoverProperty } from "./orders/runs.js";
 import { requestProperty } from "./requests/runs.js";
 import { schedulingProperty } from "./scheduling/runs.js";
 import { propertyRuns, PropertySubject, Subject, type Tally } from "./subject.js";
@@ -13,10 +13,10 @@
     override readonly name = "control";
 
     override async runBatch(seed: number, tally: Tally): Promise<void> {
-        const { steps, ...counts } = await FaultRun.play(seed, faultRunMilliseconds);
-        tally.add(steps);
+        const { steps, ...counts } = await FaultRun.execute(seed, faultRunMilliseconds);
+        tally.addRun(steps);
         for (const name of Object.keys(counts) as (keyof Omit<FaultCounts, "steps">)[]) {
-            tally.note(name, counts[name]);
+            tally.addCount(name, counts[name]);
         }
     }
 }
@@ -30,7 +30,7 @@
     ),
     PropertySubject.create(
         "orders",
-        tally => [propertyRuns(declarationRuns(tally), 20), propertyRuns(handOverRuns(tally), 20)],
+        tally => [propertyRuns(declarationProperty(tally), 20), propertyRuns(handoverProperty(tally), 20)],
     ),
     PropertySubject.create("requests", tally => [propertyRuns(requestProperty(tally), 50)]),
     PropertySubject.create("scheduling", tally => [propertyRuns(schedulingProperty(tally), 50)]),
--- a/simulation/view/runs.ts
+++ b/simulation/view/runs.ts
@@ -153,10 +153,10 @@
         inject(deployment, fault);
     }
     await deployment.run(9_000);
-    tally.note("starts", deployment.daemons.reduce((sum, daemon) => sum + daemon.started, 0));
-    tally.note("acceptedChanges", deployment.group.accepted.size);
-    tally.note("simulatedMinutes", deployment.world.now / 60_000);
-    tally.add(deployment.world.steps);
+    tally.addCount("starts", deployment.daemons.reduce((sum, daemon) => sum + daemon.started, 0));
+    tally.addCount("acceptedChanges", deployment.group.accepted.size);
+    tally.addCount("simulatedMinutes", deployment.world.now / 60_000);
+    tally.addRun(deployment.world.steps);
 }
 
 /** Property: no daemon starts work on a view that lacks an accepted change, under random sequences of faults. */
