--- a/playground/harness/caller.ts
+++ b/playground/harness/caller.ts
@@ -1,7 +1,7 @@
 import { createParser } from "eventsource-parser";
 import { readModelRequest } from "../../packages/basilpaddle/src/node/daemon/entry/modelRequest.js";
 import type { EntrySettings, ErrorBody } from "../../packages/basilpaddle/src/node/index.js";
-import { answerOf } from "../standins/answer.js";
+import { answerTokens } from "../standins/answer.js";
 import { type Daemon, formatAddress } from "./daemon.js";
 import { pause } from "./wait.js";
 
@@ -44,7 +44,7 @@
     /** The only correct answer to the call: the stand-ins derive it from the prompt. */
     static expected(call: ModelCall): string {
         const request = readModelRequest(requestForm(call), requestBody(call)).unsafeCoerce();
-        return answerOf(request.prompt, call.maxTokens).join("");
+        return answerTokens(request.prompt, call.maxTokens).join("");
     }
 
     /** Sends a model request once. `onToken` is called with the text received so far. */
--- a/playground/standins/__tests__/fakeEngine.spec.ts
+++ b/playground/standins/__tests__/fakeEngine.spec.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { HttpEngine } from "../../../packages/basilpaddle/src/node/index.js";
-import { answerOf } from "../answer.js";
+import { answerTokens } from "../answer.js";
 import { FakeEngine } from "../fakeEngine.js";
 import { wait } from "../httpServer.js";
 
@@ -59,7 +59,7 @@
             await prepare(`a/${index}`, prompt);
             return await read(`a/${index}`, 0);
         }));
-        expect(answers).to.deep.equal(prompts.map(prompt => answerOf(prompt, 200)));
+        expect(answers).to.deep.equal(prompts.map(prompt => answerTokens(prompt, 200)));
         expect(prefill.active()).to.deep.equal([]);
         expect(decode.active()).to.deep.equal([]);
         expect(prefill.attemptRecords.of("a/0").prefills).to.equal(1);
@@ -70,7 +70,7 @@
         await prepare("a", prompt);
         const first = await read("a", 0, 5);
         const rest = await read("a", first.length);
-        expect([...first, ...rest]).to.deep.equal(answerOf(prompt, 200));
+        expect([...first, ...rest]).to.deep.equal(answerTokens(prompt, 200));
     });
 
     it("refuses an import if no slot is free, with the proof that nothing was run", async () => {
--- a/playground/standins/answer.ts
+++ b/playground/standins/answer.ts
@@ -10,7 +10,7 @@
  * that it received its own answer, and all of it: the first token is a digest of the prompt, and each later one contains its
  * offset.
  */
-export function answerOf(prompt: string, maxTokens: number): string[] {
+export function answerTokens(prompt: string, maxTokens: number): string[] {
     const digest = createHash("sha256").update(prompt).digest();
     const length = Math.min(maxTokens, 8 + digest.readUInt16BE(0) % 120);
     const firstToken = digest.toString("hex", 0, 6);
--- a/playground/standins/decodeBatch.ts
+++ b/playground/standins/decodeBatch.ts
@@ -1,6 +1,6 @@
 import { request } from "undici";
 import type { DecodeLine, EngineRefusal, Generation } from "../../packages/basilpaddle/src/node/index.js";
-import { answerOf } from "./answer.js";
+import { answerTokens } from "./answer.js";
 import type { AttemptRecords } from "./attemptRecords.js";
 import { wait } from "./httpServer.js";
 import type { FakeEngineSettings } from "./settings.js";
@@ -183,7 +183,7 @@
 }
 
 function createDecoding(attempt: string, generation: Generation): Decoding {
-    const tokens = answerOf(generation.prompt, generation.maxTokens);
+    const tokens = answerTokens(generation.prompt, generation.maxTokens);
     const reason = tokens.length === generation.maxTokens ? "length" : "stop";
     return {
         attempt,
--- a/scripts/entryCost/run.ts
+++ b/scripts/entryCost/run.ts
@@ -3,7 +3,7 @@
 import { fileURLToPath } from "node:url";
 import { Agent } from "undici";
 import { HttpEngine } from "../../packages/basilpaddle/src/node/index.js";
-import { answerOf } from "../../playground/standins/answer.js";
+import { answerTokens } from "../../playground/standins/answer.js";
 
 // Measures the cost of an entry daemon: calls the same fake engines directly and through the daemon, in one run.
 // Run: npx tsx scripts/entryCost/run.ts
@@ -79,7 +79,7 @@
     }
     const events = text.split("\n\n").filter(event => event.startsWith("data: {"));
     const answer = events.map(event => JSON.parse(event.slice(6)).choices[0].text).join("");
-    if (answer !== answerOf(prompt, maxTokens).join("") || !text.endsWith("data: [DONE]\n\n")) {
+    if (answer !== answerTokens(prompt, maxTokens).join("") || !text.endsWith("data: [DONE]\n\n")) {
         throw new Error(`the answer to ${prompt} is incomplete or belongs to another prompt`);
     }
     return { ...timing, tokens: events.length - 1 };
