--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/group.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/group.ts
@@ -131,7 +131,7 @@
 
     /** The name of a leader that a quorum has confirmed, other than the given one. */
     async leader(except?: string): Promise<string> {
-        return await until("a leader", async () => {
+        return await pollUntilDefined("a leader", async () => {
             for (const [name, replica] of this.replicas) {
                 if (name !== except && replica.currentStatus().leading && await replica.confirmLeadership(500)) {
                     return name;
@@ -144,7 +144,7 @@
     /** Proposes a command to the leader until it is applied. With an undecided outcome it is resent, and may be applied twice. */
     async propose(key: string): Promise<void> {
         let tries = 0;
-        await until(`a result for ${key}`, async () => {
+        await pollUntilDefined(`a result for ${key}`, async () => {
             tries += 1;
             if (tries > 1) {
                 this.resent.add(key);
@@ -174,8 +174,11 @@
     }
 }
 
-/** Polls until there is a value; fails after 20 seconds. */
-export async function until<Value>(what: string, poll: () => Promise<Value | undefined>): Promise<Value> {
+/** Polls until a value is defined and returns it. @throws Error after 20 seconds, with the description of the value */
+export async function pollUntilDefined<Value>(
+    description: string,
+    poll: () => Promise<Value | undefined>,
+): Promise<Value> {
     const end = performance.now() + 20_000;
     while (performance.now() < end) {
         const value = await poll();
@@ -184,5 +187,5 @@
         }
         await new Promise(resolve => setTimeout(resolve, 2));
     }
-    throw new Error(`There was no ${what} within 20 seconds.`);
+    throw new Error(`Timed out after 20 seconds waiting for: ${description}`);
 }
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/openGroup.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/openGroup.spec.ts
@@ -2,7 +2,7 @@
 import { Link } from "../../../transport/index.js";
 import { createSilentLogger, HostRandomness, SystemClock } from "../../../utils/index.js";
 import { AgreementReplica, initialiseDataFolder, Peers } from "../index.js";
-import { shortTiming, until } from "./group.js";
+import { pollUntilDefined, shortTiming } from "./group.js";
 
 /** Replicas that reach each other by name, without a fixed list of members. */
 class Mesh {
@@ -42,7 +42,7 @@
     }
 
     async leader(): Promise<AgreementReplica> {
-        return until("a leader", async () => {
+        return pollUntilDefined("a leader", async () => {
             for (const replica of this.replicas.values()) {
                 if (replica.currentStatus().leading && await replica.confirmLeadership(500)) {
                     return replica;
@@ -53,7 +53,7 @@
     }
 
     async store(version: number): Promise<void> {
-        await until(`version ${version}`, async () => {
+        await pollUntilDefined(`version ${version}`, async () => {
             const command = { kind: "storeDocument" as const, version, content: `v${version}`, at: 1 };
             const proposal = await (await this.leader()).propose(command, 500);
             return proposal.kind === "result" ? true : undefined;
@@ -62,7 +62,7 @@
 
     /** Waits until the voters are exactly the named members. */
     async voters(names: readonly string[]): Promise<void> {
-        await until(`voters ${names.join()}`, async () => {
+        await pollUntilDefined(`voters ${names.join()}`, async () => {
             const { voters } = (await this.leader()).currentStatus();
             const found = voters.map(voter => voter.split("#")[0]!).sort();
             return found.join() === [...names].sort().join() ? true : undefined;
@@ -124,7 +124,10 @@
         const leader = (await mesh.leader()).currentStatus().identity.split("#")[0]!;
         const follower = founders.find(name => name !== leader)!;
         await mesh.start("d", [follower]);
-        await until("the document at d", async () => mesh.states.get("d")!.current().version === 1 ? true : undefined);
+        await pollUntilDefined(
+            "the document at d",
+            async () => mesh.states.get("d")!.current().version === 1 ? true : undefined,
+        );
     });
 
     // A permanently lost machine never comes back under its name, so no new identity replaces it. If it remained a voter, the
@@ -136,7 +139,7 @@
         await mesh.store(2);
         await mesh.kill("a");
         await mesh.store(3);
-        await until(
+        await pollUntilDefined(
             "the document at d",
             async () => mesh.states.get("d")!.current().content === "v3" ? true : undefined,
         );
@@ -145,7 +148,7 @@
     it("grows to its target number of voters and not beyond", async () => {
         await mesh.start("d", founders);
         await mesh.start("e", founders);
-        await until("two learners on standby", async () => {
+        await pollUntilDefined("two learners on standby", async () => {
             return (await mesh.leader()).currentStatus().learners.length === 2 ? true : undefined;
         });
         await mesh.voters(founders);
@@ -153,11 +156,11 @@
 
     it("removes a standby learner that is gone", async () => {
         await mesh.start("d", founders);
-        await until("one learner on standby", async () => {
+        await pollUntilDefined("one learner on standby", async () => {
             return (await mesh.leader()).currentStatus().learners.length === 1 ? true : undefined;
         });
         await mesh.kill("d");
-        await until("no learner on standby", async () => {
+        await pollUntilDefined("no learner on standby", async () => {
             return (await mesh.leader()).currentStatus().learners.length === 0 ? true : undefined;
         });
     });
@@ -165,7 +168,7 @@
     it("gives a member that lost its disk a new identity, and no vote under the old one", async () => {
         await mesh.kill("b");
         await mesh.start("b", founders);
-        await until("b's new identity among the voters", async () => {
+        await pollUntilDefined("b's new identity among the voters", async () => {
             const { voters } = (await mesh.leader()).currentStatus();
             const identity = mesh.replicas.get("b")!.currentStatus().identity;
             return voters.includes(identity) && voters.length === 3 ? true : undefined;
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/replica.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/replica.spec.ts
@@ -4,7 +4,7 @@
 import * as path from "node:path";
 import { FolderDisk, MemoryDisk } from "../../../state/index.js";
 import { initialiseDataFolder } from "../index.js";
-import { commandOf, Group, until } from "./group.js";
+import { commandOf, Group, pollUntilDefined } from "./group.js";
 
 describe("AgreementReplica", () => {
     let group: Group;
@@ -23,7 +23,7 @@
 
     async function allHold(keys: readonly string[]): Promise<void> {
         for (const name of group.replicas.keys()) {
-            await until(`${keys.length} keys at ${name}`, async () => {
+            await pollUntilDefined(`${keys.length} keys at ${name}`, async () => {
                 return group.keysAt(name).length >= keys.length ? true : undefined;
             });
             expect(group.keysAt(name)).to.deep.equal(keys);
@@ -65,7 +65,10 @@
         group = await Group.create(["a", "b", "c"]);
         const leader = await group.leader();
         const other = group.names.find(name => name !== leader)!;
-        await until("leader known to the other replica", async () => group.replicas.get(other)!.currentStatus().leader);
+        await pollUntilDefined(
+            "leader known to the other replica",
+            async () => group.replicas.get(other)!.currentStatus().leader,
+        );
         expect(await group.replicas.get(other)!.propose(commandOf("x"), 100)).to.deep.equal({
             kind: "notLeader",
             leader,
@@ -119,7 +122,7 @@
         await group.start(lost!, MemoryDisk.create());
         const identity = group.replicas.get(lost!)!.currentStatus().identity;
         expect(identity).not.to.equal(`${lost}#test`);
-        await until("membership with the new identity", async () => {
+        await pollUntilDefined("membership with the new identity", async () => {
             const { voters } = group.replicas.get(leader)!.currentStatus();
             return voters.length === 3 && voters.includes(identity) ? true : undefined;
         });
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/startup.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/startup.spec.ts
@@ -5,7 +5,7 @@
 import { AgreementReplica, FixedPeers, initialiseDataFolder } from "../index.js";
 import type { Envelope } from "../message.js";
 import { openFolder } from "../startup.js";
-import { commandOf, Group, KeyList, shortTiming, until } from "./group.js";
+import { commandOf, Group, KeyList, pollUntilDefined, shortTiming } from "./group.js";
 
 class RecordingLink extends Link {
     readonly sent: unknown[] = [];
@@ -76,7 +76,7 @@
             randomness: SeededRandomness.create(1),
             logger: createSilentLogger(),
         });
-        await until("a request to join", async () => link.sent.length > 0 ? true : undefined);
+        await pollUntilDefined("a request to join", async () => link.sent.length > 0 ? true : undefined);
         const request = {
             kind: "requestVote" as const,
             term: 9,
--- a/packages/basilpaddle/src/node/coordination/view/__tests__/viewOverTcp.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/view/__tests__/viewOverTcp.spec.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { ControlGroup, groupTiming, until } from "../../../../../../../simulation/control/controlGroup.js";
+import { ControlGroup, groupTiming, pollUntilDefined } from "../../../../../../../simulation/control/controlGroup.js";
 import { PartitionableNetwork } from "../../../../../../../simulation/control/partitionableNetwork.js";
 import { ordersLease, timingSchema } from "../../../protocol/index.js";
 import { commands } from "../../../state/__tests__/commands.js";
@@ -30,7 +30,10 @@
                 logger: createSilentLogger(),
             })
         );
-        await until("all clients may start work", () => clients.every(client => client.mayStart()) || undefined);
+        await pollUntilDefined(
+            "all clients may start work",
+            () => clients.every(client => client.mayStart()) || undefined,
+        );
     });
 
     afterEach(async () => {
@@ -47,24 +50,27 @@
                 await group.kill(await group.leader());
             }
         }
-        await until("all clients may start work", () => clients.every(client => client.mayStart()) || undefined);
+        await pollUntilDefined(
+            "all clients may start work",
+            () => clients.every(client => client.mayStart()) || undefined,
+        );
     });
 
     it("transfer the leases of an unreachable client, and release those of a closing client at once", async () => {
-        const firstLease = await until("a lease holder", () => clients[0]!.view().leases[ordersLease]);
+        const firstLease = await pollUntilDefined("a lease holder", () => clients[0]!.view().leases[ordersLease]);
         const holder = clients.findIndex(client => client.session().daemon === firstLease.holder.daemon);
         const other = clients[1 - holder]!;
         group.topology.isolatedPorts.add(firstClientPort + holder);
-        const newLease = await until("the other client as lease holder", () => {
+        const newLease = await pollUntilDefined("the other client as lease holder", () => {
             const lease = other.view().leases[ordersLease];
             return lease?.holder.daemon === other.session().daemon ? lease : undefined;
         });
         expect(newLease.fence).to.be.greaterThan(firstLease.fence);
         expect(clients[holder]!.mayStart()).to.equal(false);
         group.topology.isolatedPorts.delete(firstClientPort + holder);
-        await until("the session to be reopened", () => clients[holder]!.mayStart() || undefined);
+        await pollUntilDefined("the session to be reopened", () => clients[holder]!.mayStart() || undefined);
         await other.close();
-        await until("the lease to return", () => {
+        await pollUntilDefined("the lease to return", () => {
             const lease = clients[holder]!.view().leases[ordersLease];
             return lease?.holder.daemon === firstLease.holder.daemon ? lease : undefined;
         });
@@ -74,7 +80,7 @@
         const [client] = clients;
         // If the leader granted the lease while it loses its quorum, its command could not be committed, and the remaining
         // voter would rightly count as ahead of the view.
-        await until(
+        await pollUntilDefined(
             "a lease holder in every view",
             () => clients.every(each => each.view().leases[ordersLease]) || undefined,
         );
@@ -82,12 +88,12 @@
             await group.stop(name);
         }
         const expiryAtLoss = client!.confirmedUntil()!;
-        await until(
+        await pollUntilDefined(
             "the lease to be extended by twice its duration",
             () => client!.confirmedUntil()! > expiryAtLoss + 2 * timing.viewLease || undefined,
         );
         names.slice(0, 2).forEach(name => group.isolate(name));
-        await until("the lease to expire", () => !client!.mayStart() || undefined);
+        await pollUntilDefined("the lease to expire", () => !client!.mayStart() || undefined);
         expect(client!.startBlocker()).to.include({ kind: "noMajority" });
     });
 });
--- a/packages/basilpaddle/src/node/daemon/control/__tests__/controlGroup.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/controlGroup.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import * as fs from "node:fs/promises";
 import * as path from "node:path";
-import { ControlGroup, groupTiming, until } from "../../../../../../../simulation/control/controlGroup.js";
+import { ControlGroup, groupTiming, pollUntilDefined } from "../../../../../../../simulation/control/controlGroup.js";
 import { commands } from "../../../state/__tests__/commands.js";
 import { Follower } from "./follower.js";
 
@@ -36,7 +36,7 @@
         const entry = await follower("entry-1");
         const former = await group.leader();
         const first = group.daemon(former).propose(commands.change("one", 0));
-        await until("the change", () => group.daemon(former).status().history().length === 1 || undefined);
+        await pollUntilDefined("the change", () => group.daemon(former).status().history().length === 1 || undefined);
         await group.kill(former);
         expect((await first).kind).to.be.oneOf(["undecided", "result"]);
         const { result } = await entry.propose(commands.change("one", 0));
@@ -56,10 +56,10 @@
 
     it("grants leases, and grants those of a dead daemon to another one with a higher fence", async () => {
         const [first, second] = [await follower("entry-1"), await follower("entry-2")];
-        const held = await until("a holder", () => second.view().leases.orders ?? undefined);
+        const held = await pollUntilDefined("a holder", () => second.view().leases.orders ?? undefined);
         const [dead, alive] = held.holder.daemon === "entry-1" ? [first, second] : [second, first];
         dead.stop();
-        const next = await until("another holder", () => {
+        const next = await pollUntilDefined("another holder", () => {
             const lease = alive.view().leases.orders;
             return lease?.holder.daemon === alive.session.daemon ? lease : undefined;
         });
@@ -75,7 +75,7 @@
         const [cut, other] = [await follower("entry-1"), await follower("entry-2")];
         cut.avoid(leader);
         const since = performance.now();
-        await until(
+        await pollUntilDefined(
             "twice the session timeout",
             () => performance.now() - since > 2 * groupTiming.sessionTimeout || undefined,
         );
@@ -88,18 +88,21 @@
 
     it("brings a daemon that missed hundreds of changes up to date by the whole view and the steps after it", async () => {
         const entry = await follower("entry-1");
-        await until("a lease holder, after which the view doesn't change", () => entry.view().leases.orders);
+        await pollUntilDefined("a lease holder, after which the view doesn't change", () => entry.view().leases.orders);
         const late = new Follower(group, "entry-2");
         followers.push(late);
         await Promise.all(Array.from({ length: 500 }, (_, count) => entry.propose(commands.announce(`w${count}`, 1))));
         const [asked] = names as [string];
         const newest = group.daemon(asked).status();
-        await until("all announcements applied", () => Object.keys(newest.view().backends).length === 500 || undefined);
+        await pollUntilDefined(
+            "all announcements applied",
+            () => Object.keys(newest.view().backends).length === 500 || undefined,
+        );
         await late.ask(asked);
         expect(late.snapshots).to.equal(1);
         expect(late.view()).to.deep.equal(newest.view());
         await entry.propose(commands.announce("last", 1));
-        await until("the last announcement applied", () => newest.view().backends.last);
+        await pollUntilDefined("the last announcement applied", () => newest.view().backends.last);
         await late.ask(asked);
         expect(late.snapshots).to.equal(1);
         expect(late.view()).to.deep.equal(newest.view());
@@ -121,9 +124,9 @@
         expect(old.status().view().configuration.revision).to.equal(0);
         expect((await old.propose(commands.change("late", 0))).kind).to.be.oneOf(["notLeader", "undecided"]);
         group.reconnect(cut);
-        const answer = await until("an answer", () => entry.view().index > 0 ? entry.ask(cut) : undefined);
+        const answer = await pollUntilDefined("an answer", () => entry.view().index > 0 ? entry.ask(cut) : undefined);
         expect(answer?.snapshot?.index ?? entry.view().index).to.be.at.least(entry.view().index);
-        await until("the newest view", () => old.status().view().configuration.revision === 2 || undefined);
+        await pollUntilDefined("the newest view", () => old.status().view().configuration.revision === 2 || undefined);
         expect(entry.view().configuration.changeId).to.equal("change-1");
     });
 
--- a/scripts/measureAgreement.ts
+++ b/scripts/measureAgreement.ts
@@ -6,7 +6,7 @@
 import * as path from "node:path";
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
-import { Group, until } from "../packages/basilpaddle/src/node/coordination/agreement/__tests__/group.js";
+import { Group, pollUntilDefined } from "../packages/basilpaddle/src/node/coordination/agreement/__tests__/group.js";
 import { type Command, type CommandResult, timingSchema } from "../packages/basilpaddle/src/node/protocol/index.js";
 import { FolderDisk, LogFile, StateMachine } from "../packages/basilpaddle/src/node/state/index.js";
 import { Clock, SystemClock } from "../packages/basilpaddle/src/node/utils/index.js";
@@ -199,7 +199,7 @@
         const begin = performance.now();
         await fault.inflict(group, leader);
         const next = await group.leader(leader);
-        await until("a result of the next leader", async () => {
+        await pollUntilDefined("a result of the next leader", async () => {
             const proposal = await group.replicas.get(next)!.propose(commandOfSize(entryBytes), 2_000);
             return proposal.kind === "result" ? true : undefined;
         });
@@ -215,7 +215,7 @@
 }
 
 async function caughtUp(group: Group, name: string): Promise<void> {
-    await until(`${name} in step`, async () => {
+    await pollUntilDefined(`${name} in step`, async () => {
         const leader = [...group.replicas.values()].find(replica => replica.currentStatus().leading);
         const own = group.replicas.get(name)!.currentStatus();
         const heard = own.leader !== undefined && own.committedIndex === leader?.currentStatus().committedIndex;
--- a/simulation/control/controlGroup.ts
+++ b/simulation/control/controlGroup.ts
@@ -99,7 +99,7 @@
 
     /** Name of the leader, once a control daemon that isn't isolated leads. */
     async leader(): Promise<string> {
-        return until(
+        return pollUntilDefined(
             "a leader",
             () =>
                 [...this.daemons].find(([name, daemon]) =>
@@ -136,7 +136,7 @@
 }
 
 /** Polls until a value is defined and returns it. @throws Error after 30 seconds, with the description of the value */
-export async function until<Value>(description: string, poll: () => Value | undefined): Promise<Value> {
+export async function pollUntilDefined<Value>(description: string, poll: () => Value | undefined): Promise<Value> {
     for (const end = performance.now() + 30_000; performance.now() < end;) {
         const value = poll();
         if (value !== undefined) {
@@ -144,5 +144,5 @@
         }
         await new Promise(resolve => setTimeout(resolve, 5));
     }
-    throw new Error(`Timed out after 30 seconds waiting for ${description}.`);
+    throw new Error(`Timed out after 30 seconds waiting for: ${description}`);
 }
