--- a/packages/basilpaddle/src/node/coordination/orders/poolPlan.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/poolPlan.ts
@@ -49,11 +49,11 @@
 /** Loads that the pool requires. Those for the role with the fewest warm copies come first. */
 export function requiredLoads({ declared, engines, name }: PoolState): RequiredOrder[] {
     const loads = declared.models.flatMap(model => {
-        const warm = (role: Role) =>
+        const warmCopies = (role: Role) =>
             engines.filter(engine =>
                 engine.announcement.role === role && isWarm(engine, model.name, model.version, model.adapters)
             ).length;
-        const copies = { prefill: warm("prefill"), decode: warm("decode") };
+        const copies = { prefill: warmCopies("prefill"), decode: warmCopies("decode") };
         return engines
             .filter(engine =>
                 engine.reading !== undefined && !isWarm(engine, model.name, model.version, model.adapters)
--- a/packages/basilpaddle/src/node/coordination/orders/servedVersion.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/servedVersion.ts
@@ -4,7 +4,7 @@
 const warmFraction = 0.75;
 
 type Role = "prefill" | "decode";
-type Coverage = { readonly warm: number; readonly needed: number; };
+type Coverage = { readonly warmCount: number; readonly requiredCount: number; };
 
 /**
  * The version of a model that new attempts run. It is derived from the view only, so that all daemons with the same view
@@ -28,7 +28,7 @@
     named: string | undefined,
 ): string | undefined {
     const namedCoverage = named === undefined ? undefined : coverage(engines, pool, model, named);
-    return namedCoverage !== undefined && namedCoverage.prefill.warm > 0 && namedCoverage.decode.warm > 0
+    return namedCoverage !== undefined && namedCoverage.prefill.warmCount > 0 && namedCoverage.decode.warmCount > 0
         ? named
         : mostCoveredVersion(engines, pool, model);
 }
@@ -63,14 +63,17 @@
 function coverage(engines: readonly Announcement[], pool: Pool | undefined, model: string, version: string) {
     const count = (role: Role): Coverage => {
         const ready = engines.filter(engine => engine.role === role);
-        const warm = ready.filter(engine => hasVersion(engine, model, version)).length;
-        return { warm, needed: Math.max(1, pool?.floor[role] ?? 1, Math.ceil(ready.length * warmFraction)) };
+        const warmCount = ready.filter(engine => hasVersion(engine, model, version)).length;
+        return {
+            warmCount,
+            requiredCount: Math.max(1, pool?.floor[role] ?? 1, Math.ceil(ready.length * warmFraction)),
+        };
     };
     return { prefill: count("prefill"), decode: count("decode") };
 }
 
 function isCovered({ prefill, decode }: Record<Role, Coverage>): boolean {
-    return prefill.warm >= prefill.needed && decode.warm >= decode.needed;
+    return prefill.warmCount >= prefill.requiredCount && decode.warmCount >= decode.requiredCount;
 }
 
 function mostCoveredVersion(
@@ -86,7 +89,7 @@
     let best: { readonly version: string; readonly pairs: number; } | undefined;
     for (const version of new Set([...declared, ...others])) {
         const { prefill, decode } = coverage(engines, pool, model, version);
-        const pairs = prefill.warm * decode.warm;
+        const pairs = prefill.warmCount * decode.warmCount;
         if (pairs > (best?.pairs ?? 0)) {
             best = { version, pairs };
         }
--- a/packages/basilpaddle/src/node/coordination/request/attempt.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attempt.ts
@@ -120,7 +120,7 @@
         }
         lifecycle.send("prefill");
         this.progress({ attempt: this.id, stage: "prefilling", tokens: 0 });
-        const since = options.clock.monotonic();
+        const startedAt = options.clock.monotonic();
         const allocation = this.recordAllocation(backend);
         outcomeTracker.recordCallStart();
         const call = this.engine(backend).prefill(this.id, request.generation, this.scope.signal);
@@ -130,7 +130,7 @@
         }
         outcomeTracker.recordExecution();
         allocation.inFlight = false;
-        const milliseconds = options.clock.monotonic() - since;
+        const milliseconds = options.clock.monotonic() - startedAt;
         this.completedPrefill = { answer: result, milliseconds };
         this.context.written.promptTokens = result.promptTokens;
         options.metrics.observe("basilpaddle_prefill_milliseconds", milliseconds, { pool: request.pool });
--- a/packages/basilpaddle/src/node/coordination/request/engineClients.ts
+++ b/packages/basilpaddle/src/node/coordination/request/engineClients.ts
@@ -55,8 +55,8 @@
     }
 
     async close(): Promise<void> {
-        const all = [...this.entries.values()];
+        const openEntries = [...this.entries.values()];
         this.entries.clear();
-        await Promise.all(all.map(entry => entry.engine.close()));
+        await Promise.all(openEntries.map(entry => entry.engine.close()));
     }
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/engineSurvey.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/engineSurvey.ts
@@ -40,8 +40,8 @@
     async queryDecodeEngines(pool: string): Promise<readonly LoadReport[]> {
         const ready = this.enginesOf(pool)
             .filter(({ announcement, state }) => announcement.role === "decode" && state === "ready");
-        const first = ready.length === 0 ? 0 : this.options.randomness.integer(0, ready.length - 1);
-        const queried = [...ready.slice(first), ...ready.slice(0, first)].slice(0, maxDecodeQueries);
+        const startIndex = ready.length === 0 ? 0 : this.options.randomness.integer(0, ready.length - 1);
+        const queried = [...ready.slice(startIndex), ...ready.slice(0, startIndex)].slice(0, maxDecodeQueries);
         const reports = await Promise.all(
             queried.map(({ announcement }) => this.query(announcement, queryTimeoutMilliseconds)),
         );
--- a/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
@@ -66,9 +66,9 @@
     private follow(view: View): void {
         const { pools } = view.configuration.declaration;
         for (const name of Object.keys(pools)) {
-            const known = this.pools.get(name);
-            if (known !== undefined) {
-                known.follow(view);
+            const existingHost = this.pools.get(name);
+            if (existingHost !== undefined) {
+                existingHost.follow(view);
                 continue;
             }
             const scheduler = LocalScheduler.create({ randomness: this.randomness, divided: true });
--- a/packages/basilpaddle/src/node/coordination/scheduling/modelEngineIndex.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/modelEngineIndex.ts
@@ -31,9 +31,9 @@
     enginesFor(request: SchedulingRequest): ModelEngines {
         const { model, adapter, version } = request;
         const key = `${model}\n${adapter ?? ""}\n${version ?? ""}`;
-        const known = this.cache.get(key);
-        if (known !== undefined) {
-            return known;
+        const cachedEngines = this.cache.get(key);
+        if (cachedEngines !== undefined) {
+            return cachedEngines;
         }
         const serving = [...this.trackedPool.engines.values()].filter(engine =>
             engine.state === "ready" && engine.serves(model, adapter, version)
--- a/packages/basilpaddle/src/node/coordination/scheduling/orphanSweep.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/orphanSweep.ts
@@ -30,7 +30,7 @@
 };
 
 /**
- * Periodically cancels attempts of dead daemons at their engines. Without it an engine would decode an attempt of a killed
+ * Periodically cancels attempts of terminated daemons at their engines. Without it an engine would decode an attempt of such a
  * daemon to the last token although no process reads it. After the daemon's session is closed, an attempt is cancelled
  * after at most one load report interval, one sweep interval and one query to the daemon's address.
  */
@@ -55,7 +55,10 @@
         this.reports.set(report.id, { pool, report });
     }
 
-    /** Records the addresses of daemons with an open session, and drops reports of engines that left the view. */
+    /**
+     * Records the addresses of daemons with an open session, and removes reports of engines that are no longer in the
+     * view.
+     */
     follow(view: View): void {
         for (const { session, peers } of Object.values(view.sessions)) {
             this.addresses.set(`${session.daemon}/${session.incarnation}`, peers);
--- a/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
@@ -210,7 +210,7 @@
             return this.sendBatch("", []);
         }
         const answers = [...pools].map(pool =>
-            this.sendBatch(pool, batch.filter(one => one.pool === pool).map(one => one.progress))
+            this.sendBatch(pool, batch.filter(entry => entry.pool === pool).map(entry => entry.progress))
         );
         return (await Promise.all(answers)).every(answered => answered);
     }
--- a/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
@@ -228,9 +228,10 @@
 
     private setEngines(engines: Extract<SchedulerEvent, { kind: "engines"; }>["engines"], now: number): void {
         for (const { announcement, state } of engines) {
-            const known = this.pool.engines.get(announcement.id);
+            const trackedEngine = this.pool.engines.get(announcement.id);
             if (
-                known !== undefined && (state === "gone" || announcement.incarnation > known.announcement.incarnation)
+                trackedEngine !== undefined
+                && (state === "gone" || announcement.incarnation > trackedEngine.announcement.incarnation)
             ) {
                 this.prefixes.removeEngine(announcement.id);
             }
--- a/packages/basilpaddle/src/node/coordination/scheduling/prefixIndex.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/prefixIndex.ts
@@ -101,9 +101,9 @@
     }
 
     private trackedCache(engine: string): TrackedCache {
-        const known = this.caches.get(engine);
-        if (known !== undefined) {
-            return known;
+        const existingCache = this.caches.get(engine);
+        if (existingCache !== undefined) {
+            return existingCache;
         }
         const created: TrackedCache = {
             blocks: new LRUCache({ max: maxBlocksPerEngine }),
--- a/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
@@ -311,8 +311,8 @@
         if (lease === undefined) {
             return undefined;
         }
-        const own = control.session();
-        const isLocal = lease.holder.daemon === own.daemon && lease.holder.incarnation === own.incarnation;
+        const session = control.session();
+        const isLocal = lease.holder.daemon === session.daemon && lease.holder.incarnation === session.incarnation;
         return { isLocal, name: `${lease.holder.daemon}/${lease.holder.incarnation}`, fence: lease.fence };
     }
 
@@ -336,17 +336,17 @@
     }
 
     private followSessions(view: View): void {
-        const own = this.options.control.session();
-        const open = new Set<string>();
+        const ownSession = this.options.control.session();
+        const openSessions = new Set<string>();
         for (const { session, peers } of Object.values(view.sessions)) {
             const name = `${session.daemon}/${session.incarnation}`;
-            open.add(name);
-            if (session.daemon !== own.daemon && !this.links.has(name)) {
+            openSessions.add(name);
+            if (session.daemon !== ownSession.daemon && !this.links.has(name)) {
                 this.links.set(name, PeerLink.create(this.options.network.link(peers), this.options.clock));
             }
         }
         for (const [name, link] of this.links) {
-            if (!open.has(name)) {
+            if (!openSessions.has(name)) {
                 link.close();
                 this.links.delete(name);
             }
--- a/packages/basilpaddle/src/node/coordination/scheduling/trackedEngine.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedEngine.ts
@@ -176,10 +176,10 @@
 
     /** Assigned prefill work in milliseconds of attempts that the last report doesn't list. */
     get unreportedPrefillWork(): number {
-        const known = new Set(this.report?.active ?? []);
+        const listedAttempts = new Set(this.report?.active ?? []);
         let total = 0;
         for (const [attempt, milliseconds] of this.prefillWork) {
-            total += known.has(attempt) ? 0 : milliseconds;
+            total += listedAttempts.has(attempt) ? 0 : milliseconds;
         }
         return total;
     }
--- a/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
@@ -118,11 +118,11 @@
 
     /** Releases the engines assigned to an attempt. Returns whether the attempt was known. */
     release(attempt: string, now: number): boolean {
-        const known = this.removeAssignment(attempt, now);
-        if (known) {
+        const wasAssigned = this.removeAssignment(attempt, now);
+        if (wasAssigned) {
             this.endedAttempts.set(attempt, now);
         }
-        return known;
+        return wasAssigned;
     }
 
     private removeAssignment(attempt: string, now: number): boolean {
@@ -207,13 +207,16 @@
 
     private setEngine(entry: EngineEntry, now: number): void {
         const { id, incarnation } = entry.announcement;
-        const known = this.engines.get(id);
-        if (known !== undefined && known.announcement.incarnation > incarnation) {
+        const trackedEngine = this.engines.get(id);
+        if (trackedEngine !== undefined && trackedEngine.announcement.incarnation > incarnation) {
             return;
         }
-        if (known !== undefined && known.announcement.incarnation === incarnation && entry.state !== "gone") {
-            known.announcement = entry.announcement;
-            known.state = entry.state;
+        if (
+            trackedEngine !== undefined && trackedEngine.announcement.incarnation === incarnation
+            && entry.state !== "gone"
+        ) {
+            trackedEngine.announcement = entry.announcement;
+            trackedEngine.state = entry.state;
             return;
         }
         this.removeEngine(id, now);
--- a/packages/basilpaddle/src/node/coordination/supervisor/appliedIndexHistory.ts
+++ b/packages/basilpaddle/src/node/coordination/supervisor/appliedIndexHistory.ts
@@ -22,8 +22,8 @@
 
     /** Records the index up to which the log is applied now. */
     record(applied: number, now: number): void {
-        const last = this.samples.at(-1);
-        if (last !== undefined && now - last.at < sampleIntervalMilliseconds) {
+        const latestSample = this.samples.at(-1);
+        if (latestSample !== undefined && now - latestSample.at < sampleIntervalMilliseconds) {
             return;
         }
         this.samples.push({ applied, at: now });
--- a/packages/basilpaddle/src/node/coordination/view/viewLease.ts
+++ b/packages/basilpaddle/src/node/coordination/view/viewLease.ts
@@ -200,8 +200,12 @@
         if (this.confirmedAt === undefined) {
             return { kind: "neverConfirmed" };
         }
-        const last = rounds.at(-1);
-        return { kind: "noMajority", answered: last?.answers.size ?? 0, refused: last?.refused.size ?? 0 };
+        const latestRound = rounds.at(-1);
+        return {
+            kind: "noMajority",
+            answered: latestRound?.answers.size ?? 0,
+            refused: latestRound?.refused.size ?? 0,
+        };
     }
 }
 
