--- a/scripts/entryCost/daemon.ts
+++ b/scripts/entryCost/daemon.ts
@@ -19,12 +19,12 @@
 } from "../../packages/basilpaddle/src/node/index.js";
 import { quarantineRulesSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
 
-// One entry daemon with a view that never changes and two engines that are always free, so that what is measured is the
-// path of a request alone. The first argument is the base of the prefill engine, the second that of the decode engine.
+// Runs one entry daemon with a fixed view and two engines that are always free, so that only the request path is measured.
+// The first argument is the base URL of the prefill engine, the second that of the decode engine.
 const [prefillUrl, decodeUrl] = process.argv.slice(2) as [string, string];
 
 class FixedControl extends ControlClient {
-    private readonly fixed = viewSchema.parse({
+    private readonly fixedView = viewSchema.parse({
         index: 1,
         configuration: {
             revision: 1,
@@ -36,7 +36,7 @@
         },
         sessions: {},
         leases: {},
-        backends: { p: backend("p", "prefill", prefillUrl), d: backend("d", "decode", decodeUrl) },
+        backends: { p: createBackend("p", "prefill", prefillUrl), d: createBackend("d", "decode", decodeUrl) },
     });
 
     override session() {
@@ -44,7 +44,7 @@
     }
 
     override view(): View {
-        return this.fixed;
+        return this.fixedView;
     }
 
     override mayStart(): boolean {
@@ -84,7 +84,7 @@
     }
 }
 
-function backend(id: string, role: string, url: string) {
+function createBackend(id: string, role: string, url: string) {
     const announcement = announcementSchema.parse({
         id,
         incarnation: 1,
@@ -98,16 +98,16 @@
     return { announcement, state: "ready" };
 }
 
-const any = { host: "127.0.0.1", port: 0 };
+const anyPort = { host: "127.0.0.1", port: 0 };
 const daemon = await EntryDaemon.create({
     settings: entrySettingsSchema.parse({
         role: "entry",
         name: "entry-1",
         failureDomain: "local",
-        operators: any,
-        peers: any,
-        callers: any,
-        backends: any,
+        operators: anyPort,
+        peers: anyPort,
+        callers: anyPort,
+        backends: anyPort,
         controls: [{ name: "control-1", host: "127.0.0.1", port: 1 }],
     }),
     control: new FixedControl(),
