--- a/scripts/processes/slots.ts
+++ b/scripts/processes/slots.ts
@@ -1,69 +1,69 @@
-/** Measures over real processes how long an engine holds something for a caller who has gone, by stage. */
+/** Measures with real processes how long engines keep allocations of a caller that has disconnected, by stage of the request. */
 import { Rig } from "../../playground/__tests__/rig.js";
 import { type Backend, Deployment, pause, until } from "../../playground/harness/index.js";
 
 const trials = 8;
 const kills = 5;
-/** Milliseconds between two looks at an engine; the error of each figure. */
-const look = 5;
-/** Half a second of prefill and half a second of transfer by the stand-ins' settings below. */
+/** Milliseconds between two polls of an engine; also the error of each measured time. */
+const pollInterval = 5;
+/** Takes half a second of prefill and half a second of transfer with the fake engines' settings below. */
 const prompt = "clause ".repeat(2_900);
 const engineSettings = { linkRate: 200_000_000, tokenTime: 200 };
 
 const stages = ["prefilling", "transferring", "decoding"] as const;
 type Stage = typeof stages[number];
 
-async function heldBy(engines: readonly Backend[]): Promise<number> {
+async function countActiveAttempts(engines: readonly Backend[]): Promise<number> {
     return (await Promise.all(engines.map(engine => engine.activeAttempts()))).flat().length;
 }
 
-/** What the engines of a role hold now, with what each of these attempts ran there. */
-async function holding(deployment: Deployment, role: "prefill" | "decode") {
+/** Lists the active attempts of the engines of a role, each with its record at the engine. */
+async function findActiveAttempts(deployment: Deployment, role: "prefill" | "decode") {
     const engines = [...deployment.backends.values()].filter(({ id }) => id.startsWith(role));
-    const all = await Promise.all(engines.map(async engine => {
-        const [held, ran] = await Promise.all([engine.activeAttempts(), engine.attemptRecords()]);
-        return held.map(attempt => ({ attempt, ran: ran[attempt] }));
+    const attempts = await Promise.all(engines.map(async engine => {
+        const [active, records] = await Promise.all([engine.activeAttempts(), engine.attemptRecords()]);
+        return active.map(attempt => ({ attempt, record: records[attempt] }));
     }));
-    return all.flat();
+    return attempts.flat();
 }
 
-async function isIn(stage: Stage, deployment: Deployment): Promise<boolean> {
+async function hasReached(stage: Stage, deployment: Deployment): Promise<boolean> {
     if (stage === "prefilling") {
-        return (await holding(deployment, "prefill")).length > 0;
+        return (await findActiveAttempts(deployment, "prefill")).length > 0;
     }
-    const decodes = await holding(deployment, "decode");
-    return decodes.some(({ ran }) => stage === "transferring" || (ran?.tokens ?? 0) > 0);
+    const decodes = await findActiveAttempts(deployment, "decode");
+    return decodes.some(({ record }) => stage === "transferring" || (record?.tokens ?? 0) > 0);
 }
 
-/** Whether the engines were told to give the attempt up, rather than having come to its end. */
+/** Whether an engine received a cancellation of the attempt, rather than finishing it. */
 async function wasCancelled(deployment: Deployment, attempt: string): Promise<boolean> {
     const engines = [...deployment.backends.values()].filter(({ id }) => id.startsWith("decode"));
-    const ran = await Promise.all(engines.map(engine => engine.attemptRecords()));
-    return ran.some(all => (all[attempt]?.cancels ?? 0) > 0);
+    const recordsByEngine = await Promise.all(engines.map(engine => engine.attemptRecords()));
+    return recordsByEngine.some(records => (records[attempt]?.cancels ?? 0) > 0);
 }
 
-async function freed(engines: readonly Backend[], since: number): Promise<number> {
+async function waitUntilReleased(engines: readonly Backend[], since: number): Promise<number> {
     const end = performance.now() + 60_000;
-    while (await heldBy(engines) > 0) {
+    while (await countActiveAttempts(engines) > 0) {
         if (performance.now() > end) {
-            throw new Error("engines hold something for a minute");
+            throw new Error("engines still have active attempts after a minute");
         }
-        await pause(look);
+        await pause(pollInterval);
     }
     return performance.now() - since;
 }
 
-async function waitFor(stage: Stage, rig: Rig): Promise<void> {
+async function waitUntilReached(stage: Stage, rig: Rig): Promise<void> {
     const end = performance.now() + 20_000;
-    while (!await isIn(stage, rig.deployment)) {
+    while (!await hasReached(stage, rig.deployment)) {
         if (performance.now() > end) {
-            throw new Error(`no request came to ${stage}`);
+            throw new Error(`no request reached stage ${stage}`);
         }
-        await pause(look);
+        await pause(pollInterval);
     }
 }
 
-function ask(rig: Rig, index: number, trial: string, signal: AbortSignal): void {
+function sendRequest(rig: Rig, index: number, trial: string, signal: AbortSignal): void {
     const { host, port } = rig.entry(index).settings.callers;
     const body = { model: "draft", max_tokens: 120, stream: true, prompt: `${trial} ${prompt}` };
     void fetch(`http://${host}:${port}/v1/completions`, { method: "POST", body: JSON.stringify(body), signal })
@@ -71,14 +71,14 @@
         .catch(() => undefined);
 }
 
-function print(name: string, figures: readonly number[]): void {
-    const sorted = [...figures].sort((one, other) => one - other);
+function printTimes(name: string, times: readonly number[]): void {
+    const sorted = [...times].sort((one, other) => one - other);
     if (sorted.length === 0) {
         return;
     }
-    const middle = sorted[Math.floor(sorted.length / 2)]!;
+    const median = sorted[Math.floor(sorted.length / 2)]!;
     process.stdout.write(
-        `${name}: ${sorted.length} trials, median ${middle.toFixed(0)} ms, worst ${sorted.at(-1)!.toFixed(0)} ms\n`,
+        `${name}: ${sorted.length} trials, median ${median.toFixed(0)} ms, worst ${sorted.at(-1)!.toFixed(0)} ms\n`,
     );
 }
 
@@ -86,32 +86,32 @@
 try {
     const engines = [...rig.deployment.backends.values()].filter(({ id }) => !id.startsWith("policy"));
     for (const stage of stages) {
-        const figures: number[] = [];
+        const times: number[] = [];
         for (let trial = 0; trial < trials; trial++) {
             const caller = new AbortController();
-            ask(rig, trial % 3, `${stage} ${trial}`, caller.signal);
-            await waitFor(stage, rig);
+            sendRequest(rig, trial % 3, `${stage} ${trial}`, caller.signal);
+            await waitUntilReached(stage, rig);
             const since = performance.now();
             caller.abort();
-            figures.push(await freed(engines, since));
+            times.push(await waitUntilReleased(engines, since));
         }
-        print(`caller gone while ${stage}`, figures);
+        printTimes(`caller disconnected while ${stage}`, times);
     }
-    const figures: number[] = [];
+    const times: number[] = [];
     for (let trial = 0; trial < kills; trial++) {
-        ask(rig, trial % 3, `kill ${trial}`, new AbortController().signal);
-        await until("a stream", () => isIn("decoding", rig.deployment));
-        const [held] = await holding(rig.deployment, "decode");
+        sendRequest(rig, trial % 3, `kill ${trial}`, new AbortController().signal);
+        await until("a stream", () => hasReached("decoding", rig.deployment));
+        const [decoding] = await findActiveAttempts(rig.deployment, "decode");
         const since = performance.now();
         await rig.entry(trial % 3).kill();
-        const time = await freed(engines, since);
-        if (held !== undefined && await wasCancelled(rig.deployment, held.attempt)) {
-            figures.push(time);
+        const releaseTime = await waitUntilReleased(engines, since);
+        if (decoding !== undefined && await wasCancelled(rig.deployment, decoding.attempt)) {
+            times.push(releaseTime);
         }
         await rig.restartStopped();
     }
-    process.stdout.write(`${kills - figures.length} of ${kills} answers ended by themselves first\n`);
-    print("entry daemon killed while decoding", figures);
+    process.stdout.write(`${kills - times.length} of ${kills} answers finished before they were cancelled\n`);
+    printTimes("entry daemon killed while decoding", times);
 }
 finally {
     await rig.close();
