--- a/scripts/measureAgreement.ts
+++ b/scripts/measureAgreement.ts
@@ -1,6 +1,6 @@
-// Measures the agreement protocol with three replicas in one process, on real disks and in real time at the default
-// timing: entries a second with and without group commit, time without a leader after a fault, and the return of a
-// replica that missed changes.
+// Measures the agreement protocol with three replicas in one process, on real disks and in real time with the default
+// timing: entries per second with and without group commit, time without a leader after a fault, and the time in which a
+// replica that missed changes catches up.
 import * as hdr from "hdr-histogram-js";
 import * as fs from "node:fs/promises";
 import * as path from "node:path";
@@ -11,25 +11,29 @@
 import { FolderDisk, LogFile, StateMachine } from "../packages/basilpaddle/src/node/state/index.js";
 import { Clock, SystemClock } from "../packages/basilpaddle/src/node/utils/index.js";
 
-const names = ["a", "b", "c"];
+const replicaNames = ["a", "b", "c"];
 const entryBytes = 300;
 const missedChanges = 500;
 const timing = timingSchema.parse({});
 
 const options = await yargs(hideBin(process.argv))
     .usage("npx tsx scripts/measureAgreement.ts --folder DIR")
-    .option("folder", { type: "string", default: "measurement", describe: "where data folders are made and removed" })
-    .option("seconds", { type: "number", default: 4, describe: "how long each load goes on" })
-    .option("faults", { type: "number", default: 15, describe: "how often each fault is played" })
-    .option("only", { choices: ["log", "replicated", "faults", "restart"] as const, describe: "one part alone" })
+    .option("folder", {
+        type: "string",
+        default: "measurement",
+        describe: "folder in which data folders are created and removed",
+    })
+    .option("seconds", { type: "number", default: 4, describe: "duration of each load measurement" })
+    .option("faults", { type: "number", default: 15, describe: "number of times each fault is injected" })
+    .option("only", { choices: ["log", "replicated", "faults", "restart"] as const, describe: "run only this part" })
     .strict()
     .parse();
 
-/** A clock that stands still for its callbacks while the process is played frozen. */
+/** A clock that delays its callbacks until it is unfrozen, which simulates a suspended process. Its time goes on. */
 class FreezableClock extends Clock {
     frozen = false;
     private readonly clock = SystemClock.create();
-    private readonly late: (() => void)[] = [];
+    private readonly delayedCallbacks: (() => void)[] = [];
 
     override monotonic(): number {
         return this.clock.monotonic();
@@ -42,7 +46,7 @@
     override after(milliseconds: number, callback: () => void): () => void {
         return this.clock.after(milliseconds, () => {
             if (this.frozen) {
-                this.late.push(callback);
+                this.delayedCallbacks.push(callback);
             }
             else {
                 callback();
@@ -50,14 +54,14 @@
         });
     }
 
-    thaw(): void {
+    unfreeze(): void {
         this.frozen = false;
-        this.late.splice(0).forEach(callback => callback());
+        this.delayedCallbacks.splice(0).forEach(callback => callback());
     }
 }
 
-/** A state machine that costs next to nothing, so that the log is what is measured. */
-class Counter extends StateMachine {
+/** A state machine with negligible cost, so that the log dominates the measurement. */
+class CountingStateMachine extends StateMachine {
     private count = 0;
 
     override apply(index: number): CommandResult {
@@ -74,7 +78,7 @@
     }
 }
 
-const clocks = new Map(names.map(name => [name, new FreezableClock()]));
+const clocks = new Map(replicaNames.map(name => [name, new FreezableClock()]));
 
 async function makeDisk(name: string): Promise<FolderDisk> {
     const folder = path.join(options.folder, name);
@@ -84,12 +88,12 @@
 
 function makeGroup(groupLimit?: number, compaction: { after?: number; keep?: number; } = {}): Promise<Group> {
     return Group.create(
-        names,
+        replicaNames,
         name => ({
             timing,
             clock: clocks.get(name)!,
             compaction,
-            stateMachine: new Counter(),
+            stateMachine: new CountingStateMachine(),
             log: groupLimit === undefined ? {} : { groupLimit },
         }),
         makeDisk,
@@ -105,8 +109,8 @@
     await LogFile.initialise(disk, "log", []);
     const { file } = await LogFile.create(disk, "log", groupLimit === undefined ? {} : { groupLimit });
     const record = Buffer.alloc(entryBytes, 1);
-    const rate = await load(writers, () => file.append([record]));
-    console.log(`log file, ${writers} writers, ${described(groupLimit)}: ${rate}, ${file.syncs()} syncs`);
+    const rate = await measureRate(writers, () => file.append([record]));
+    console.log(`log file, ${writers} writers, ${describeSyncs(groupLimit)}: ${rate}, ${file.syncs()} syncs`);
     await file.close();
 }
 
@@ -114,23 +118,23 @@
     const group = await makeGroup(groupLimit);
     const leader = group.replicas.get(await group.leader())!;
     const command = commandOfSize(entryBytes);
-    const rate = await load(writers, async () => {
+    const rate = await measureRate(writers, async () => {
         const proposal = await leader.propose(command, 10_000);
         if (proposal.kind !== "result") {
-            throw new Error(`A proposal came to ${proposal.kind}.`);
+            throw new Error(`a proposal ended with ${proposal.kind}`);
         }
     });
     console.log(
-        `replicated, ${writers} writers, ${described(groupLimit)}: ${rate}, ${leader.syncs()} syncs at the leader`,
+        `replicated, ${writers} writers, ${describeSyncs(groupLimit)}: ${rate}, ${leader.syncs()} syncs at the leader`,
     );
     await group.close();
 }
 
-function described(groupLimit: number | undefined): string {
-    return groupLimit === undefined ? "group commit" : "a sync for each";
+function describeSyncs(groupLimit: number | undefined): string {
+    return groupLimit === undefined ? "group commit" : "one sync per entry";
 }
 
-async function load(writers: number, write: () => Promise<void>): Promise<string> {
+async function measureRate(writers: number, write: () => Promise<void>): Promise<string> {
     const latencies = hdr.build({ highestTrackableValue: 10_000_000 });
     const begin = performance.now();
     const end = begin + options.seconds * 1_000;
@@ -144,47 +148,47 @@
         }
     }));
     const rate = Math.round(count / ((performance.now() - begin) / 1_000));
-    return `${rate} entries/s, p50 ${milliseconds(latencies, 50)} ms, p99 ${milliseconds(latencies, 99)} ms`;
+    return `${rate} entries/s, p50 ${formatPercentile(latencies, 50)} ms, p99 ${formatPercentile(latencies, 99)} ms`;
 }
 
-function milliseconds(histogram: hdr.Histogram, percentile: number): string {
+function formatPercentile(histogram: hdr.Histogram, percentile: number): string {
     return (histogram.getValueAtPercentile(percentile) / 1_000).toFixed(2);
 }
 
-type Fault = { readonly name: string; readonly inflict: Act; readonly mend: Act; };
-type Act = (group: Group, leader: string) => Promise<unknown>;
+type Fault = { readonly name: string; readonly inject: FaultAction; readonly recover: FaultAction; };
+type FaultAction = (group: Group, leader: string) => Promise<unknown>;
 
 const faults: readonly Fault[] = [
     {
         name: "kill",
-        inflict: (group, leader) => group.kill(leader),
-        mend: (group, leader) => group.start(leader),
+        inject: (group, leader) => group.kill(leader),
+        recover: (group, leader) => group.start(leader),
     },
     {
         name: "silent cut",
-        inflict: async (group, leader) => group.isolate(leader, true),
-        mend: async (group, leader) => group.isolate(leader, false),
+        inject: async (group, leader) => group.isolate(leader, true),
+        recover: async (group, leader) => group.isolate(leader, false),
     },
     {
-        // Played in process: timers and messages of the leader stop; on waking it finds its clock far ahead.
+        // Simulated in the process: timers and messages of the leader stop. When it resumes, its clock has advanced by the duration.
         name: "freeze",
-        inflict: async (group, leader) => {
+        inject: async (group, leader) => {
             clocks.get(leader)!.frozen = true;
             group.isolate(leader, true);
         },
-        mend: async (group, leader) => {
+        recover: async (group, leader) => {
             group.isolate(leader, false);
-            clocks.get(leader)!.thaw();
+            clocks.get(leader)!.unfreeze();
         },
     },
     {
         name: "close (leadership handed over)",
-        inflict: async (group, leader) => {
+        inject: async (group, leader) => {
             const replica = group.replicas.get(leader)!;
             await replica.close();
             group.replicas.delete(leader);
         },
-        mend: (group, leader) => group.start(leader),
+        recover: (group, leader) => group.start(leader),
     },
 ];
 
@@ -194,40 +198,40 @@
     for (let round = 0; round < options.faults; round += 1) {
         const leader = await group.leader();
         await group.propose(`before ${round}`);
-        // Any moment of the heartbeat interval.
+        // Random offset within the heartbeat interval.
         await new Promise(resolve => setTimeout(resolve, Math.random() * timing.heartbeatInterval));
         const begin = performance.now();
-        await fault.inflict(group, leader);
+        await fault.inject(group, leader);
         const next = await group.leader(leader);
         await until("a result of the next leader", async () => {
             const proposal = await group.replicas.get(next)!.propose(commandOfSize(entryBytes), 2_000);
             return proposal.kind === "result" ? true : undefined;
         });
         times.recordValue(Math.round(performance.now() - begin));
-        await fault.mend(group, leader);
-        await caughtUp(group, leader);
+        await fault.recover(group, leader);
+        await waitUntilCaughtUp(group, leader);
     }
     console.log(
-        `${fault.name} of the leader to the next accepted entry, ${options.faults} times: p50 `
+        `${fault.name} of the leader until the next accepted entry, ${options.faults} times: p50 `
             + `${times.getValueAtPercentile(50)} ms, worst ${times.maxValue} ms`,
     );
     await group.close();
 }
 
-async function caughtUp(group: Group, name: string): Promise<void> {
-    await until(`${name} in step`, async () => {
+async function waitUntilCaughtUp(group: Group, name: string): Promise<void> {
+    await until(`${name} has caught up`, async () => {
         const leader = [...group.replicas.values()].find(replica => replica.currentStatus().leading);
         const own = group.replicas.get(name)!.currentStatus();
-        const heard = own.leader !== undefined && own.committedIndex === leader?.currentStatus().committedIndex;
-        return heard ? true : undefined;
+        const isCaughtUp = own.leader !== undefined && own.committedIndex === leader?.currentStatus().committedIndex;
+        return isCaughtUp ? true : undefined;
     });
 }
 
-async function measureRestart(compaction: { after?: number; keep?: number; }, how: string): Promise<void> {
+async function measureRestart(compaction: { after?: number; keep?: number; }, label: string): Promise<void> {
     const group = await makeGroup(undefined, compaction);
     await group.propose("first");
     const leader = await group.leader();
-    const follower = names.find(name => name !== leader)!;
+    const follower = replicaNames.find(name => name !== leader)!;
     await group.kill(follower);
     for (let change = 0; change < missedChanges; change += 1) {
         await group.propose(`change ${change}`);
@@ -235,37 +239,37 @@
     const begin = performance.now();
     await group.start(follower);
     const started = performance.now();
-    await caughtUp(group, follower);
-    const whole = Math.round(performance.now() - begin);
-    const opening = (started - begin).toFixed(1);
-    const silent = 2 * timing.electionTimeout;
+    await waitUntilCaughtUp(group, follower);
+    const totalTime = Math.round(performance.now() - begin);
+    const openTime = (started - begin).toFixed(1);
+    const silenceTime = 2 * timing.electionTimeout;
     console.log(
-        `restart after ${missedChanges} missed changes, ${how}: in step after ${whole} ms, of them ${opening} ms to open `
-            + `the folder and ${silent} ms of silence by rule`,
+        `restart after ${missedChanges} missed changes, ${label}: caught up after ${totalTime} ms, including ${openTime} ms to open `
+            + `the folder and ${silenceTime} ms of initial silence`,
     );
     await group.close();
 }
 
-function measures(part: typeof options.only): boolean {
+function isSelected(part: typeof options.only): boolean {
     return options.only === undefined || options.only === part;
 }
 
-if (measures("log")) {
+if (isSelected("log")) {
     await measureLogFile(1, 64);
     await measureLogFile(undefined, 64);
 }
-if (measures("replicated")) {
+if (isSelected("replicated")) {
     for (const writers of [1, 64, 256]) {
         await measureReplicated(1, writers);
         await measureReplicated(undefined, writers);
     }
 }
-if (measures("faults")) {
+if (isSelected("faults")) {
     for (const fault of faults) {
         await measureFault(fault);
     }
 }
-if (measures("restart")) {
+if (isSelected("restart")) {
     await measureRestart({}, "by the tail of the log");
     await measureRestart({ after: 100, keep: 10 }, "by snapshot and tail");
 }
--- a/scripts/measureView.ts
+++ b/scripts/measureView.ts
@@ -1,11 +1,11 @@
 /**
- * Measures what following the view costs each entry daemon: bytes and processor time at rest and for each change, time
- * to catch up, and memory of the view. The control daemons run in a process of their own, so that their cost stays out.
+ * Measures the cost of following the view for each entry daemon: network bytes and CPU time when idle and per change, time
+ * to catch up, and memory of the view. The control daemons run in a separate process, so that their cost isn't included.
  *
  *     npx tsx scripts/measureView.ts rest|change|catchUp|steps
  *     node --expose-gc --import=tsx scripts/measureView.ts memory
  *
- * VIEW_INTERVAL sets timing.viewInterval in milliseconds; 400 where it is left out.
+ * VIEW_INTERVAL sets timing.viewInterval in milliseconds; the default is 400.
  */
 import { fork } from "node:child_process";
 import { once } from "node:events";
@@ -34,7 +34,7 @@
 import { createSilentLogger, SystemClock, SystemRandomness } from "../packages/basilpaddle/src/node/utils/index.js";
 import { ControlGroup } from "../simulation/control/controlGroup.js";
 
-type Control = { readonly name: string; readonly host: string; readonly port: number; };
+type ControlAddress = { readonly name: string; readonly host: string; readonly port: number; };
 type Traffic = { bytes: number; messages: number; };
 
 const viewInterval = Number(process.env["VIEW_INTERVAL"] ?? 400);
@@ -84,7 +84,7 @@
     }
 }
 
-function clientOf(controls: readonly Control[], name: string, traffic?: Traffic): PeerControlClient {
+function createClient(controls: readonly ControlAddress[], name: string, traffic?: Traffic): PeerControlClient {
     const randomness = SystemRandomness.create();
     return PeerControlClient.create({
         session: { daemon: name, incarnation: randomness.identifier() },
@@ -99,9 +99,12 @@
     });
 }
 
-async function withControls(count: number, work: (controls: readonly Control[]) => Promise<void>): Promise<void> {
+async function withControlDaemons(
+    count: number,
+    work: (controls: readonly ControlAddress[]) => Promise<void>,
+): Promise<void> {
     const child = fork(fileURLToPath(import.meta.url), ["serve", `${count}`], { execArgv: ["--import=tsx"] });
-    const [controls] = await once(child, "message") as [readonly Control[]];
+    const [controls] = await once(child, "message") as [readonly ControlAddress[]];
     try {
         await work(controls);
     }
@@ -128,7 +131,7 @@
     }
 }
 
-function declaration(organisations: number, share: number): Declaration {
+function createDeclaration(organisations: number, share: number): Declaration {
     return declarationSchema.parse({
         pools: { drafting: { models: [{ name: "m", version: "1" }], copies: { prefill: 2, decode: 4 } } },
         organisations: Object.fromEntries(
@@ -137,19 +140,19 @@
     });
 }
 
-function changeOf(base: number, organisations: number): Command {
+function createChange(base: number, organisations: number): Command {
     const change = {
         changeId: `change-${organisations}-${base}`,
         operator: "ana",
         base,
-        declaration: declaration(organisations, base + 1),
+        declaration: createDeclaration(organisations, base + 1),
         files: [],
         note: "",
     };
     return { kind: "changeConfiguration", change, at: Date.now() };
 }
 
-function announceOf(at: number): Command {
+function createAnnouncement(at: number): Command {
     const announcement = announcementSchema.parse({
         id: `worker-${at}`,
         incarnation: 1,
@@ -163,23 +166,23 @@
     return { kind: "announceBackend", announcement, at: Date.now() };
 }
 
-function report(figure: Record<string, unknown>): void {
-    console.log(JSON.stringify(figure));
+function printResult(result: Record<string, unknown>): void {
+    console.log(JSON.stringify(result));
 }
 
-/** Processor milliseconds of this process so far. */
-function processorTime(): number {
+/** Reads the CPU time in milliseconds that this process has used. */
+function readCpuMilliseconds(): number {
     const { user, system } = process.cpuUsage();
     return (user + system) / 1_000;
 }
 
-async function rest(): Promise<void> {
+async function measureIdle(): Promise<void> {
     const daemons = 40;
     const seconds = 15;
     for (const controls of [3, 5]) {
-        await withControls(controls, async addresses => {
+        await withControlDaemons(controls, async addresses => {
             const traffic: Traffic = { bytes: 0, messages: 0 };
-            const counted = clientOf(addresses, "counted", traffic);
+            const counted = createClient(addresses, "counted", traffic);
             await until(() => counted.mayStart());
             await sleep(1_000);
             Object.assign(traffic, { bytes: 0, messages: 0 });
@@ -187,32 +190,32 @@
             const bytesPerSecond = traffic.bytes / seconds;
             const messagesPerSecond = traffic.messages / seconds;
             await counted.close();
-            const clients = Array.from({ length: daemons }, (_, at) => clientOf(addresses, `entry-${at}`));
+            const clients = Array.from({ length: daemons }, (_, at) => createClient(addresses, `entry-${at}`));
             await until(() => clients.every(client => client.mayStart()));
             await sleep(3_000);
-            const before = processorTime();
+            const before = readCpuMilliseconds();
             await sleep(seconds * 1_000);
-            const percentOfCore = (processorTime() - before) / (seconds * 10) / daemons;
+            const percentOfCore = (readCpuMilliseconds() - before) / (seconds * 10) / daemons;
             await Promise.all(clients.map(client => client.close()));
-            report({ measured: "rest", viewInterval, controls, bytesPerSecond, messagesPerSecond, percentOfCore });
+            printResult({ measured: "rest", viewInterval, controls, bytesPerSecond, messagesPerSecond, percentOfCore });
         });
     }
 }
 
-async function change(): Promise<void> {
+async function measureChange(): Promise<void> {
     const changes = 5;
     for (const organisations of organisationSizes) {
-        await withControls(3, async addresses => {
-            const operator = clientOf(addresses, "operator");
+        await withControlDaemons(3, async addresses => {
+            const operator = createClient(addresses, "operator");
             const traffic: Traffic = { bytes: 0, messages: 0 };
-            const client = clientOf(addresses, "counted", traffic);
+            const client = createClient(addresses, "counted", traffic);
             const arrivals: number[] = [];
             client.onView(view => void arrivals.push(view.configuration.revision));
             await until(() => client.mayStart() && operator.mayStart());
             const times: number[] = [];
             const bytes: number[] = [];
             for (let base = 0; base <= changes; base++) {
-                const command = changeOf(base, organisations);
+                const command = createChange(base, organisations);
                 const before = traffic.bytes;
                 const start = performance.now();
                 const result = await operator.propose(command, 60_000);
@@ -220,45 +223,50 @@
                 await until(() => client.view().configuration.revision === base + 1);
                 bytes.push(traffic.bytes - before);
                 if (result.isLeft()) {
-                    report({ undecided: result.extract() });
+                    printResult({ undecided: result.extract() });
                 }
             }
-            report({ measured: "change", organisations, bytes, inForceMilliseconds: times.map(Math.round) });
+            printResult({ measured: "change", organisations, bytes, inForceMilliseconds: times.map(Math.round) });
             await client.close();
             await operator.close();
         });
     }
 }
 
-async function catchUp(): Promise<void> {
-    await withControls(3, async addresses => {
-        const operator = clientOf(addresses, "operator");
+async function measureCatchUp(): Promise<void> {
+    await withControlDaemons(3, async addresses => {
+        const operator = createClient(addresses, "operator");
         await until(() => operator.mayStart());
         for (let at = 0; at < 500; at++) {
-            await operator.propose(announceOf(at), 60_000);
+            await operator.propose(createAnnouncement(at), 60_000);
         }
         for (let run = 0; run < 5; run++) {
             const traffic: Traffic = { bytes: 0, messages: 0 };
             const start = performance.now();
-            const late = clientOf(addresses, `late-${run}`, traffic);
+            const late = createClient(addresses, `late-${run}`, traffic);
             await until(() => Object.keys(late.view().backends).length === 500);
             const viewMilliseconds = performance.now() - start;
             const bytes = traffic.bytes;
             await until(() => late.mayStart());
-            report({ measured: "catchUp", viewMilliseconds, mayStartMilliseconds: performance.now() - start, bytes });
+            printResult({
+                measured: "catchUp",
+                viewMilliseconds,
+                mayStartMilliseconds: performance.now() - start,
+                bytes,
+            });
             await late.close();
         }
         await operator.close();
     });
 }
 
-/** Bytes of heap that the view takes as it comes from a frame, and the milliseconds to read and check it. */
-function memory(): void {
+/** Measures the heap size of a view decoded from a frame, and the milliseconds to decode and validate it. */
+function measureMemory(): void {
     for (const backends of backendSizes) {
         for (const organisations of organisationSizes) {
             const source = ViewState.create();
-            source.apply(1, changeOf(0, organisations));
-            Array.from({ length: backends }, (_, at) => source.apply(at + 2, announceOf(at)));
+            source.apply(1, createChange(0, organisations));
+            Array.from({ length: backends }, (_, at) => source.apply(at + 2, createAnnouncement(at)));
             const frame = encodeFrame(source.view());
             globalThis.gc!();
             const before = process.memoryUsage();
@@ -267,36 +275,48 @@
             const readMilliseconds = performance.now() - start;
             globalThis.gc!();
             const heapBytes = process.memoryUsage().heapUsed - before.heapUsed;
-            report({ measured: "memory", backends, organisations, frame: frame.length, heapBytes, readMilliseconds });
+            printResult({
+                measured: "memory",
+                backends,
+                organisations,
+                frame: frame.length,
+                heapBytes,
+                readMilliseconds,
+            });
             state.view();
         }
     }
 }
 
-/** Bytes of the step of one change, and the milliseconds in which a daemon reads, checks and applies it. */
-function steps(): void {
+/** Measures the bytes of one change's view step, and the milliseconds to decode, validate and apply it. */
+function measureSteps(): void {
     const changes = 6;
     for (const organisations of organisationSizes) {
         const ledger = Ledger.create();
         const follower = ViewState.create();
         for (let base = 0; base < changes; base++) {
-            ledger.apply(base + 1, changeOf(base, organisations));
-            const news = ledger.missingSteps({ after: base, count: 1, bytes: 10_000_000 });
-            const frame = encodeFrame(news![0]);
+            ledger.apply(base + 1, createChange(base, organisations));
+            const missingSteps = ledger.missingSteps({ after: base, count: 1, bytes: 10_000_000 });
+            const frame = encodeFrame(missingSteps![0]);
             const start = performance.now();
             const step = viewStepSchema.parse(FrameReader.create().push(frame)[0]);
             follower.apply(step.index, expandedCommand(step, follower.view()));
-            report({ measured: "steps", organisations, bytes: frame.length, milliseconds: performance.now() - start });
+            printResult({
+                measured: "steps",
+                organisations,
+                bytes: frame.length,
+                milliseconds: performance.now() - start,
+            });
         }
     }
 }
 
-const work: Record<string, () => void | Promise<void>> = {
-    rest,
-    change,
-    catchUp,
-    memory,
-    steps,
+const measurements: Record<string, () => void | Promise<void>> = {
+    rest: measureIdle,
+    change: measureChange,
+    catchUp: measureCatchUp,
+    memory: measureMemory,
+    steps: measureSteps,
     serve: () => serve(Number(process.argv[3])),
 };
-await work[process.argv[2] ?? "rest"]!();
+await measurements[process.argv[2] ?? "rest"]!();
