--- a/eslint.config.js
+++ b/eslint.config.js
@@ -14,7 +14,7 @@
             "max-lines": ["error", { max: 400, skipBlankLines: false, skipComments: false }],
             "no-restricted-syntax": ["error", {
                 selector: "Literal[raw='null']",
-                message: "Use undefined; null is kept out of the code.",
+                message: "Use undefined instead of null.",
             }],
             "@typescript-eslint/no-floating-promises": "error",
             "@typescript-eslint/switch-exhaustiveness-check": [
@@ -45,12 +45,12 @@
         },
     },
     {
-        // The users' platform's names stand in one folder: nothing else may come to depend on its manner of speaking.
+        // Names of the users' platform are allowed only in platform/, so that no other code depends on its protocol.
         files: ["packages/**/*.ts", "playground/**/*.ts", "simulation/**/*.ts", "scripts/**/*.ts", "soak/**/*.ts"],
         rules: {
             "no-restricted-syntax": ["error", {
                 selector: "Literal[raw='null']",
-                message: "Use undefined; null is kept out of the code.",
+                message: "Use undefined instead of null.",
             }, {
                 selector:
                     "Literal[value=/attempt-id|deadline-milliseconds|server-seal|expected-instance|not-executed|kv-handle|cache-source|token-counts|transfer_handle|path_prefix|timeout_ms|heartbeat_address/i]",
