--- a/packages/basilpaddle/src/node/coordination/agreement/storage.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/storage.ts
@@ -43,7 +43,7 @@
         owner: string,
         options: LogFileOptions,
     ): Promise<{ readonly storage: Storage; readonly recovered: Recovered; readonly cut: number; }> {
-        const { file, records, cut } = await LogFile.create(disk, logFileName, options);
+        const { file, records, truncatedBytes: cut } = await LogFile.create(disk, logFileName, options);
         try {
             const snapshot = await loadSnapshot(disk);
             const placed = records.map(({ offset, body }) => ({ offset, record: decodeRecord(offset, body) }));
--- a/packages/basilpaddle/src/node/state/__tests__/disk.spec.ts
+++ b/packages/basilpaddle/src/node/state/__tests__/disk.spec.ts
@@ -138,7 +138,7 @@
 // in this incarnation and opens the same folder for it. Opening a folder removes the temporary files of interrupted
 // replacements, and removed that of the replacement in progress as well.
 describe("a folder opened while the process writes to it", () => {
-    async function replacedDuring(open: (folder: string) => Promise<Disk>): Promise<readonly string[]> {
+    async function replaceErrorsWhileOpening(open: (folder: string) => Promise<Disk>): Promise<readonly string[]> {
         const folder = await fs.mkdtemp(path.join(os.tmpdir(), "disk-"));
         const disk = await FolderDisk.create(folder);
         const errors: string[] = [];
@@ -159,7 +159,7 @@
     }
 
     it("keeps the temporary files of replacements in progress", async () => {
-        expect(await replacedDuring(folder => FolderDisk.createWithoutCleanup(folder))).to.deep.equal([]);
+        expect(await replaceErrorsWhileOpening(folder => FolderDisk.createWithoutCleanup(folder))).to.deep.equal([]);
     });
 
     it("loses the temporary files of an earlier process only when opened with cleanup", async () => {
--- a/packages/basilpaddle/src/node/state/__tests__/folderLock.spec.ts
+++ b/packages/basilpaddle/src/node/state/__tests__/folderLock.spec.ts
@@ -7,9 +7,9 @@
 import { FolderLock } from "../index.js";
 
 const module = new URL("../folderLock.ts", import.meta.url).href;
-const holder = `import(${JSON.stringify(module)}).then(async ({ FolderLock }) => {
+const lockingScript = `import(${JSON.stringify(module)}).then(async ({ FolderLock }) => {
     await FolderLock.create(process.argv[1]);
-    console.log("held");
+    console.log("locked");
     setInterval(() => undefined, 1_000);
 });`;
 
@@ -20,13 +20,15 @@
         const parent = await fs.mkdtemp(path.join(os.tmpdir(), "basilpaddle-lock-"));
         const folder = path.join(parent, "data");
         const other = path.join(parent, "other");
-        const child = spawn(process.execPath, ["--import=tsx", "-e", holder, folder], { stdio: ["ignore", "pipe", 2] });
+        const child = spawn(process.execPath, ["--import=tsx", "-e", lockingScript, folder], {
+            stdio: ["ignore", "pipe", 2],
+        });
         try {
             await once(child.stdout!, "data");
             await fs.symlink(folder, other);
             for (const name of [folder, other]) {
-                const refused = await FolderLock.create(name).then(() => undefined, (error: unknown) => error);
-                expect(String(refused)).to.include(`The data folder ${name} is in use by another process`);
+                const failure = await FolderLock.create(name).then(() => undefined, (error: unknown) => error);
+                expect(String(failure)).to.include(`The data folder ${name} is in use by another process`);
             }
             child.kill("SIGKILL");
             await once(child, "exit");
--- a/packages/basilpaddle/src/node/state/__tests__/ledger.spec.ts
+++ b/packages/basilpaddle/src/node/state/__tests__/ledger.spec.ts
@@ -216,7 +216,7 @@
     });
 
     it("audits who changed what against which revision, and with what outcome", () => {
-        const [refused, accepted] = ledgerOf(...list).auditPage({ topic: "configuration", limit: 10 });
+        const [conflicting, accepted] = ledgerOf(...list).auditPage({ topic: "configuration", limit: 10 });
         expect(accepted).to.include({
             index: 2,
             who: "ana",
@@ -224,7 +224,7 @@
             revision: 0,
             outcome: "accepted as revision 1",
         });
-        expect(refused).to.include({ who: "bo", outcome: "conflict with revision 1 by ana (one)" });
+        expect(conflicting).to.include({ who: "bo", outcome: "conflict with revision 1 by ana (one)" });
     });
 
     it("doesn't evict configuration changes from the audit trail when many sessions are opened", () => {
--- a/packages/basilpaddle/src/node/state/configuration/__tests__/configuration.spec.ts
+++ b/packages/basilpaddle/src/node/state/configuration/__tests__/configuration.spec.ts
@@ -124,9 +124,9 @@
         return Promise.resolve([...this.contents.keys()]);
     }
 
-    override fileStatus(name: string): Promise<{ isFile: boolean; bytes: number; mark: string; }> {
+    override fileStatus(name: string): Promise<{ isFile: boolean; bytes: number; fingerprint: string; }> {
         const text = this.text(name);
-        return Promise.resolve({ isFile: true, bytes: text.length, mark: text });
+        return Promise.resolve({ isFile: true, bytes: text.length, fingerprint: text });
     }
 
     override read(name: string): Promise<Uint8Array> {
--- a/packages/basilpaddle/src/node/state/configuration/definitionLocations.ts
+++ b/packages/basilpaddle/src/node/state/configuration/definitionLocations.ts
@@ -13,11 +13,11 @@
     }
 
     /** Records where a part is defined. If it is defined already, keeps and returns the earlier location. */
-    addLocation(path: readonly string[], place: SourceLocation): SourceLocation | undefined {
+    addLocation(path: readonly string[], location: SourceLocation): SourceLocation | undefined {
         const key = path.join("/");
         const earlier = this.locations.get(key);
         if (earlier === undefined) {
-            this.locations.set(key, place);
+            this.locations.set(key, location);
         }
         return earlier;
     }
--- a/packages/basilpaddle/src/node/state/configuration/folder.ts
+++ b/packages/basilpaddle/src/node/state/configuration/folder.ts
@@ -27,10 +27,10 @@
     /** Names of all entries of the folder. */
     abstract names(): Promise<readonly string[]>;
 
-    /** Kind and size of an entry, and a mark that changes whenever the file is written or replaced. */
+    /** Kind and size of an entry, and a fingerprint that changes whenever the file is written or replaced. */
     abstract fileStatus(
         name: string,
-    ): Promise<{ readonly isFile: boolean; readonly bytes: number; readonly mark: string; }>;
+    ): Promise<{ readonly isFile: boolean; readonly bytes: number; readonly fingerprint: string; }>;
 
     /** The content of a file. */
     abstract read(name: string): Promise<Uint8Array>;
@@ -50,12 +50,12 @@
         return readdir(this.root);
     }
 
-    override async fileStatus(name: string): Promise<{ isFile: boolean; bytes: number; mark: string; }> {
-        const found = await stat(path.join(this.root, name), { bigint: true });
+    override async fileStatus(name: string): Promise<{ isFile: boolean; bytes: number; fingerprint: string; }> {
+        const fileStats = await stat(path.join(this.root, name), { bigint: true });
         return {
-            isFile: found.isFile(),
-            bytes: Number(found.size),
-            mark: `${found.ino}/${found.size}/${found.mtimeNs}/${found.ctimeNs}`,
+            isFile: fileStats.isFile(),
+            bytes: Number(fileStats.size),
+            fingerprint: `${fileStats.ino}/${fileStats.size}/${fileStats.mtimeNs}/${fileStats.ctimeNs}`,
         };
     }
 
@@ -66,32 +66,32 @@
 
 /** Reads a consistent snapshot of all configuration files in the folder, or returns the findings that prevent it. */
 export async function readFolder(folder: Folder): Promise<Either<readonly Finding[], FolderContent>> {
-    const listed = await list(folder);
-    if (listed.isLeft()) {
-        return Left(listed.extract() as Finding[]);
+    const listedNames = await listNames(folder);
+    if (listedNames.isLeft()) {
+        return Left(listedNames.extract() as Finding[]);
     }
-    const names = listed.unsafeCoerce();
-    const wanted = names.filter(isConfiguration);
-    const wrongCount = countFindings(wanted.length);
-    if (wrongCount.length > 0) {
-        return Left(wrongCount);
+    const names = listedNames.unsafeCoerce();
+    const configurationNames = names.filter(isConfiguration);
+    const wrongCountFindings = countFindings(configurationNames.length);
+    if (wrongCountFindings.length > 0) {
+        return Left(wrongCountFindings);
     }
     const findings: Finding[] = [];
     const files: ConfigurationFile[] = [];
-    const marks = new Map<string, string>();
-    for (const name of wanted) {
-        const outcome = await readOne(folder, name);
+    const fingerprints = new Map<string, string>();
+    for (const name of configurationNames) {
+        const outcome = await readConfigurationFile(folder, name);
         outcome.caseOf({
             Left: finding => {
                 findings.push(finding);
             },
-            Right: ({ file, mark }) => {
+            Right: ({ file, fingerprint }) => {
                 files.push(file);
-                marks.set(name, mark);
+                fingerprints.set(name, fingerprint);
             },
         });
     }
-    findings.push(...await concurrentChanges(folder, wanted, marks));
+    findings.push(...await concurrentChangeFindings(folder, configurationNames, fingerprints));
     if (findings.length > 0) {
         return Left(findings);
     }
@@ -102,7 +102,7 @@
     return name.endsWith(".json") && !/^[.#~]/.test(name);
 }
 
-async function list(folder: Folder): Promise<Either<readonly Finding[], readonly string[]>> {
+async function listNames(folder: Folder): Promise<Either<readonly Finding[], readonly string[]>> {
     try {
         return Right([...await folder.names()].sort());
     }
@@ -127,10 +127,10 @@
     return [];
 }
 
-async function readOne(
+async function readConfigurationFile(
     folder: Folder,
     name: string,
-): Promise<Either<Finding, { readonly file: ConfigurationFile; readonly mark: string; }>> {
+): Promise<Either<Finding, { readonly file: ConfigurationFile; readonly fingerprint: string; }>> {
     try {
         const before = await folder.fileStatus(name);
         if (!before.isFile) {
@@ -141,7 +141,7 @@
         }
         const bytes = await folder.read(name);
         const text = new TextDecoder("utf-8", { fatal: true }).decode(bytes);
-        return Right({ file: { name, text }, mark: before.mark });
+        return Right({ file: { name, text }, fingerprint: before.fingerprint });
     }
     catch (error) {
         return Left(readFinding(name, error));
@@ -158,32 +158,32 @@
     return { file: name, place: "", cause: `can't be read: ${(error as Error).message}` };
 }
 
-// While a tool is still writing the folder, a team's file may be missing or incomplete, and what looks like a complete
-// change would remove its pools. Each file has to be unchanged after all files were read.
-async function concurrentChanges(
+// While a tool is still writing the folder, a team's file may be missing or incomplete, and applying what was read would
+// remove that team's pools. So each file has to be unchanged after all files were read.
+async function concurrentChangeFindings(
     folder: Folder,
-    wanted: readonly string[],
-    marks: ReadonlyMap<string, string>,
+    configurationNames: readonly string[],
+    fingerprints: ReadonlyMap<string, string>,
 ): Promise<readonly Finding[]> {
-    const listed = await list(folder);
-    if (listed.isLeft()) {
-        return listed.extract() as readonly Finding[];
+    const listedNames = await listNames(folder);
+    if (listedNames.isLeft()) {
+        return listedNames.extract() as readonly Finding[];
     }
-    const now = new Set(listed.unsafeCoerce().filter(isConfiguration));
-    const added = [...now].filter(name => !wanted.includes(name));
+    const namesAfter = new Set(listedNames.unsafeCoerce().filter(isConfiguration));
+    const added = [...namesAfter].filter(name => !configurationNames.includes(name));
     const findings = added.map(name => concurrentChangeFinding(name, "appeared"));
-    for (const [name, mark] of marks) {
+    for (const [name, fingerprint] of fingerprints) {
         const status = await folder.fileStatus(name).catch(() => undefined);
-        if (status === undefined || !now.has(name)) {
+        if (status === undefined || !namesAfter.has(name)) {
             findings.push(concurrentChangeFinding(name, "vanished"));
         }
-        else if (status.mark !== mark) {
+        else if (status.fingerprint !== fingerprint) {
             findings.push(concurrentChangeFinding(name, "was changed"));
         }
     }
     return findings;
 }
 
-function concurrentChangeFinding(name: string, what: string): Finding {
-    return { file: name, place: "", cause: `${what} while the folder was read`, cure: "run the command again" };
+function concurrentChangeFinding(name: string, change: string): Finding {
+    return { file: name, place: "", cause: `${change} while the folder was read`, cure: "run the command again" };
 }
--- a/packages/basilpaddle/src/node/state/documentState.ts
+++ b/packages/basilpaddle/src/node/state/documentState.ts
@@ -24,7 +24,10 @@
 
     override apply(index: number, command: Command): CommandResult {
         if (command.kind !== "storeDocument") {
-            return { kind: "stale", reason: `a group that keeps a document knows no ${command.kind}` };
+            return {
+                kind: "stale",
+                reason: `a group that stores a document doesn't support the command ${command.kind}`,
+            };
         }
         if (command.version > this.document.version) {
             this.setDocument({ version: command.version, content: command.content });
--- a/packages/basilpaddle/src/node/state/ledger.ts
+++ b/packages/basilpaddle/src/node/state/ledger.ts
@@ -140,19 +140,19 @@
             case "recordOrder":
                 return { kind: "done", index };
             case "storeDocument":
-                return { kind: "stale", reason: "this group keeps no whole documents" };
+                return { kind: "stale", reason: "this group doesn't store documents" };
             default:
                 throw new TypeError(`${command.kind} is a view command`);
         }
     }
 
     private startRun(index: number, command: Extract<Command, { kind: "startRun"; }>): CommandResult {
-        const records = this.runs.usage().records;
-        const known = this.runs.has(command.key);
+        const recordsBefore = this.runs.usage().records;
+        const existedBefore = this.runs.has(command.key);
         const result = this.runs.start(index, command, owner => this.hasOpenSession(owner));
-        const added = this.runs.usage().records - records;
+        const added = this.runs.usage().records - recordsBefore;
         Invariant.assert(
-            added === (result.kind === "started" && !known ? 1 : 0),
+            added === (result.kind === "started" && !existedBefore ? 1 : 0),
             `${added} run records added by a startRun with result ${result.kind}`,
         );
         return result;
--- a/packages/basilpaddle/src/node/state/log/logFile.ts
+++ b/packages/basilpaddle/src/node/state/log/logFile.ts
@@ -10,7 +10,7 @@
 type ReplaceTask = Deferred & {
     readonly kind: "replace";
     readonly records: readonly Uint8Array[];
-    readonly before: () => Promise<void>;
+    readonly beforeReplace: () => Promise<void>;
 };
 
 /** Options of a log file. */
@@ -30,7 +30,7 @@
     readonly file: LogFile;
     readonly records: readonly StoredRecord[];
     /** Number of bytes of an incomplete last record that were truncated. */
-    readonly cut: number;
+    readonly truncatedBytes: number;
 };
 
 /**
@@ -67,9 +67,9 @@
         }
         const { records, end } = readRecords(name, buffer, header.length, options.tornTail);
         const log = new LogFile(disk, name, options);
-        // Truncates the torn tail before the next append: followed by a record, it would count as corruption.
+        // Truncates the torn tail before the next append: if a record followed it, it would be treated as corruption.
         log.file = await disk.open(name, end);
-        return { file: log, records, cut: buffer.length - end };
+        return { file: log, records, truncatedBytes: buffer.length - end };
     }
 
     /** Resolves once the records are synced. After a failure all later calls fail, since the content on disk is unknown. */
@@ -78,7 +78,7 @@
         const appends: Promise<void>[] = [];
         for (let from = 0; from < records.length; from += limit) {
             const bytes = records.slice(from, from + limit).map(frameRecord);
-            appends.push(this.enqueue(settle => ({ ...settle, kind: "append", bytes })));
+            appends.push(this.enqueue(deferred => ({ ...deferred, kind: "append", bytes })));
         }
         await Promise.all(appends);
     }
@@ -88,7 +88,7 @@
      * what has to be on disk before the replacement.
      */
     rewrite(records: readonly Uint8Array[], before: () => Promise<void> = async () => {}): Promise<void> {
-        return this.enqueue(settle => ({ ...settle, kind: "replace", records, before }));
+        return this.enqueue(settle => ({ ...settle, kind: "replace", records, beforeReplace: before }));
     }
 
     /** Number of syncs made by `append` so far. */
@@ -105,9 +105,9 @@
         this.file = undefined;
     }
 
-    private enqueue(make: (settle: Deferred) => AppendTask | ReplaceTask): Promise<void> {
+    private enqueue(createTask: (deferred: Deferred) => AppendTask | ReplaceTask): Promise<void> {
         return new Promise((resolve, reject) => {
-            this.queue.push(make({ resolve, reject }));
+            this.queue.push(createTask({ resolve, reject }));
             this.worker ??= this.processQueue();
         });
     }
@@ -121,7 +121,7 @@
         this.worker = undefined;
     }
 
-    /** Dequeues the appends up to the next rewrite, or that rewrite alone. With a group limit, one append at a time. */
+    /** Dequeues all appends before the next rewrite, or a rewrite alone. With a group limit, dequeues a single append. */
     private takeGroup(): readonly (AppendTask | ReplaceTask)[] {
         if (this.queue[0]?.kind === "replace") {
             return this.queue.splice(0, 1);
@@ -162,7 +162,7 @@
     }
 
     private async replaceAll(task: ReplaceTask): Promise<void> {
-        await task.before();
+        await task.beforeReplace();
         const bytes = Buffer.concat([header, ...task.records.map(frameRecord)]);
         await this.file?.close();
         this.file = undefined;
--- a/packages/basilpaddle/src/node/state/log/record.ts
+++ b/packages/basilpaddle/src/node/state/log/record.ts
@@ -37,13 +37,13 @@
  */
 export function readRecords(file: string, bytes: Buffer, start: number, tornTail = false): StoredRecords {
     try {
-        return readStrictly(file, bytes, start);
+        return readCompleteRecords(file, bytes, start);
     }
     catch (error) {
         if (!tornTail || !(error instanceof Damage) || hasRecordAfter(bytes, error.offset)) {
             throw error;
         }
-        return readStrictly(file, bytes.subarray(0, error.offset), start);
+        return readCompleteRecords(file, bytes.subarray(0, error.offset), start);
     }
 }
 
@@ -65,7 +65,7 @@
     return false;
 }
 
-function readStrictly(file: string, bytes: Buffer, start: number): StoredRecords {
+function readCompleteRecords(file: string, bytes: Buffer, start: number): StoredRecords {
     const records: StoredRecord[] = [];
     let offset = start;
     while (bytes.length - offset >= frameHeaderBytes) {
--- a/packages/basilpaddle/src/node/state/runColumns.ts
+++ b/packages/basilpaddle/src/node/state/runColumns.ts
@@ -34,9 +34,9 @@
     private readonly positions = new Map<string, number>();
 
     position(key: string, value: Value): number {
-        const known = this.positions.get(key);
-        if (known !== undefined) {
-            return known;
+        const existing = this.positions.get(key);
+        if (existing !== undefined) {
+            return existing;
         }
         this.positions.set(key, this.values.length);
         return this.values.push(value) - 1;
--- a/packages/basilpaddle/src/node/state/runs.ts
+++ b/packages/basilpaddle/src/node/state/runs.ts
@@ -22,7 +22,10 @@
     /** `released`: the run is proven not to have executed; its record is kept to reject a late start with its token. */
     state: z.enum(["running", "answered", "released", ...outcomes]),
     answer: storedAnswerSchema.optional(),
-    /** Tokens of released arrivals, latest last. A delayed copy of the start of one of them may still be committed. */
+    /**
+     * Tokens of released arrivals, latest last. An arrival is one receipt of a request by an entry daemon. A delayed copy
+     * of the start of a released arrival may still be committed.
+     */
     releasedTokens: z.array(z.string()),
     /** Log index of its end; gives stored answers the same age order at every replica. */
     endedIndex: z.int().optional(),
@@ -110,16 +113,16 @@
      * reported as `unknown`, since nobody will finish it.
      */
     start(index: number, command: StartRun, isOpen: (owner: Incarnation) => boolean): CommandResult {
-        const known = this.runs.get(command.key);
-        if (known?.state === "released" && known.releasedTokens.includes(command.token)) {
+        const existing = this.runs.get(command.key);
+        if (existing?.state === "released" && existing.releasedTokens.includes(command.token)) {
             return staleRun(command.key);
         }
-        if (known !== undefined && known.state !== "released") {
-            return known.token === command.token && known.state === "running"
+        if (existing !== undefined && existing.state !== "released") {
+            return existing.token === command.token && existing.state === "running"
                 ? { kind: "started" }
-                : existingRunResult(known, command, isOpen);
+                : existingRunResult(existing, command, isOpen);
         }
-        if (known === undefined && this.runs.size >= this.limits.records) {
+        if (existing === undefined && this.runs.size >= this.limits.records) {
             return { kind: "full", limit: this.limits.records };
         }
         this.runs.set(command.key, {
@@ -130,7 +133,7 @@
             startedAt: command.at,
             sinceIndex: index,
             state: "running",
-            releasedTokens: known?.releasedTokens ?? [],
+            releasedTokens: existing?.releasedTokens ?? [],
         });
         return { kind: "started" };
     }
@@ -160,10 +163,10 @@
      */
     release(index: number, command: ReleaseRun): CommandResult {
         const run = this.runs.get(command.key);
-        const releasedTokens = withRelease(run, command.token);
+        const releasedTokens = withReleasedToken(run, command.token);
         if (run !== undefined && run.state !== "released" && (run.token !== command.token || run.state !== "running")) {
-            // The key belongs to another arrival, which may be released too before the start that this release undoes
-            // is committed.
+            // Another arrival runs under this key. It may be released as well before the start that this release undoes
+            // is committed, so this token has to be stored too.
             if (run.token !== command.token && run.state === "running") {
                 this.runs.set(command.key, { ...run, releasedTokens });
             }
@@ -238,7 +241,7 @@
     };
 }
 
-function withRelease(run: Run | undefined, token: string): string[] {
+function withReleasedToken(run: Run | undefined, token: string): string[] {
     const earlier = run?.releasedTokens.filter(each => each !== token) ?? [];
     return [...earlier, token].slice(-releaseLimitPerKey);
 }
@@ -248,7 +251,7 @@
 }
 
 function staleRun(key: string): CommandResult {
-    return { kind: "stale", reason: `the run of ${key} isn't this arrival's any more` };
+    return { kind: "stale", reason: `the run of ${key} doesn't belong to this arrival` };
 }
 
 function answerBytesOf(answer: StoredAnswer | undefined): number {
--- a/packages/basilpaddle/src/node/state/view/__tests__/drain.spec.ts
+++ b/packages/basilpaddle/src/node/state/view/__tests__/drain.spec.ts
@@ -13,7 +13,7 @@
     return { view, kinds, state: view.view().backends["decode-1"]?.state };
 }
 
-const held = [commands.open("a"), commands.grant("orders", "a"), commands.announce("decode-1", 1)];
+const leaseAndBackend = [commands.open("a"), commands.grant("orders", "a"), commands.announce("decode-1", 1)];
 
 describe("draining", () => {
     it("is accepted only from the current holder of the orders lease", () => {
@@ -21,7 +21,7 @@
         // with a proposal in flight, another daemon gets the lease, then the old proposal is committed. Each command has
         // to be checked against the fence under which it was made.
         const { kinds, state } = applied(
-            ...held,
+            ...leaseAndBackend,
             drain(2),
             commands.close("a"),
             commands.open("b"),
@@ -37,12 +37,12 @@
         // Guards against an engine that aborts requests while it changes its role: it is drained, a model that it was
         // loading becomes warm, it announces that, and entry daemons select it again because the announcement cleared
         // the draining state.
-        expect(applied(...held, drain(2), commands.announce("decode-1", 1)).state).to.equal("draining");
-        expect(applied(...held, drain(2), commands.announce("decode-1", 2)).state).to.equal("ready");
+        expect(applied(...leaseAndBackend, drain(2), commands.announce("decode-1", 1)).state).to.equal("draining");
+        expect(applied(...leaseAndBackend, drain(2), commands.announce("decode-1", 2)).state).to.equal("ready");
     });
 
     it("is overridden by leaving, and its end doesn't bring back an engine that left", () => {
-        const leaving = [...held, drain(2), commands.mark("decode-1", 1, "leaving")];
+        const leaving = [...leaseAndBackend, drain(2), commands.mark("decode-1", 1, "leaving")];
         expect(applied(...leaving).state).to.equal("leaving");
         const { kinds, state } = applied(...leaving, drain(2, false));
         expect(kinds.at(-1)).to.equal("stale");
--- a/packages/basilpaddle/src/node/state/view/__tests__/viewState.spec.ts
+++ b/packages/basilpaddle/src/node/state/view/__tests__/viewState.spec.ts
@@ -131,8 +131,8 @@
                 let follower = ViewState.create();
                 list.forEach((command, position) => {
                     ledger.apply(position + 1, command);
-                    const wanted = { after: follower.view().index, count: 100, bytes: 1_000_000 };
-                    for (const step of ledger.missingSteps(wanted)!) {
+                    const query = { after: follower.view().index, count: 100, bytes: 1_000_000 };
+                    for (const step of ledger.missingSteps(query)!) {
                         follower.apply(step.index, step.command);
                     }
                     expect(follower.view()).to.deep.equal(ledger.view());
--- a/packages/basilpaddle/src/node/state/view/backends.ts
+++ b/packages/basilpaddle/src/node/state/view/backends.ts
@@ -6,32 +6,32 @@
 type DrainBackend = Extract<Command, { kind: "drainBackend"; }>;
 type Backend = View["backends"][string];
 
-/** Maximum number of gone backend servers kept, to recognise a late command about an earlier incarnation. */
+/** Maximum number of `gone` backend servers kept, so that late commands about earlier incarnations are rejected. */
 export const goneBackendLimit = 1_000;
 
-/** Adds or updates a backend server. One that announced it is leaving returns only with a higher incarnation. */
+/** Adds or updates a backend server. After a server announced that it is leaving, only a higher incarnation is accepted. */
 export function announceBackend(view: View, index: number, command: AnnounceBackend): Reduction {
     const { announcement } = command;
-    const known = view.backends[announcement.id];
-    if (known !== undefined && announcement.incarnation < known.announcement.incarnation) {
-        return stale(view, `incarnation ${known.announcement.incarnation} of ${announcement.id} is known`);
+    const current = view.backends[announcement.id];
+    if (current !== undefined && announcement.incarnation < current.announcement.incarnation) {
+        return stale(view, `incarnation ${current.announcement.incarnation} of ${announcement.id} is known`);
     }
     // An announcement that was in flight while the backend server left would otherwise bring it back into service, and
     // requests would be routed to a process that is shutting down.
-    if (known !== undefined && announcement.incarnation === known.announcement.incarnation && hasLeft(known)) {
+    if (current !== undefined && announcement.incarnation === current.announcement.incarnation && hasLeft(current)) {
         return stale(view, `${announcement.id} said at this incarnation that it is leaving`);
     }
     // An engine announces itself again whenever its models change, also during the order that it was drained for. That
     // must not end the drain: the next order would abort the requests placed on it.
-    const drained = known?.state === "draining" && known.announcement.incarnation === announcement.incarnation;
-    const state = drained ? "draining" : "ready";
+    const wasDraining = current?.state === "draining" && current.announcement.incarnation === announcement.incarnation;
+    const state = wasDraining ? "draining" : "ready";
     return { view: withBackend(view, announcement.id, { announcement, state }), result: { kind: "done", index } };
 }
 
 /** Starts or ends draining an engine; the command needs the fence of the orders lease that is held now. */
 export function drainBackend(view: View, index: number, command: DrainBackend): Reduction {
-    const held = view.leases[ordersLease];
-    if (held === undefined || held.fence !== command.fence) {
+    const lease = view.leases[ordersLease];
+    if (lease === undefined || lease.fence !== command.fence) {
         return stale(view, `the orders lease isn't held under ${command.fence}`);
     }
     const known = view.backends[command.id];
@@ -45,7 +45,7 @@
     return { view: withBackend(view, command.id, { ...known, state }), result: { kind: "done", index } };
 }
 
-/** Marks a backend server as leaving or gone. A mark for another incarnation than the known one changes nothing. */
+/** Marks a backend server as `leaving` or `gone`. The command is stale if another incarnation is the current one. */
 export function markBackend(view: View, index: number, command: MarkBackend): Reduction {
     const known = view.backends[command.id];
     if (known === undefined || known.announcement.incarnation !== command.incarnation) {
@@ -70,7 +70,7 @@
     return { ...view, backends: { ...view.backends, [id]: backend } };
 }
 
-/** Moves the entry to the end, so that gone backend servers are in the order in which they went, and evicts the oldest. */
+/** Moves the entry to the end, so that `gone` entries are ordered by when they were marked, and evicts the oldest. */
 function withGone(view: View, id: string, backend: Backend): View {
     const backends = { ...without(view.backends, id), [id]: backend };
     const gone = Object.keys(backends).filter(key => backends[key]!.state === "gone");
--- a/packages/basilpaddle/src/node/state/view/leases.ts
+++ b/packages/basilpaddle/src/node/state/view/leases.ts
@@ -10,12 +10,12 @@
     if (!isOpen(view, command.holder)) {
         return stale(view, `the session of ${command.holder.daemon} at this incarnation isn't open`);
     }
-    const held = view.leases[command.lease];
-    if (held !== undefined && sameIncarnation(held.holder, command.holder)) {
-        return { view, result: { kind: "granted", fence: held.fence } };
+    const current = view.leases[command.lease];
+    if (current !== undefined && sameIncarnation(current.holder, command.holder)) {
+        return { view, result: { kind: "granted", fence: current.fence } };
     }
-    if (held !== undefined && isOpen(view, held.holder)) {
-        return { view, result: { kind: "held", holder: held.holder, fence: held.fence } };
+    if (current !== undefined && isOpen(view, current.holder)) {
+        return { view, result: { kind: "held", holder: current.holder, fence: current.fence } };
     }
     return {
         view: { ...view, leases: { ...view.leases, [command.lease]: { holder: command.holder, fence: index } } },
--- a/packages/basilpaddle/src/node/state/view/traffic.ts
+++ b/packages/basilpaddle/src/node/state/view/traffic.ts
@@ -12,16 +12,16 @@
     if (!isDeclared(view, pool, model)) {
         return stale(view, `${pool} doesn't declare ${model}`);
     }
-    const kept = declaredModels(view);
-    const served = { ...kept, [pool]: { ...kept[pool], [model]: version } };
+    const servedVersions = declaredModels(view);
+    const served = { ...servedVersions, [pool]: { ...servedVersions[pool], [model]: version } };
     return { view: { ...view, served }, result: { kind: "done", index } };
 }
 
 /** The served versions without pools and models that aren't declared any more, which keeps their number bounded. */
 function declaredModels(view: View): NonNullable<View["served"]> {
     const pools = Object.entries(view.served ?? {}).map(([pool, models]) => {
-        const kept = Object.entries(models).filter(([model]) => isDeclared(view, pool, model));
-        return [pool, Object.fromEntries(kept)] as const;
+        const declared = Object.entries(models).filter(([model]) => isDeclared(view, pool, model));
+        return [pool, Object.fromEntries(declared)] as const;
     });
     return Object.fromEntries(pools.filter(([pool]) => view.configuration.declaration.pools[pool] !== undefined));
 }
--- a/packages/basilpaddle/src/node/state/view/viewSteps.ts
+++ b/packages/basilpaddle/src/node/state/view/viewSteps.ts
@@ -9,24 +9,24 @@
 import { encodeFrame } from "../../transport/index.js";
 import { declarationDelta } from "./declarationDelta.js";
 
-/** Maximum number of view steps kept for followers that lag slightly. */
+/** Maximum number of view steps buffered for followers that lag slightly. */
 export const viewStepLimit = 1_024;
-/** Maximum total size of the kept view steps in bytes. */
+/** Maximum total size of the buffered view steps in bytes. */
 export const viewStepLimitBytes = 8 * 1024 * 1024;
 /** Size in bytes above which a step carries a delta in place of the whole declaration. */
 const deltaThresholdBytes = 16 * 1024;
 
 /** The last accepted declaration, the base of the next delta. */
 type AcceptedDeclaration = { readonly revision: number; readonly declaration: Declaration; };
-type KeptStep = { readonly step: ViewStep; readonly bytes: number; };
+type BufferedStep = { readonly step: ViewStep; readonly bytes: number; };
 
 /** Selects the steps after an index that a follower is missing, limited to `count` steps and `bytes` in total. */
 export type StepQuery = { readonly after: number; readonly count: number; readonly bytes: number; };
 
 /** Bounded buffer of the latest view steps. It isn't part of the replicated state and is empty after a snapshot is restored. */
 export class ViewSteps {
-    private kept: KeptStep[] = [];
-    private keptBytes = 0;
+    private buffered: BufferedStep[] = [];
+    private bufferedBytes = 0;
 
     private constructor(private base: number, private accepted: AcceptedDeclaration) {}
 
@@ -37,14 +37,14 @@
 
     /** Appends the next step. */
     push(index: number, command: Command, result: CommandResult): void {
-        const whole: ViewStep = { index, command: followerCommand(command, result) };
-        const wholeBytes = encodeFrame(whole).length;
-        const step = wholeBytes > deltaThresholdBytes ? this.asDelta(whole) : whole;
-        const bytes = step === whole ? wholeBytes : encodeFrame(step).length;
+        const fullStep: ViewStep = { index, command: followerCommand(command, result) };
+        const fullBytes = encodeFrame(fullStep).length;
+        const step = fullBytes > deltaThresholdBytes ? this.withDelta(fullStep) : fullStep;
+        const bytes = step === fullStep ? fullBytes : encodeFrame(step).length;
         this.recordAccepted(command, result);
-        this.kept.push({ step, bytes });
-        this.keptBytes += bytes;
-        if (this.kept.length > viewStepLimit || this.keptBytes > viewStepLimitBytes) {
+        this.buffered.push({ step, bytes });
+        this.bufferedBytes += bytes;
+        if (this.buffered.length > viewStepLimit || this.bufferedBytes > viewStepLimitBytes) {
             this.dropOlderHalf();
         }
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    private asDelta(whole: ViewStep): ViewStep {
+    private withDelta(whole: ViewStep): ViewStep {
         const { index, command } = whole;
         if (command.kind !== "changeConfiguration") {
             return whole;
@@ -68,14 +68,14 @@
         return { index, command: { ...command, change }, delta };
     }
 
-    /** The steps after the index, or undefined if some are no longer kept or they exceed the query's limits. */
-    missing(wanted: StepQuery): readonly ViewStep[] | undefined {
-        if (wanted.after < this.base) {
+    /** The steps after the index, or undefined if some are no longer buffered or they exceed the query's limits. */
+    missing(query: StepQuery): readonly ViewStep[] | undefined {
+        if (query.after < this.base) {
             return undefined;
         }
-        const missing = this.kept.slice(this.positionAfter(wanted.after));
-        const bytes = missing.reduce((sum, kept) => sum + kept.bytes, 0);
-        if (missing.length > wanted.count || bytes > wanted.bytes) {
+        const missing = this.buffered.slice(this.positionAfter(query.after));
+        const bytes = missing.reduce((sum, each) => sum + each.bytes, 0);
+        if (missing.length > query.count || bytes > query.bytes) {
             return undefined;
         }
         return missing.map(kept => kept.step);
@@ -83,17 +83,17 @@
 
     /** Drops the older half at once, since removing one at a time would copy the whole list for each step. */
     private dropOlderHalf(): void {
-        const dropped = this.kept.splice(0, Math.ceil(this.kept.length / 2));
+        const dropped = this.buffered.splice(0, Math.ceil(this.buffered.length / 2));
         this.base = dropped.at(-1)!.step.index;
-        this.keptBytes -= dropped.reduce((sum, kept) => sum + kept.bytes, 0);
+        this.bufferedBytes -= dropped.reduce((sum, kept) => sum + kept.bytes, 0);
     }
 
     private positionAfter(index: number): number {
         let low = 0;
-        let high = this.kept.length;
+        let high = this.buffered.length;
         while (low < high) {
             const middle = (low + high) >> 1;
-            if (this.kept[middle]!.step.index <= index) {
+            if (this.buffered[middle]!.step.index <= index) {
                 low = middle + 1;
             }
             else {
