--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/group.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/group.ts
@@ -61,7 +61,7 @@
     readonly machines = new Map<string, KeyList>();
     readonly disks = new Map<string, Disk>();
     /** Directions of links that are cut, as `from>to`. */
-    readonly cuts = new Set<string>();
+    readonly cutLinks = new Set<string>();
     /** Keys that were proposed more than once because an election happened in between. */
     readonly resent = new Set<string>();
 
@@ -115,15 +115,15 @@
         await replica.stopWithoutHandover();
     }
 
-    /** Cuts or restores both directions between a replica and all others. */
+    /** Disconnects or reconnects a replica and all others, in both directions. */
     isolate(name: string, cut: boolean): void {
         for (const peer of this.names.filter(other => other !== name)) {
             for (const direction of [`${name}>${peer}`, `${peer}>${name}`]) {
                 if (cut) {
-                    this.cuts.add(direction);
+                    this.cutLinks.add(direction);
                 }
                 else {
-                    this.cuts.delete(direction);
+                    this.cutLinks.delete(direction);
                 }
             }
         }
@@ -166,7 +166,7 @@
 
     private link(from: string, to: string): Link {
         return GroupLink.create(body => {
-            if (!this.cuts.has(`${from}>${to}`)) {
+            if (!this.cutLinks.has(`${from}>${to}`)) {
                 const { from: identity, message } = body as { from: string; message: unknown; };
                 this.replicas.get(to)?.receive(identity, message);
             }
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/replica.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/replica.spec.ts
@@ -21,7 +21,7 @@
         return FolderDisk.create(folder);
     }
 
-    async function allHold(keys: readonly string[]): Promise<void> {
+    async function expectKeysAtAll(keys: readonly string[]): Promise<void> {
         for (const name of group.replicas.keys()) {
             await until(`${keys.length} keys at ${name}`, async () => {
                 return group.keysAt(name).length >= keys.length ? true : undefined;
@@ -34,22 +34,22 @@
         group = await Group.create(["a", "b", "c"]);
         await group.propose("one");
         await group.propose("two");
-        await allHold(["one", "two"]);
+        await expectKeysAtAll(["one", "two"]);
     });
 
     // After all replicas lost power, each restarts with the whole log, but doesn't know from it which entries are committed.
     // Requests would have to wait for an election before any configuration is in force.
     it("applies at startup the entries that it knew to be committed before a restart", async () => {
-        let mark = { index: 0, term: 0 };
+        let committedPosition = { index: 0, term: 0 };
         group = await Group.create(["a", "b", "c"], {
-            committed: identity => identity === "a#test" ? mark : undefined,
+            committed: identity => identity === "a#test" ? committedPosition : undefined,
         });
         await group.propose("one");
         await group.propose("two");
-        await allHold(["one", "two"]);
+        await expectKeysAtAll(["one", "two"]);
         const { committedIndex: index, committedTerm: term } = group.replicas.get("a")!.currentStatus();
-        const restarted = async (given: typeof mark): Promise<readonly string[]> => {
-            mark = given;
+        const restarted = async (position: typeof committedPosition): Promise<readonly string[]> => {
+            committedPosition = position;
             for (const name of [...group.replicas.keys()]) {
                 await group.kill(name);
             }
@@ -75,7 +75,7 @@
     it("works as a group of one", async () => {
         group = await Group.create(["a"]);
         await group.propose("one");
-        await allHold(["one"]);
+        await expectKeysAtAll(["one"]);
     });
 
     it("keeps all entries through a restart of all replicas, on disk", async () => {
@@ -91,7 +91,7 @@
             await group.start(name);
         }
         await group.propose("last");
-        await allHold([...keys, "last"]);
+        await expectKeysAtAll([...keys, "last"]);
     });
 
     it("continues after its leader is killed, and the killed replica catches up by snapshot", async () => {
@@ -104,7 +104,7 @@
             await group.propose(key);
         }
         await group.start(killed);
-        await allHold(["one", ...keys]);
+        await expectKeysAtAll(["one", ...keys]);
     });
 
     it("adds a voter with a lost disk again as a learner, and then tolerates the loss of another host", async () => {
@@ -125,7 +125,7 @@
         });
         await group.kill(second!);
         await group.propose("three");
-        await allHold(["one", "two", "three"]);
+        await expectKeysAtAll(["one", "two", "three"]);
     });
 
     it("gives a voter whose log is damaged a new identity, and renames the damaged files", async () => {
@@ -143,7 +143,7 @@
         const { identity, voting } = group.replicas.get(damaged)!.currentStatus();
         expect([identity === `${damaged}#test`, voting]).to.deep.equal([false, false]);
         expect((await disk.list()).some(file => /^untrusted-.*-log$/.test(file))).to.equal(true);
-        await allHold(["one"]);
+        await expectKeysAtAll(["one"]);
     });
 
     it("stops when its disk fails, and doesn't acknowledge entries that it couldn't write", async () => {
--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/startup.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/startup.spec.ts
@@ -84,13 +84,13 @@
             trial: false,
             handover: true,
         };
-        const ask = (to: string): void => {
+        const sendVoteRequest = (to: string): void => {
             const envelope: Envelope = { cluster: "test", to, body: request };
             replica.receive("b#test", envelope);
         };
-        ask("a#test");
+        sendVoteRequest("a#test");
         expect(replica.currentStatus().term).to.equal(0);
-        ask(replica.currentStatus().identity);
+        sendVoteRequest(replica.currentStatus().identity);
         expect(replica.currentStatus().term).to.equal(9);
         expect((await replica.propose(commandOf("x"), 50)).kind).to.equal("notLeader");
         await replica.stopWithoutHandover();
--- a/packages/basilpaddle/src/node/coordination/agreement/election.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/election.ts
@@ -64,14 +64,14 @@
 
 /** Handles a vote or pre-vote request. */
 export function onRequestVote(state: AgreementState, from: string, request: MessageOf<"requestVote">): void {
-    const hasLeaderToKeep = hasLiveLeader(state) && !request.handover;
+    const mustKeepLeader = hasLiveLeader(state) && !request.handover;
     if (request.trial) {
-        const granted = request.term > state.term && !hasLeaderToKeep && isUpToDate(state, request);
+        const granted = request.term > state.term && !mustKeepLeader && isUpToDate(state, request);
         const term = granted ? request.term : state.term;
         state.sendSynced(from, { kind: "voteAnswer", term, trial: true, granted });
         return;
     }
-    if (hasLeaderToKeep) {
+    if (mustKeepLeader) {
         return;
     }
     if (request.term > state.term) {
@@ -95,10 +95,10 @@
         }
         return;
     }
-    const counts = answer.trial
+    const isExpected = answer.trial
         ? state.role === "canvassing" && answer.term === state.term + 1
         : state.role === "candidate" && answer.term === state.term;
-    if (!counts || !state.log.membership.voters.includes(from)) {
+    if (!isExpected || !state.log.membership.voters.includes(from)) {
         return;
     }
     state.votes.add(from);
--- a/packages/basilpaddle/src/node/coordination/agreement/entryLog.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/entryLog.ts
@@ -53,7 +53,7 @@
         return this.entries[index - this.currentBase.index - 1]?.term;
     }
 
-    /** Index of the first in the run of entries that have the same term as the entry at the index. */
+    /** Index of the first of the consecutive entries that have the same term as the entry at the index. */
     firstIndexOfTerm(index: number): number {
         let first = index;
         while (first - 1 > this.currentBase.index && this.termAt(first - 1) === this.termAt(index)) {
@@ -76,7 +76,7 @@
         return this.entries.slice(from - this.currentBase.index - 1, to - this.currentBase.index);
     }
 
-    /** Entries from an index on, limited in total bytes and in number; at least one if the log has one there. */
+    /** Entries from an index on, limited in total bytes and in number; at least one if the log has an entry at the index. */
     batch(from: number, byteLimit: number, countLimit: number): Entry[] {
         const first = from - this.currentBase.index - 1;
         let end = first;
@@ -107,15 +107,15 @@
         Invariant.assert(from > this.currentBase.index, "entries that a snapshot covers are never truncated");
         this.entries.length = Math.min(this.entries.length, from - this.currentBase.index - 1);
         this.viewIndexes = this.viewIndexes.filter(index => index < from);
-        this.memberships = this.memberships.filter((at, position) => position === 0 || at.index < from);
+        this.memberships = this.memberships.filter((each, position) => position === 0 || each.index < from);
     }
 
     /** The description of a snapshot made after the entry at the index. */
     describeSnapshot(index: number): SnapshotDescription {
         const term = this.termAt(index);
         Invariant.assert(term !== undefined, "a snapshot is described only at an index within the log");
-        const membership = this.memberships.findLast(at => at.index <= index)!.membership;
-        const view = this.viewIndexes.findLast(at => at <= index) ?? this.currentBase.view;
+        const membership = this.memberships.findLast(each => each.index <= index)!.membership;
+        const view = this.viewIndexes.findLast(viewIndex => viewIndex <= index) ?? this.currentBase.view;
         return { index, term, membership, view };
     }
 
@@ -126,9 +126,9 @@
         }
         const base = this.describeSnapshot(index);
         this.entries = this.entries.slice(index - this.currentBase.index);
-        this.viewIndexes = this.viewIndexes.filter(at => at > index);
-        const newer = this.memberships.filter(at => at.index > index);
-        const current = this.memberships.findLast(at => at.index <= index)!;
+        this.viewIndexes = this.viewIndexes.filter(viewIndex => viewIndex > index);
+        const newer = this.memberships.filter(each => each.index > index);
+        const current = this.memberships.findLast(each => each.index <= index)!;
         this.memberships = [current, ...newer];
         this.currentBase = base;
     }
--- a/packages/basilpaddle/src/node/coordination/agreement/membership.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/membership.ts
@@ -5,26 +5,26 @@
 
 /** Election timeouts without a message from a leader after which a member sends join requests again. */
 const rejoinAfterTimeouts = 5;
-/** With fewer voters than this, none is removed before another was added: two voters can't tolerate the loss of one. */
-const minimumVotersForRemoval = 3;
-/** A silent learner is removed after this multiple of the time for a silent voter, since it blocks nothing. */
+/** With fewer voters than this, none is removed before another one is added: two voters can't tolerate the loss of one. */
+const minVotersForRemoval = 3;
+/** A silent learner is removed after this multiple of the time for a silent voter, since no quorum depends on it. */
 const learnerSilenceFactor = 4;
 
 /**
  * Makes the next membership change that is due, one at a time. Recovery from a lost disk takes three changes: the new
  * identity is added as a learner; once that has caught up, the old identity is removed; then the learner is promoted.
- * The old identity is removed first because it can't respond any more: the memberships in between need no more live
- * disks than the one before.
+ * The old identity is removed before the promotion because it can't respond any more: this way, no intermediate
+ * membership needs more live voters for a quorum than the original one.
  */
 export function manageMembership(state: AgreementState, leadership: Leadership): void {
     // Two concurrent changes, or one before an entry of this term is committed, could result in two quorums without a
     // common voter.
-    const settled = state.committed >= leadership.firstIndex && state.log.membershipIndex <= state.committed;
-    if (!settled || leadership.handOverUntil !== undefined) {
+    const noChangeInProgress = state.committed >= leadership.firstIndex && state.log.membershipIndex <= state.committed;
+    if (!noChangeInProgress || leadership.handOverUntil !== undefined) {
         return;
     }
     leadership.votersUnchangedSince ??= state.now;
-    const next = nextMembership(state, leadership);
+    const next = dueMembershipChange(state, leadership);
     if (next !== undefined) {
         if (next.voters !== state.log.membership.voters) {
             leadership.votersUnchangedSince = undefined;
@@ -62,16 +62,16 @@
 export function requestToJoin(state: AgreementState): void {
     const { voters, learners } = state.log.membership;
     state.nextJoinAt = state.now + state.electionTimeout;
-    const leaderUnheard =
+    const leaderSilent =
         state.now - Math.max(state.leaderContactAt, state.silentUntil) > rejoinAfterTimeouts * state.electionTimeout;
-    if (leaderUnheard || (!voters.includes(state.self) && !learners.includes(state.self))) {
+    if (leaderSilent || (!voters.includes(state.self) && !learners.includes(state.self))) {
         const names = new Set([...state.options.peers(), ...state.knownLeaderNames, ...voters.map(nameOf)]);
         names.delete(nameOf(state.self));
         names.forEach(name => state.send(name, { kind: "join" }));
     }
 }
 
-function nextMembership(state: AgreementState, leadership: Leadership): Membership | undefined {
+function dueMembershipChange(state: AgreementState, leadership: Leadership): Membership | undefined {
     const voters = canChangeVoters(state, leadership)
         ? removeReplacedVoter(state, leadership) ?? removeSilentVoter(state, leadership)
             ?? promoteLearner(state, leadership)
@@ -80,11 +80,11 @@
 }
 
 /**
- * Whether the set of voters may change now. A daemon that extends its view lease by refusals counts the voters that it
- * last knew of, and allows for one change since then. Two changes within one lease could leave a quorum of voters that
- * it doesn't know: a change of the configuration would be accepted while the daemon still starts work under the old
- * one. So the voters don't change for a whole view lease after each change, and after an election, since the previous
- * leader may have just made a change.
+ * Whether the set of voters may change now. A daemon that extends its view lease because voters refused its connections
+ * counts the voters that it last knew of, and allows for one change since then. After two changes within one lease, a
+ * quorum could consist of voters that it doesn't know, and accept a configuration change while the daemon still starts
+ * work under the old configuration. So the voters don't change for a whole view lease after each change, and after an
+ * election, since the previous leader may have just made a change.
  */
 function canChangeVoters(state: AgreementState, leadership: Leadership): boolean {
     const { viewLease, clockDrift } = state.options.timing;
@@ -98,10 +98,10 @@
     for (const identity of leadership.joinRequests) {
         leadership.joinRequests.delete(identity);
         const name = nameOf(identity);
-        const known = voters.includes(identity) || learners.includes(identity);
+        const isMember = voters.includes(identity) || learners.includes(identity);
         // A second process that runs under a live voter's name by a mistake in the settings must not replace that voter.
-        const ownerLives = voters.some(voter => nameOf(voter) === name && isLive(state, leadership, voter));
-        if (!known && !ownerLives) {
+        const hasLiveVoter = voters.some(voter => nameOf(voter) === name && isLive(state, leadership, voter));
+        if (!isMember && !hasLiveVoter) {
             return { voters, learners: [...learners.filter(learner => nameOf(learner) !== name), identity] };
         }
     }
@@ -112,9 +112,12 @@
 function removeReplacedVoter(state: AgreementState, leadership: Leadership): Membership | undefined {
     const { voters, learners } = state.log.membership;
     for (const learner of learners.filter(identity => hasCaughtUp(state, leadership, identity))) {
-        const old = voters.find(voter => nameOf(voter) === nameOf(learner));
-        if (old !== undefined && !isLive(state, leadership, old)) {
-            return withLiveQuorum(state, leadership, { voters: voters.filter(voter => voter !== old), learners });
+        const replacedVoter = voters.find(voter => nameOf(voter) === nameOf(learner));
+        if (replacedVoter !== undefined && !isLive(state, leadership, replacedVoter)) {
+            return withLiveQuorum(state, leadership, {
+                voters: voters.filter(voter => voter !== replacedVoter),
+                learners,
+            });
         }
     }
     return undefined;
@@ -128,23 +131,25 @@
 function removeSilentVoter(state: AgreementState, leadership: Leadership): Membership | undefined {
     const { open } = state.options;
     const { voters, learners } = state.log.membership;
-    const standby = learners.some(learner => hasCaughtUp(state, leadership, learner));
-    if (open === undefined || !standby || voters.length < Math.min(open.voters, minimumVotersForRemoval)) {
+    const hasStandby = learners.some(learner => hasCaughtUp(state, leadership, learner));
+    if (open === undefined || !hasStandby || voters.length < Math.min(open.voters, minVotersForRemoval)) {
         return undefined;
     }
-    const lost = voters.find(voter => isSilent(state, leadership, voter, open.replaceAfter));
-    return lost === undefined
+    const silentVoter = voters.find(voter => isSilent(state, leadership, voter, open.replaceAfter));
+    return silentVoter === undefined
         ? undefined
-        : withLiveQuorum(state, leadership, { voters: voters.filter(voter => voter !== lost), learners });
+        : withLiveQuorum(state, leadership, { voters: voters.filter(voter => voter !== silentVoter), learners });
 }
 
-/** Removes a learner that is gone; otherwise they would accumulate in a group whose machines are often replaced. */
+/** Removes a learner that has been silent for long; otherwise they would accumulate in a group whose machines are often replaced. */
 function removeSilentLearner(state: AgreementState, leadership: Leadership): Membership | undefined {
     const { open } = state.options;
     const { voters, learners } = state.log.membership;
-    const gone = open
+    const silentLearner = open
         && learners.find(learner => isSilent(state, leadership, learner, learnerSilenceFactor * open.replaceAfter));
-    return gone === undefined ? undefined : { voters, learners: learners.filter(learner => learner !== gone) };
+    return silentLearner === undefined
+        ? undefined
+        : { voters, learners: learners.filter(learner => learner !== silentLearner) };
 }
 
 function isSilent(state: AgreementState, leadership: Leadership, identity: string, limit: number): boolean {
@@ -158,14 +163,14 @@
     if (voters.length >= (state.options.open?.voters ?? Number.POSITIVE_INFINITY)) {
         return undefined;
     }
-    const ready = learners.find(learner => {
+    const caughtUp = learners.find(learner => {
         return hasCaughtUp(state, leadership, learner) && !voters.some(voter => nameOf(voter) === nameOf(learner));
     });
-    if (ready === undefined) {
+    if (caughtUp === undefined) {
         return undefined;
     }
-    const rest = learners.filter(learner => learner !== ready);
-    return withLiveQuorum(state, leadership, { voters: [...voters, ready], learners: rest });
+    const remainingLearners = learners.filter(learner => learner !== caughtUp);
+    return withLiveQuorum(state, leadership, { voters: [...voters, caughtUp], learners: remainingLearners });
 }
 
 /** Checks that a change can be committed by live voters; otherwise it would wait for one that may never come back. */
--- a/packages/basilpaddle/src/node/coordination/agreement/peers.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/peers.ts
@@ -56,9 +56,9 @@
         if (name === this.self) {
             return undefined;
         }
-        const known = this.links.get(name);
-        if (known !== undefined) {
-            return known;
+        const existing = this.links.get(name);
+        if (existing !== undefined) {
+            return existing;
         }
         const address = parseAddress(name);
         if (address === undefined) {
--- a/packages/basilpaddle/src/node/coordination/agreement/proposalTable.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/proposalTable.ts
@@ -5,7 +5,7 @@
 
 /** The proposals that are waiting to be applied. */
 export class ProposalTable {
-    private readonly pending = new Map<number, (proposal: ProposalOutcome) => void>();
+    private readonly pending = new Map<number, (outcome: ProposalOutcome) => void>();
     private readonly positions = new Map<number, { readonly token: number; readonly term: number; }>();
 
     private constructor(private readonly clock: Clock) {}
@@ -20,9 +20,9 @@
             const cancel = this.clock.after(timeout, () => {
                 this.settle(token, { kind: "undecided", reason: `not applied within ${timeout} ms` });
             });
-            this.pending.set(token, proposal => {
+            this.pending.set(token, outcome => {
                 cancel();
-                resolve(proposal);
+                resolve(outcome);
             });
         });
     }
@@ -39,7 +39,7 @@
 
     /** Settles the proposal of an applied entry with its result. */
     settleApplied(entry: Entry, result: CommandResult): void {
-        const token = this.takeToken(entry);
+        const token = this.removeToken(entry);
         if (token !== undefined) {
             this.settle(token, { kind: "result", index: entry.index, result });
         }
@@ -47,7 +47,7 @@
 
     /** Settles a proposal as undecided if an entry without a command was applied at its index instead. */
     settleOverwritten(entry: Entry): void {
-        this.takeToken(entry);
+        this.removeToken(entry);
     }
 
     /** Settles all pending proposals as undecided. */
@@ -56,7 +56,7 @@
         [...this.pending.keys()].forEach(token => this.settle(token, { kind: "undecided", reason }));
     }
 
-    private takeToken(entry: Entry): number | undefined {
+    private removeToken(entry: Entry): number | undefined {
         const position = this.positions.get(entry.index);
         this.positions.delete(entry.index);
         if (position !== undefined && position.term !== entry.term) {
@@ -66,9 +66,9 @@
         return position?.token;
     }
 
-    private settle(token: number, proposal: ProposalOutcome): void {
+    private settle(token: number, outcome: ProposalOutcome): void {
         const settle = this.pending.get(token);
         this.pending.delete(token);
-        settle?.(proposal);
+        settle?.(outcome);
     }
 }
--- a/packages/basilpaddle/src/node/coordination/agreement/replica.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/replica.ts
@@ -23,11 +23,11 @@
     readonly disk: Disk;
     /** The links to the other control daemons. */
     readonly peers: Peers;
-    /** How daemons that no settings file lists are added. @default they aren't */
+    /** How to add daemons that no settings file lists. @default they aren't added */
     readonly open?: OpenGroupOptions;
     /** Milliseconds after a start in which the replica takes no part in the protocol. @default twice the election timeout */
     readonly silence?: number;
-    /** Most milliseconds after that time until the first election. @default one to two election timeouts */
+    /** Maximum milliseconds from the end of that time to the first election. @default one to two election timeouts */
     readonly firstElection?: number;
     readonly stateMachine: StateMachine;
     readonly timing: AgreementTiming;
@@ -35,7 +35,7 @@
     readonly randomness: Randomness;
     readonly logger: Logger;
     readonly compaction?: Partial<CompactionOptions>;
-    /** The last entry known to be committed before a restart, by identity; applied at startup. @default none */
+    /** The last entry that the identity knew to be committed before a restart; applied at startup. @default none */
     readonly committed?: (identity: string) => CommittedPosition | undefined;
     readonly log?: LogFileOptions;
     /** Called once if the replica had to stop: its disk failed, or an invariant of the protocol was violated. */
@@ -44,7 +44,7 @@
 
 /** When the log is compacted. */
 export type CompactionOptions = {
-    /** Number of entries applied since the last snapshot after which the next one is made. @default 10000 */
+    /** Number of entries applied since the last snapshot after which the next one is taken. @default 10000 */
     readonly after: number;
     /** Number of entries kept before a snapshot, so that a slightly lagging replica needs no snapshot. @default 1000 */
     readonly keep: number;
@@ -53,10 +53,10 @@
 type AppliedListener = Parameters<Replica["onApplied"]>[0];
 type LeadershipListener = Parameters<Replica["onLeadership"]>[0];
 
-/** A replica of the project's own agreement protocol: runs the pure `step` with a clock, a disk and links. */
+/** A replica of this package's agreement protocol: calls `step`, and executes its effects with a clock, a disk and links. */
 export class AgreementReplica extends Replica {
     private readonly proposals: ProposalTable;
-    private readonly confirmations = new Map<number, (held: boolean) => void>();
+    private readonly confirmations = new Map<number, (isLeader: boolean) => void>();
     private readonly appliedListeners = new Set<AppliedListener>();
     private readonly leadershipListeners = new Set<LeadershipListener>();
     private readonly compaction: CompactionOptions;
@@ -87,9 +87,9 @@
         const { identity, storage, recovered } = await openFolder(disk, name, options.log ?? {}, randomness, logger);
         const peers = (): string[] => options.peers.names().filter(peer => peer !== name);
         const { open, silence, firstElection } = options;
-        const core = { identity: identity.identity, peers, timing, randomness, open, silence, firstElection };
+        const stateOptions = { identity: identity.identity, peers, timing, randomness, open, silence, firstElection };
         const committed = options.committed?.(identity.identity);
-        const state = AgreementState.create(core, { ...recovered, committed }, clock.monotonic());
+        const state = AgreementState.create(stateOptions, { ...recovered, committed }, clock.monotonic());
         if (recovered.snapshot !== undefined) {
             options.stateMachine.restore(recovered.snapshot.data);
         }
@@ -125,9 +125,9 @@
             return;
         }
         const { to, body, cluster } = envelope.data;
-        const addressed = body.kind === "join" ? to === this.identity.name : to === this.identity.identity;
-        const known = this.options.peers.link(nameOf(from)) !== undefined;
-        if (addressed && known && this.isOwnCluster(cluster, body.kind)) {
+        const isReceiver = body.kind === "join" ? to === this.identity.name : to === this.identity.identity;
+        const isKnownSender = this.options.peers.link(nameOf(from)) !== undefined;
+        if (isReceiver && isKnownSender && this.isOwnCluster(cluster, body.kind)) {
             this.dispatch({ kind: "message", from, message: body });
         }
     }
@@ -156,10 +156,10 @@
         return new Promise(resolve => {
             const token = this.nextToken();
             const cancel = this.options.clock.after(timeout, () => settle(false));
-            const settle = (held: boolean): void => {
+            const settle = (isLeader: boolean): void => {
                 cancel();
                 this.confirmations.delete(token);
-                resolve(held);
+                resolve(isLeader);
             };
             this.confirmations.set(token, settle);
             this.dispatch({ kind: "confirm", token });
@@ -194,14 +194,14 @@
     }
 
     private async handOver(): Promise<void> {
-        const others = this.state.log.membership.voters.length - 1;
-        if (this.state.leadership === undefined || this.stopped || others === 0) {
+        const otherVoters = this.state.log.membership.voters.length - 1;
+        if (this.state.leadership === undefined || this.stopped || otherVoters === 0) {
             return;
         }
         await new Promise<void>(resolve => {
-            const remove = this.onLeadership(() => end());
-            const cancel = this.options.clock.after(2 * this.options.timing.electionTimeout, () => end());
-            const end = (): void => {
+            const remove = this.onLeadership(() => finish());
+            const cancel = this.options.clock.after(2 * this.options.timing.electionTimeout, () => finish());
+            const finish = (): void => {
                 cancel();
                 remove();
                 resolve();
@@ -325,7 +325,7 @@
         this.leadershipListeners.forEach(listener => listener(leading));
     }
 
-    /** Whether a message belongs to this replica's group. Before it has joined one, it takes the name from the message. */
+    /** Whether a message belongs to this replica's group. A replica without a group adopts that of the first message. */
     private isOwnCluster(cluster: string | undefined, kind: Envelope["body"]["kind"]): boolean {
         if (this.identity.cluster !== undefined) {
             return cluster === this.identity.cluster || (cluster === undefined && kind === "join");
@@ -344,14 +344,14 @@
     }
 
     private scheduleTick(): void {
-        const due = nextTickAt(this.state);
-        // Most steps postpone the deadline; the timer that is already set then checks it again.
-        if (this.stopped || (this.cancelTick !== undefined && this.tickAt <= due) || !Number.isFinite(due)) {
+        const nextTick = nextTickAt(this.state);
+        // Most steps postpone the next tick; the timer that is already set then fires early, and sets another one.
+        if (this.stopped || (this.cancelTick !== undefined && this.tickAt <= nextTick) || !Number.isFinite(nextTick)) {
             return;
         }
         this.cancelTick?.();
-        this.tickAt = due;
-        this.cancelTick = this.options.clock.after(Math.max(1, due - this.options.clock.monotonic()), () => {
+        this.tickAt = nextTick;
+        this.cancelTick = this.options.clock.after(Math.max(1, nextTick - this.options.clock.monotonic()), () => {
             this.cancelTick = undefined;
             this.dispatch({ kind: "tick" });
         });
--- a/packages/basilpaddle/src/node/coordination/agreement/replication.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/replication.ts
@@ -4,11 +4,11 @@
 import { sendChunk } from "./snapshotTransfer.js";
 import type { AgreementState, Leadership, Progress } from "./state.js";
 
-/** Bytes of entries in one message; a larger entry is sent alone. */
-const maximumBatchBytes = 512 * 1024;
+/** Maximum bytes of entries in one message; a larger entry is sent alone. */
+const maxBatchBytes = 512 * 1024;
 const defaultBatchEntries = 1_024;
-/** Messages with entries that may be sent to one member before it answers. */
-const maximumInFlightMessages = 32;
+/** Maximum number of messages with entries that are sent to one member before it answers. */
+const maxInFlightMessages = 32;
 
 /** Appends a new entry to the leader's log, and returns its index. */
 export function appendAsLeader(
@@ -64,7 +64,10 @@
     }
 }
 
-/** Until when a quorum of voters, this one included, is known to have followed: send time of the messages it answered. */
+/**
+ * Time until which a quorum of voters, this one included, is known to have followed the leader: the send time of the latest
+ * messages that they answered.
+ */
 export function quorumContactAt(state: AgreementState, leadership: Leadership): number {
     return quorumValue(state, identity => {
         return identity === state.self ? state.now : leadership.progress.get(identity)?.contactAt ?? 0;
@@ -191,12 +194,12 @@
 }
 
 function settleConfirmations(state: AgreementState, leadership: Leadership): void {
-    const answered = quorumValue(state, identity => {
+    const answeredByQuorum = quorumValue(state, identity => {
         return identity === state.self ? leadership.round : leadership.progress.get(identity)?.answeredRound ?? 0;
     });
-    const settled = leadership.confirmations.filter(({ round }) => round <= answered);
-    leadership.confirmations = leadership.confirmations.filter(({ round }) => round > answered);
-    settled.forEach(({ token }) => state.effect({ kind: "confirmed", token, held: true }));
+    const confirmedRequests = leadership.confirmations.filter(({ round }) => round <= answeredByQuorum);
+    leadership.confirmations = leadership.confirmations.filter(({ round }) => round > answeredByQuorum);
+    confirmedRequests.forEach(({ token }) => state.effect({ kind: "confirmed", token, held: true }));
 }
 
 function sendTo(
@@ -212,8 +215,8 @@
     }
     const limit = state.options.batchEntries ?? defaultBatchEntries;
     let sent = !sendEmpty;
-    while (progress.next <= state.log.lastIndex && progress.inFlight < maximumInFlightMessages) {
-        const entries = state.log.batch(progress.next, maximumBatchBytes, limit);
+    while (progress.next <= state.log.lastIndex && progress.inFlight < maxInFlightMessages) {
+        const entries = state.log.batch(progress.next, maxBatchBytes, limit);
         sendAppend(state, leadership, identity, progress.next - 1, entries);
         sent = true;
         if (progress.probing) {
--- a/packages/basilpaddle/src/node/coordination/agreement/role.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/role.ts
@@ -25,7 +25,10 @@
 
 /** The current role of a replica. */
 export type Role = SnapshotFrom<typeof machine>["value"];
-/** An event that changes a replica's role. */
+/**
+ * An event that changes a replica's role: `speak` ends the initial silence, `canvass` starts a pre-vote, `stand` starts an
+ * election, `win` follows from a won election, and `follow` from contact with a leader or a higher term.
+ */
 export type RoleChange = "speak" | "canvass" | "stand" | "win" | "follow";
 
 /** The role that every replica starts in. */
--- a/packages/basilpaddle/src/node/coordination/agreement/startup.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/startup.ts
@@ -14,8 +14,8 @@
 export type Startup = { readonly identity: Identity; readonly storage: Storage; readonly recovered: Recovered; };
 
 /**
- * Prepares an empty data folder for an initial voter of the group. This is the only way to form a group: a replica that
- * finds its folder empty never forms one by itself, or the loss of several disks would lead to a new, empty group.
+ * Prepares an empty data folder for an initial voter of the group. This is the only way to form a group. A replica that
+ * finds its folder empty never forms one by itself: after the loss of several disks, that would create a new, empty group.
  */
 export async function initialiseDataFolder(
     disk: Disk,
@@ -23,10 +23,10 @@
     name: string,
     names: readonly string[],
 ): Promise<Identity> {
-    const present = await disk.list();
-    if (present.length > 0) {
+    const existingFiles = await disk.list();
+    if (existingFiles.length > 0) {
         throw new Error(
-            `The data folder of ${name} isn't empty: it contains ${present.join(", ")}. `
+            `The data folder of ${name} isn't empty: it contains ${existingFiles.join(", ")}. `
                 + "A voter whose state was lost must not be initialised again; start it, and it joins as a new member.",
         );
     }
@@ -52,10 +52,10 @@
         const identity = await readIdentity(disk);
         if (identity !== undefined) {
             checkName(identity, name);
-            const { storage, recovered, cut } = await Storage.create(disk, identity.identity, options);
-            if (cut > 0) {
+            const { storage, recovered, truncatedBytes } = await Storage.create(disk, identity.identity, options);
+            if (truncatedBytes > 0) {
                 logger.warn("removed an incomplete last record from the log; it was never acknowledged", {
-                    bytes: cut,
+                    bytes: truncatedBytes,
                 });
             }
             return { identity, storage, recovered };
--- a/packages/basilpaddle/src/node/coordination/agreement/state.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/state.ts
@@ -36,9 +36,9 @@
     confirmations: { readonly token: number; readonly round: number; }[];
     /** Identities that sent a join request. */
     readonly joinRequests: Set<string>;
-    /** Since when this leader knows that no change of the voters is in progress; undefined while one is. */
+    /** Time from which this leader knows that no change of the voters is in progress; undefined while one is. */
     votersUnchangedSince: number | undefined;
-    /** End of the time for handing over leadership, during which no proposals are accepted; undefined otherwise. */
+    /** End of a handover of leadership, during which no proposals are accepted; undefined outside a handover. */
     handOverUntil: number | undefined;
 };
 
@@ -71,15 +71,15 @@
     /** Milliseconds after a start in which the replica takes no part in the protocol. @default twice the election timeout */
     readonly silence?: number | undefined;
     /**
-     * Most milliseconds after that time until the first election, if no leader contacts it. The election begins with a
-     * pre-vote, so a leader that others follow isn't disturbed. @default one to two election timeouts
+     * Maximum milliseconds from the end of that time to the first election, if no leader contacts it. The election begins
+     * with a pre-vote, so a leader that others follow isn't disturbed. @default one to two election timeouts
      */
     readonly firstElection?: number | undefined;
     readonly timing: AgreementTiming;
     readonly randomness: Randomness;
-    /** Bytes of a snapshot in one message. @default 262144 */
+    /** Maximum bytes of a snapshot in one message. @default 262144 */
     readonly chunkBytes?: number;
-    /** Largest number of entries in one message. @default 1024 */
+    /** Maximum number of entries in one message. @default 1024 */
     readonly batchEntries?: number;
 };
 
@@ -128,7 +128,7 @@
     syncedWrite = 0;
     /** The log is synced up to this index. */
     syncedIndex: number;
-    private unsynced: { readonly write: number; upTo: number; }[] = [];
+    private unsyncedWrites: { readonly write: number; upTo: number; }[] = [];
 
     private effects: Effect[] = [];
     private records: LogRecord[] = [];
@@ -209,7 +209,7 @@
         Invariant.assert(from > this.committed, "a committed entry is never removed");
         this.log.truncate(from);
         this.syncedIndex = Math.min(this.syncedIndex, from - 1);
-        this.unsynced.forEach(write => {
+        this.unsyncedWrites.forEach(write => {
             write.upTo = Math.min(write.upTo, from - 1);
         });
     }
@@ -224,9 +224,9 @@
         }
         this.log = EntryLog.create(base);
         // Acknowledgements that wait for a sync refer to the old log; that of the snapshot supersedes them.
-        this.awaitingSync = this.awaitingSync.filter(waiting => waiting.message.kind !== "appended");
+        this.awaitingSync = this.awaitingSync.filter(pending => pending.message.kind !== "appended");
         this.syncedIndex = 0;
-        this.unsynced.forEach(write => {
+        this.unsyncedWrites.forEach(write => {
             write.upTo = 0;
         });
     }
@@ -249,20 +249,20 @@
 
     synced(write: number): void {
         this.syncedWrite = Math.max(this.syncedWrite, write);
-        while (this.unsynced.length > 0 && this.unsynced[0]!.write <= write) {
-            this.syncedIndex = Math.max(this.syncedIndex, this.unsynced.shift()!.upTo);
+        while (this.unsyncedWrites.length > 0 && this.unsyncedWrites[0]!.write <= write) {
+            this.syncedIndex = Math.max(this.syncedIndex, this.unsyncedWrites.shift()!.upTo);
         }
-        const ready = this.awaitingSync.filter(waiting => waiting.write <= this.syncedWrite);
-        this.awaitingSync = this.awaitingSync.filter(waiting => waiting.write > this.syncedWrite);
-        ready.forEach(waiting => this.sendReleased(waiting.to, waiting.message));
+        const ready = this.awaitingSync.filter(pending => pending.write <= this.syncedWrite);
+        this.awaitingSync = this.awaitingSync.filter(pending => pending.write > this.syncedWrite);
+        ready.forEach(pending => this.emitMessage(pending.to, pending.message));
     }
 
-    /** Ends a step: returns its effects, with its log changes as writes, and delays messages until these are synced. */
+    /** Ends a step: returns its effects, including the writes of its log changes, and delays messages until these are synced. */
     finish(): Effect[] {
         this.flushWrites();
         for (const { to, message } of this.messagesAfterSync) {
             if (this.lastWrite <= this.syncedWrite) {
-                this.sendReleased(to, message);
+                this.emitMessage(to, message);
             }
             else {
                 this.awaitingSync.push({ write: this.lastWrite, to, message });
@@ -295,7 +295,7 @@
 
     private startWrite(): void {
         this.lastWrite += 1;
-        this.unsynced.push({ write: this.lastWrite, upTo: this.log.lastIndex });
+        this.unsyncedWrites.push({ write: this.lastWrite, upTo: this.log.lastIndex });
     }
 
     private allRecords(): LogRecord[] {
@@ -307,7 +307,7 @@
         ];
     }
 
-    private sendReleased(to: string, message: Message): void {
+    private emitMessage(to: string, message: Message): void {
         Invariant.assert(
             message.kind !== "appended" || message.term < this.term || message.matched <= this.syncedIndex,
             "only synced entries are acknowledged",
--- a/packages/basilpaddle/src/node/coordination/agreement/storage.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/storage.ts
@@ -42,12 +42,16 @@
         disk: Disk,
         owner: string,
         options: LogFileOptions,
-    ): Promise<{ readonly storage: Storage; readonly recovered: Recovered; readonly cut: number; }> {
-        const { file, records, truncatedBytes: cut } = await LogFile.create(disk, logFileName, options);
+    ): Promise<{ readonly storage: Storage; readonly recovered: Recovered; readonly truncatedBytes: number; }> {
+        const { file, records, truncatedBytes } = await LogFile.create(disk, logFileName, options);
         try {
             const snapshot = await loadSnapshot(disk);
-            const placed = records.map(({ offset, body }) => ({ offset, record: decodeRecord(offset, body) }));
-            return { storage: new Storage(disk, file), recovered: recover(placed, snapshot, owner), cut };
+            const recordsAtOffset = records.map(({ offset, body }) => ({ offset, record: decodeRecord(offset, body) }));
+            return {
+                storage: new Storage(disk, file),
+                recovered: recover(recordsAtOffset, snapshot, owner),
+                truncatedBytes,
+            };
         }
         catch (error) {
             await file.close();
