--- a/packages/basilpaddle/src/node/protocol/backend.ts
+++ b/packages/basilpaddle/src/node/protocol/backend.ts
@@ -39,9 +39,9 @@
 export const loadReportSchema = z.object({
     id: identifier,
     incarnation: z.int().min(0),
-    /** Incremented with each report of one incarnation; a report with a lower number that arrives later is dropped. */
+    /** Incremented with each report of one incarnation; a late report with a lower number is dropped. */
     sequence: z.int().min(0),
-    /** Identifiers of attempts that hold a slot or memory. */
+    /** Identifiers of attempts that occupy a slot or memory. */
     active: z.array(identifier),
     /** Prompt tokens still to be computed. */
     queuedTokens: z.int().min(0).default(0),
--- a/packages/basilpaddle/src/node/protocol/caller.ts
+++ b/packages/basilpaddle/src/node/protocol/caller.ts
@@ -20,17 +20,17 @@
 export const anonymousOrganisation = "anonymous";
 /** Maximum number of answer tokens if the caller sets no limit. */
 export const defaultMaxTokens = 1_024;
-/** Highest limit of answer tokens that a caller may set. */
-export const largestMaxTokens = 131_072;
+/** Highest value that a caller may set for the maximum number of answer tokens. */
+export const maxTokensLimit = 131_072;
 
-const maxTokens = z.int().min(1).max(largestMaxTokens).nullish();
-const common = {
+const maxTokens = z.int().min(1).max(maxTokensLimit).nullish();
+const commonFields = {
     /** A model, or a model with one of its adapters as `model:adapter`. */
     model: z.string().min(1).max(255),
     stream: z.boolean().nullish(),
     stream_options: z.looseObject({ include_usage: z.boolean().nullish() }).nullish(),
     max_tokens: maxTokens,
-    n: z.literal(1, "only one choice is given").nullish(),
+    n: z.literal(1, "only one choice per request is supported").nullish(),
     temperature: z.number().min(0).max(2).nullish(),
     top_p: z.number().min(0).max(1).nullish(),
     stop: z.union([z.string(), z.array(z.string()).max(16)]).nullish(),
@@ -39,19 +39,19 @@
 
 /** Body of POST /v1/chat/completions. Additional fields are passed to the engine as sampling parameters. */
 export const chatRequestSchema = z.looseObject({
-    ...common,
+    ...commonFields,
     messages: z.array(z.looseObject({
         role: z.enum(["system", "developer", "user", "assistant", "tool"]),
         content: z.union([
             z.string(),
-            z.array(z.looseObject({ type: z.literal("text", "only text parts are taken"), text: z.string() })),
+            z.array(z.looseObject({ type: z.literal("text", "only text parts are supported"), text: z.string() })),
         ]),
     })).min(1),
     max_completion_tokens: maxTokens,
 });
 
 /** Body of POST /v1/completions. */
-export const completionRequestSchema = z.looseObject({ ...common, prompt: z.string() });
+export const completionRequestSchema = z.looseObject({ ...commonFields, prompt: z.string() });
 
 /** Names of outcomes in responses to callers. */
 export const wireOutcomes: Readonly<Record<Outcome, string>> = {
--- a/packages/basilpaddle/src/node/protocol/declaration.ts
+++ b/packages/basilpaddle/src/node/protocol/declaration.ts
@@ -2,7 +2,7 @@
 
 const name = z.string().regex(
     /^[A-Za-z0-9][A-Za-z0-9._-]{0,126}$/,
-    "a name is 1 to 127 of letters, digits, '.', '_' and '-'",
+    "a name consists of 1 to 127 letters, digits, '.', '_' and '-', and starts with a letter or digit",
 );
 const milliseconds = z.int().min(1);
 
@@ -16,7 +16,7 @@
     })).min(1),
     /** Desired number of engines in each role. */
     copies: z.strictObject({ prefill: z.int().min(0), decode: z.int().min(0) }),
-    /** Minimum number of engines in each role: no order may reduce the pool below it. @default 1 of each */
+    /** Minimum number of engines in each role; no order reduces the pool below it. @default 1 of each */
     floor: z.strictObject({ prefill: z.int().min(0).default(1), decode: z.int().min(0).default(1) }).prefault({}),
     targets: z.strictObject({
         /** Target time to the first token in milliseconds. @default 1500 */
--- a/packages/basilpaddle/src/node/protocol/engine.ts
+++ b/packages/basilpaddle/src/node/protocol/engine.ts
@@ -62,7 +62,7 @@
     z.object({ kind: z.literal("error"), message: z.string() }),
 ]);
 
-/** POST /engine/v1/cancel: releases everything that the attempt holds; idempotent. */
+/** POST /engine/v1/cancel: releases all resources allocated to the attempt; idempotent. */
 export const cancelRequestSchema = z.object({ attempt: identifier });
 /** `released` is also true if the engine never knew the attempt. */
 export const cancelAnswerSchema = z.object({ released: z.boolean() });
@@ -99,7 +99,7 @@
     active: z.array(identifier),
 });
 
-/** Body of an answer with status 409, 429 or 503: the engine didn't run the request and holds no resources for it. */
+/** Body of an answer with status 409, 429 or 503: the engine didn't run the request and has allocated nothing to it. */
 export const engineRefusalSchema = z.object({
     /** Always true; its presence is the proof that nothing was run. */
     notRun: z.literal(true),
--- a/packages/basilpaddle/src/node/protocol/gateway.ts
+++ b/packages/basilpaddle/src/node/protocol/gateway.ts
@@ -2,7 +2,10 @@
 import { crashRecordSchema, crashReportSchema } from "./crash.js";
 
 const identifier = z.string().min(1).max(200);
-/** Compressed text of a configuration. The text of a thousand routes is 220 KB: a third of a second on a small host's link. */
+/**
+ * Compressed text of a configuration. Without compression, the text of a thousand routes is 220 KB, which takes a third of a
+ * second to transfer on a small host's link.
+ */
 const packedSchema = z.custom<Uint8Array>(value => value instanceof Uint8Array, "bytes are expected");
 
 /** Announcement of a backend server, as forwarded by a directory. */
@@ -21,7 +24,7 @@
     slots: z.int().min(0),
     /** `silent`: the directory that last received its heartbeat has missed several heartbeats. */
     state: z.enum(["ready", "draining", "left", "silent"]),
-    /** Present only for engines. */
+    /** The stage that the engine runs; present only for engines. */
     stage: z.enum(["prefill", "decode"]).optional(),
     /** Incremented with each heartbeat. The announcement with the highest number applies, whichever path it arrived by. */
     sequence: z.int().min(0),
@@ -63,7 +66,7 @@
     /** Failure domain of this directory. */
     failureDomain: z.string(),
     leader: z.string().optional(),
-    /** Gateways known to this directory as active within the last seconds, or known to it before a restart. */
+    /** Number of gateways that this directory knows: active within the last seconds, or known before its restart. */
     gateways: z.int().min(0),
     /** Backend servers of plain services ejected based on all gateways' call reports. Sent by the leader only. @default none */
     ejected: z.array(identifier).optional(),
@@ -96,7 +99,7 @@
     patienceWithin: z.number(),
     /** Engines to exclude because an earlier run of this request failed on them. */
     avoid: z.array(identifier),
-    /** True if it continues an interrupted run whose caller has a part of the answer: it precedes all runs not yet started. */
+    /** True if it continues an interrupted run whose caller has received a part of the answer; placed before all new runs. */
     resumed: z.boolean(),
     /** Stall rates of the gateway's links. @default no stalls */
     linkStalls: linkStallsSchema.optional(),
@@ -139,7 +142,7 @@
     failed: z.int().min(0),
 });
 
-/** Message of a gateway to the leading directory: requests and releases placements, or lists those that it holds. */
+/** Message of a gateway to the leading directory: requests and releases placements, or lists its current ones. */
 export const placementMessageSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("place"), demand: placementRequestSchema }),
     z.object({ kind: z.literal("withdraw"), attempt: identifier }),
@@ -147,7 +150,7 @@
     z.object({ kind: z.literal("release"), attempt: identifier, end: placementOutcomeSchema }),
     /** Borrows one retry from the service's budget beyond the gateway's own share. */
     z.object({ kind: z.literal("borrow"), gateway: identifier, service: identifier }),
-    /** Asks whether the directory leads and responds. A gateway whose request got no answer repeats this until it gets one. */
+    /** Checks that the directory responds and is the leader. A gateway whose request got no answer sends it until it gets one. */
     z.object({ kind: z.literal("probe"), gateway: identifier }),
     /** Reports the results of calls to plain services. */
     z.object({ kind: z.literal("calls"), calls: z.array(serverCallsSchema) }),
@@ -166,9 +169,9 @@
     /** The request is still queued; the gateway must ask again. */
     z.object({ kind: z.literal("waiting"), term: z.int() }),
     z.object({ kind: z.literal("elsewhere"), leader: z.string().optional() }),
-    /** Whether a retry is lent. */
+    /** Answer to `borrow`: whether the directory lends the retry. */
     z.object({ kind: z.literal("lent"), granted: z.boolean() }),
-    /** The directory is the leader. */
+    /** Answer to `probe`: the directory is the leader. */
     z.object({ kind: z.literal("leading"), term: z.int() }),
 ]);
 
--- a/packages/basilpaddle/src/node/protocol/gatewaySettings.ts
+++ b/packages/basilpaddle/src/node/protocol/gatewaySettings.ts
@@ -2,7 +2,7 @@
 import { logLevels } from "../utils/index.js";
 import { quarantineRulesSchema } from "./crash.js";
 
-const endpoint = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/, "an endpoint is IP:PORT").transform(text => {
+const endpoint = z.string().regex(/^\d+\.\d+\.\d+\.\d+:\d+$/, "an endpoint has the form IP:PORT").transform(text => {
     const [host, port] = text.split(":") as [string, string];
     return { host, port: Number(port) };
 });
@@ -11,7 +11,7 @@
 /** Given in seconds for readability and converted to milliseconds. */
 const seconds = z.number().positive().transform(value => value * millisecondsInSecond);
 
-const common = {
+const commonFields = {
     /** Name of the daemon, unique in the deployment. */
     name: z.string().min(1),
     /** Failure domain of the host. */
@@ -40,7 +40,7 @@
 /** Settings of a gateway, which serves callers' requests and has no durable state. */
 export const gatewaySettingsSchema = z.object({
     role: z.literal("gateway"),
-    ...common,
+    ...commonFields,
     /** HTTP address for callers. */
     callers: endpoint,
     /** Address of the readiness endpoint that the load balancer polls. */
@@ -53,7 +53,7 @@
 /** Settings of a directory, which stores the configuration, receives heartbeats of backend servers and places runs. */
 export const directorySettingsSchema = z.object({
     role: z.literal("directory"),
-    ...common,
+    ...commonFields,
     /** HTTP address for operators and backend servers. */
     calls: endpoint,
     /** Folder for all durable state. */
@@ -66,7 +66,7 @@
     heartbeat: milliseconds,
     /** Time without contact to the daemon that may send orders after which another one may send orders. */
     orderLease: milliseconds,
-    /** As in gateways' settings: the leader lends a part of the slack to gateways. @default nothing is lent */
+    /** The same as in gateways' settings. The leader lends a part of the slack to gateways. @default nothing is lent */
     repeats: retryBudgetSchema.optional(),
     /** Time in seconds for finishing requests in progress after the daemon received a stop signal. */
     shutdownTime: seconds,
--- a/packages/basilpaddle/src/node/protocol/packing.ts
+++ b/packages/basilpaddle/src/node/protocol/packing.ts
@@ -1,7 +1,7 @@
 import { constants, deflateRawSync, inflateRawSync } from "node:zlib";
 
 /** Limits the decompressed size, so that a faulty sender can't exhaust memory. */
-const maximumUnpackedBytes = 32 * 1024 * 1024;
+const maxUnpackedBytes = 32 * 1024 * 1024;
 
 /** Compresses a text with raw DEFLATE for transfer between daemons. */
 export function packText(text: string): Uint8Array {
@@ -10,5 +10,5 @@
 
 /** Decompresses a text. Throws if the bytes aren't valid DEFLATE data or the text exceeds the size limit. */
 export function unpackText(packed: Uint8Array): string {
-    return inflateRawSync(packed, { maxOutputLength: maximumUnpackedBytes }).toString("utf8");
+    return inflateRawSync(packed, { maxOutputLength: maxUnpackedBytes }).toString("utf8");
 }
--- a/packages/basilpaddle/src/node/protocol/peer.ts
+++ b/packages/basilpaddle/src/node/protocol/peer.ts
@@ -43,7 +43,7 @@
     z.object({ kind: z.literal("move"), pool: z.string(), holding: engineHoldingSchema }),
     z.object({ kind: z.literal("progress"), pool: z.string(), progress: z.array(progressSchema) }),
     z.object({ kind: z.literal("load"), pool: z.string(), reports: loadRelaySchema }),
-    /** A new scheduler asks what a daemon holds in its pool. After a newer fence the daemon must not use older ones. */
+    /** A new scheduler asks a daemon for its allocations in the pool. The daemon must then ignore decisions with lower fences. */
     z.object({ kind: z.literal("holdings"), pool: z.string(), fence: index }),
 ]);
 
--- a/packages/basilpaddle/src/node/protocol/prefix.ts
+++ b/packages/basilpaddle/src/node/protocol/prefix.ts
@@ -7,7 +7,7 @@
 
 const blockCharacters = blockTokens * charactersPerToken;
 /** Number of blocks of a prompt that are hashed; the rest of a longer prompt is treated as not cached. */
-const maximumHashedBlocks = 512;
+const maxHashedBlocks = 512;
 
 /** Computes prefix hashes of prompts by chaining xxHash64 over their blocks. Engines use the same hashes in cache events. */
 export class PrefixHash {
@@ -21,7 +21,7 @@
     prefixes(prompt: string): string[] {
         const hashes: string[] = [];
         let seed = 0n;
-        const end = Math.min(Math.floor(prompt.length / blockCharacters), maximumHashedBlocks) * blockCharacters;
+        const end = Math.min(Math.floor(prompt.length / blockCharacters), maxHashedBlocks) * blockCharacters;
         for (let start = 0; start < end; start += blockCharacters) {
             seed = this.hash.h64(prompt.slice(start, start + blockCharacters), seed);
             hashes.push(seed.toString(16).padStart(16, "0"));
--- a/packages/basilpaddle/src/node/protocol/scheduling.ts
+++ b/packages/basilpaddle/src/node/protocol/scheduling.ts
@@ -9,7 +9,7 @@
 export const schedulingRequestSchema = z.object({
     /** Identifier of this attempt; each attempt of the same request has its own. */
     attempt: identifier,
-    /** Entry daemon that runs the attempt and releases what it holds. */
+    /** Entry daemon that runs the attempt and releases its engines. */
     owner: incarnationSchema,
     pool: identifier,
     model: identifier,
@@ -54,7 +54,7 @@
     z.object({ kind: z.literal("refused"), attempt: identifier, refusal: refusalSchema }),
 ]);
 
-/** Progress report of an attempt; the scheduler releases reservations that the stage no longer needs. */
+/** Progress report of an attempt; the scheduler releases the engines that the attempt no longer needs at this stage. */
 export const progressSchema = z.object({
     attempt: identifier,
     stage: z.enum(["prefilling", "prefilled", "transferred", "firstToken", "finished", "cancelled", "failed"]),
@@ -66,7 +66,7 @@
     failedEngine: identifier.optional(),
 });
 
-/** Reservation of an entry daemon at engines; a new scheduler rebuilds its state from these. */
+/** The engines reserved for an attempt, as known to its entry daemon; a new scheduler rebuilds its state from these. */
 export const engineHoldingSchema = z.object({
     demand: schedulingRequestSchema,
     prefill: identifier,
@@ -84,5 +84,5 @@
 export type SchedulingDecision = z.infer<typeof schedulingDecisionSchema>;
 /** Progress report of an attempt. */
 export type Progress = z.infer<typeof progressSchema>;
-/** Reservation of an entry daemon at engines. */
+/** The engines reserved for an attempt, as known to its entry daemon. */
 export type EngineHolding = z.infer<typeof engineHoldingSchema>;
--- a/packages/basilpaddle/src/node/protocol/settings.ts
+++ b/packages/basilpaddle/src/node/protocol/settings.ts
@@ -2,7 +2,10 @@
 import { logLevels } from "../utils/index.js";
 import { quarantineRulesSchema } from "./crash.js";
 
-const name = z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, "a name is 1 to 63 of a-z, 0-9 and -, and starts without -");
+const name = z.string().regex(
+    /^[a-z0-9][a-z0-9-]{0,62}$/,
+    "a name consists of 1 to 63 characters a-z, 0-9 and -, and doesn't start with -",
+);
 const address = z.strictObject({
     /** IP address; host names aren't resolved. */
     host: z.union([z.ipv4(), z.ipv6()]),
@@ -23,7 +26,7 @@
     clockDrift: z.number().min(0).max(0.5).default(0.02),
     /** Time without a heartbeat after which an entry daemon's session is closed and its leases are reassigned. @default 4000 */
     sessionTimeout: z.int().min(100).default(4_000),
-    /** Time without a heartbeat after which a backend server is considered gone. @default 5000 */
+    /** Time without a heartbeat after which a backend server is marked as `gone`. @default 5000 */
     backendTimeout: z.int().min(100).default(5_000),
     /** Interval at which the leader of the control daemons sends heartbeats. @default 100 */
     heartbeatInterval: z.int().min(5).default(100),
@@ -35,7 +38,7 @@
 export type Timing = z.infer<typeof timingSchema>;
 
 const control = z.strictObject({ name, host: address.shape.host, port: address.shape.port });
-const common = {
+const commonFields = {
     /** Name of the daemon, unique in the deployment. */
     name,
     /** Failure domain of the host. */
@@ -55,7 +58,7 @@
 /** The settings file of a control daemon. */
 export const controlSettingsSchema = z.strictObject({
     role: z.literal("control"),
-    ...common,
+    ...commonFields,
     /** Folder for all durable state. */
     dataFolder: z.string().min(1),
 });
@@ -63,7 +66,7 @@
 /** The settings file of an entry daemon. */
 export const entrySettingsSchema = z.strictObject({
     role: z.literal("entry"),
-    ...common,
+    ...commonFields,
     /** HTTP address for callers. */
     callers: address,
     /** HTTP address for announcements and heartbeats of backend servers. */
--- a/packages/basilpaddle/src/node/protocol/traffic.ts
+++ b/packages/basilpaddle/src/node/protocol/traffic.ts
@@ -103,7 +103,10 @@
         }
         const key = `${route.host.toLowerCase()}\n${route.pathPrefix}`;
         if (declaredPrefixes.has(key)) {
-            addFinding("pathPrefix", `another route has host ${route.host} and path ${route.pathPrefix} too`);
+            addFinding(
+                "pathPrefix",
+                `another route has the same host ${route.host} and path prefix ${route.pathPrefix}`,
+            );
         }
         declaredPrefixes.add(key);
     });
--- a/packages/basilpaddle/src/node/protocol/view.ts
+++ b/packages/basilpaddle/src/node/protocol/view.ts
@@ -27,14 +27,14 @@
     leases: z.record(z.string(), z.object({ holder: incarnationSchema, fence: index })),
     /** Model versions for new attempts, by pool and then by model; absent until the first `moveTraffic` command. */
     served: z.record(z.string(), z.record(z.string(), z.string())).optional(),
-    /** By identifier. The entry of a backend server that is gone is kept until its next announcement or for a bounded time. */
+    /** By identifier. An entry in the state `gone` is kept until the server's next announcement or until later ones evict it. */
     backends: z.record(
         z.string(),
         z.object({
             announcement: announcementSchema,
             /** `draining`: gets no new work until the holder of the orders lease clears the state. */
             state: z.enum(["ready", "draining", "leaving", "gone"]),
-            /** This incarnation has announced that it is leaving; only a higher incarnation makes the server available again. */
+            /** Whether this incarnation was marked as leaving; only a higher incarnation makes the server available again. */
             left: z.boolean().optional(),
         }),
     ),
