--- a/packages/basilpaddle/src/node/transport/frame.ts
+++ b/packages/basilpaddle/src/node/transport/frame.ts
@@ -1,7 +1,7 @@
 import { Encoder } from "cbor-x";
 
 /** Maximum length of a frame's body; a larger length in the header means that the sender is faulty or uses another protocol. */
-export const maximumFrameBytes = 16 * 1024 * 1024;
+export const maxFrameBytes = 16 * 1024 * 1024;
 const frameHeaderBytes = 4;
 
 const encoder = new Encoder({ useRecords: false, mapsAsObjects: true });
@@ -12,8 +12,8 @@
  */
 export function encodeFrame(value: unknown): Buffer {
     const body = encoder.encode(value);
-    if (body.length > maximumFrameBytes) {
-        throw new RangeError(`A frame of ${body.length} bytes is over the limit of ${maximumFrameBytes}.`);
+    if (body.length > maxFrameBytes) {
+        throw new RangeError(`A frame body of ${body.length} bytes exceeds the limit of ${maxFrameBytes} bytes.`);
     }
     const frame = Buffer.allocUnsafe(frameHeaderBytes + body.length);
     frame.writeUInt32BE(body.length, 0);
@@ -49,16 +49,18 @@
         const first = this.chunks[0]!;
         const header = first.length >= frameHeaderBytes ? first : this.joinChunks();
         const length = header.readUInt32BE(0);
-        if (length > maximumFrameBytes) {
-            throw new RangeError(`A frame announces ${length} bytes; the limit is ${maximumFrameBytes}.`);
+        if (length > maxFrameBytes) {
+            throw new RangeError(
+                `A frame header gives a body length of ${length} bytes; the limit is ${maxFrameBytes} bytes.`,
+            );
         }
         if (this.bufferedBytes < frameHeaderBytes + length) {
             return undefined;
         }
         const bytes = this.joinChunks();
-        const rest = bytes.subarray(frameHeaderBytes + length);
-        this.chunks = rest.length > 0 ? [rest] : [];
-        this.bufferedBytes = rest.length;
+        const remaining = bytes.subarray(frameHeaderBytes + length);
+        this.chunks = remaining.length > 0 ? [remaining] : [];
+        this.bufferedBytes = remaining.length;
         return bytes.subarray(frameHeaderBytes, frameHeaderBytes + length);
     }
 
--- a/packages/basilpaddle/src/node/transport/link.ts
+++ b/packages/basilpaddle/src/node/transport/link.ts
@@ -25,7 +25,7 @@
     abstract close(): void;
 }
 
-/** Creates links to other daemons. Tests use an implementation that loses and delays messages and cuts links. */
+/** Creates links to other daemons. Tests use one that loses and delays messages, and disconnects links. */
 export abstract class Network {
     abstract link(address: { readonly host: string; readonly port: number; }): Link;
 }
--- a/packages/basilpaddle/src/node/transport/listening.ts
+++ b/packages/basilpaddle/src/node/transport/listening.ts
@@ -18,10 +18,10 @@
     }
     return new Promise(resolve => {
         const socket = net.connect(parsed);
-        const settle = (found: ListenStatus): void => {
+        const settle = (status: ListenStatus): void => {
             cancel();
             socket.destroy();
-            resolve(found);
+            resolve(status);
         };
         const cancel = afterPoll(probeTimeoutMilliseconds, () => settle("unknown"));
         socket.once("connect", () => settle("yes"));
--- a/packages/basilpaddle/src/node/transport/tcpLink.ts
+++ b/packages/basilpaddle/src/node/transport/tcpLink.ts
@@ -6,13 +6,13 @@
 
 /**
  * Timeout for establishing a connection. The other host's operating system accepts the connection within one round trip, even
- * if the process is busy. A host without power doesn't respond, and the operating system retransmits the lost packet only after
- * a second: after a power failure of the whole deployment, gateways that were up before the directories' hosts connected half a
- * second late. A new attempt sends a new packet.
+ * if the process is busy. A host that is down doesn't respond, and the operating system retransmits the lost packet only after a
+ * second. After a power failure of the whole deployment, gateways that were up before the directories' hosts therefore connected
+ * half a second late. With a short timeout, a new attempt sends a new packet earlier.
  */
 export const connectTimeoutMilliseconds = 300;
 /** Bytes in a connection's send buffer above which messages that aren't answered are dropped. */
-const maximumSendBufferBytes = 8 * 1024 * 1024;
+const maxSendBufferBytes = 8 * 1024 * 1024;
 
 type PendingRequest = {
     readonly settle: (answer: Either<LinkFailure, unknown>) => void;
@@ -21,29 +21,29 @@
     readonly id?: number;
     readonly answerTo?: number;
     readonly body?: unknown;
-    /** Keep-alive probe (`ask`) or its reply (`sign`). */
+    /** Keep-alive message: a probe (`ask`) or the reply to one (`sign`). */
     readonly life?: "ask" | "sign";
 };
 /** Time without received data after which a keep-alive probe is sent. */
 const idleProbeMilliseconds = 500;
-/** Time without received data after which a connection is considered lost: three keep-alive probes weren't answered. */
+/** Time without received data after which a connection is considered lost, since three keep-alive probes weren't answered. */
 const idleTimeoutMilliseconds = 2_000;
 /** Time without received data after which the accepting side closes a connection; the connecting side has done so long before. */
 const acceptedIdleTimeoutMilliseconds = 15_000;
 
 /** Creates links over TCP. */
 export class TcpNetwork extends Network {
-    private constructor(private readonly logger: Logger, private readonly source: string | undefined) {
+    private constructor(private readonly logger: Logger, private readonly localAddress: string | undefined) {
         super();
     }
 
-    /** `source`: local address for outgoing connections; by default the operating system chooses one. */
-    static create(logger: Logger, source?: string): TcpNetwork {
-        return new TcpNetwork(logger, source);
+    /** `localAddress`: for outgoing connections; by default the operating system chooses one. */
+    static create(logger: Logger, localAddress?: string): TcpNetwork {
+        return new TcpNetwork(logger, localAddress);
     }
 
     override link(address: { readonly host: string; readonly port: number; }): Link {
-        return TcpLink.create(address, this.logger, this.source);
+        return TcpLink.create(address, this.logger, this.localAddress);
     }
 }
 
@@ -57,7 +57,7 @@
     private constructor(
         private readonly address: { readonly host: string; readonly port: number; },
         private readonly logger: Logger,
-        private readonly source: string | undefined,
+        private readonly localAddress: string | undefined,
     ) {
         super();
     }
@@ -65,9 +65,9 @@
     static create(
         address: { readonly host: string; readonly port: number; },
         logger: Logger,
-        source: string | undefined,
+        localAddress: string | undefined,
     ): TcpLink {
-        return new TcpLink(address, logger, source);
+        return new TcpLink(address, logger, localAddress);
     }
 
     override async request(body: unknown, timeout: number): Promise<Either<LinkFailure, unknown>> {
@@ -81,7 +81,7 @@
     override send(body: unknown): void {
         void this.connect().then(connected => {
             connected.ifRight(socket => {
-                if (socket.writableLength < maximumSendBufferBytes) {
+                if (socket.writableLength < maxSendBufferBytes) {
                     socket.write(encodeFrame({ body }));
                 }
             });
@@ -104,7 +104,7 @@
                 resolve(answer);
             };
             const cancel = afterPoll(timeout, () => {
-                settle(Left({ kind: "timeout", message: `no answer from ${this.peerAddress()} in ${timeout} ms` }));
+                settle(Left({ kind: "timeout", message: `no answer from ${this.peerAddress()} within ${timeout} ms` }));
             });
             this.pendingRequests.set(id, { settle });
             socket.write(encodeFrame({ id, body }));
@@ -130,21 +130,23 @@
                 host: this.address.host,
                 port: this.address.port,
                 noDelay: true,
-                localAddress: this.source,
+                localAddress: this.localAddress,
             });
             const cancel = afterPoll(connectTimeoutMilliseconds, () => {
-                socket.destroy(new Error(`no connection to ${this.peerAddress()} in ${connectTimeoutMilliseconds} ms`));
+                socket.destroy(
+                    new Error(`no connection to ${this.peerAddress()} within ${connectTimeoutMilliseconds} ms`),
+                );
             });
-            let open = false;
+            let isConnected = false;
             socket.on("error", (error: NodeJS.ErrnoException) => {
                 cancel();
                 const kind = error.code === "ECONNREFUSED" ? "refused" : "unreachable";
-                if (!open) {
+                if (!isConnected) {
                     resolve(Left({ kind, message: error.message }));
                 }
             });
             socket.on("connect", () => {
-                open = true;
+                isConnected = true;
                 cancel();
                 if (this.closed) {
                     socket.destroy();
@@ -258,12 +260,15 @@
     private handleConnection(socket: net.Socket): void {
         this.sockets.add(socket);
         const reader = FrameReader.create();
-        const gone = new AbortController();
-        const context: LinkContext = { gone: gone.signal };
-        socket.on("error", error => this.logger.debug("a link failed", { message: error.message }));
+        const connectionClosed = new AbortController();
+        const context: LinkContext = { gone: connectionClosed.signal };
+        socket.on(
+            "error",
+            error => this.logger.debug("a connection from another daemon failed", { message: error.message }),
+        );
         socket.on("close", () => {
             this.sockets.delete(socket);
-            gone.abort();
+            connectionClosed.abort();
         });
         socket.setTimeout(acceptedIdleTimeoutMilliseconds, () => socket.destroy());
         socket.on("data", chunk => {
