--- a/packages/basilpaddle/src/node/state/configuration/__tests__/configuration.spec.ts
+++ b/packages/basilpaddle/src/node/state/configuration/__tests__/configuration.spec.ts
@@ -74,7 +74,7 @@
 
     it("reports a duplicate name in one file, where the last value would win silently", () => {
         const [finding] = findingsOf(file("a.json", "{\"pools\": {}, \"pools\": {}}"));
-        expect(finding).to.match(/^a\.json: pools \(line 1, column 15\): stands twice/);
+        expect(finding).to.match(/^a\.json: pools \(line 1, column 15\): is defined twice/);
     });
 
     it("reports errors that only show across files", () => {
--- a/packages/basilpaddle/src/node/utils/jsonText.ts
+++ b/packages/basilpaddle/src/node/utils/jsonText.ts
@@ -32,8 +32,8 @@
             const cause = first === undefined ? "the file is empty" : describeParseError(first);
             return Left([{ place: lineAndColumn(body, offset), cause: `isn't well-formed JSON: ${cause}` }]);
         }
-        const repeated = duplicateKeys(body, tree);
-        return repeated.length > 0 ? Left(repeated) : Right(new JsonText(body, tree, JSON.parse(body)));
+        const duplicates = duplicateKeys(body, tree);
+        return duplicates.length > 0 ? Left(duplicates) : Right(new JsonText(body, tree, JSON.parse(body)));
     }
 
     /** Path and position of a field; if it isn't in the text, the position of its nearest existing ancestor. */
@@ -63,7 +63,7 @@
         if (key !== undefined && seen.has(key.value as string)) {
             faults.push({
                 place: `${jsonc.getNodePath(key).join(".")} (${lineAndColumn(text, key.offset)})`,
-                cause: "stands twice in the same object",
+                cause: "is defined twice in the same object",
             });
         }
         if (key !== undefined) {
--- a/packages/basilpaddle/src/node/utils/lineLogger.ts
+++ b/packages/basilpaddle/src/node/utils/lineLogger.ts
@@ -3,11 +3,11 @@
 import { type Logger, type LogLevel, logLevels } from "./logger.js";
 
 const standardOutputDescriptor = 1;
-/** Maximum lines per second with the same message, so that a burst of one message doesn't suppress the others. */
-const linesPerMessageAndSecond = 200;
+/** Maximum number of lines per second with the same message, so that a burst of one message doesn't suppress the others. */
+const maxLinesPerMessageAndSecond = 200;
 /** Maximum bytes per second of all lines, and maximum bytes buffered for a slow reader. */
-const bytesPerSecond = 512 * 1024;
-const maximumPendingBytes = 1024 * 1024;
+const maxBytesPerSecond = 512 * 1024;
+const maxPendingBytes = 1024 * 1024;
 const windowMilliseconds = 1_000;
 /** Delay before writing to a full pipe is retried. */
 const fullPipeRetryMilliseconds = 20;
@@ -73,8 +73,8 @@
         this.advanceWindow();
         const count = (this.lineCounts.get(kind) ?? 0) + 1;
         this.lineCounts.set(kind, count);
-        const overLimit = count > linesPerMessageAndSecond || this.windowBytes > bytesPerSecond
-            || this.pendingBytes > maximumPendingBytes;
+        const overLimit = count > maxLinesPerMessageAndSecond || this.windowBytes > maxBytesPerSecond
+            || this.pendingBytes > maxPendingBytes;
         if (overLimit) {
             this.dropped.set(kind, (this.dropped.get(kind) ?? 0) + 1);
             return;
@@ -90,7 +90,7 @@
         this.windowStart = now;
         this.windowBytes = 0;
         this.lineCounts.clear();
-        if (this.dropped.size > 0 && this.pendingBytes <= maximumPendingBytes) {
+        if (this.dropped.size > 0 && this.pendingBytes <= maxPendingBytes) {
             this.enqueue(this.report(Object.fromEntries(this.dropped)));
             this.dropped.clear();
         }
@@ -137,8 +137,8 @@
         dropped => formatEntry("WARN", "log lines were dropped", { dropped }),
     );
     const logger = new TslogLogger<unknown>({ name, type: "hidden", minLevel: logLevels.indexOf(level) });
-    logger.attachTransport(logged => {
-        const { 0: message, 1: details, _meta: meta } = logged as ILogObjMeta & { 0?: unknown; 1?: unknown; };
+    logger.attachTransport(entry => {
+        const { 0: message, 1: details, _meta: meta } = entry as ILogObjMeta & { 0?: unknown; 1?: unknown; };
         const kind = String(message);
         lines.writeLine(kind, formatEntry(meta?.logLevelName ?? "INFO", kind, serializableDetails(details)));
     });
--- a/packages/basilpaddle/src/node/utils/randomness.ts
+++ b/packages/basilpaddle/src/node/utils/randomness.ts
@@ -8,8 +8,8 @@
     /** A number from 0 (inclusive) to 1 (exclusive). */
     abstract fraction(): number;
 
-    /** An integer from `least` to `most`, both inclusive. */
-    abstract integer(least: number, most: number): number;
+    /** An integer from `min` to `max`, both inclusive. */
+    abstract integer(min: number, max: number): number;
 
     /** A globally unique identifier. */
     abstract identifier(): string;
@@ -25,8 +25,8 @@
         return Math.random();
     }
 
-    override integer(least: number, most: number): number {
-        return least + Math.floor(Math.random() * (most - least + 1));
+    override integer(min: number, max: number): number {
+        return min + Math.floor(Math.random() * (max - min + 1));
     }
 
     override identifier(): string {
@@ -45,8 +45,8 @@
 
     private constructor(name: string) {
         super();
-        const moment = `${Date.now()} ${process.hrtime.bigint()} ${process.pid}`;
-        const digest = createHash("sha256").update(`${name} ${moment} ${randomUUID()}`).digest();
+        const startInstant = `${Date.now()} ${process.hrtime.bigint()} ${process.pid}`;
+        const digest = createHash("sha256").update(`${name} ${startInstant} ${randomUUID()}`).digest();
         this.generator = xoroshiro128plus(digest.readInt32BE(0));
         this.identifierPrefix = digest.toString("hex", 4, 12);
     }
@@ -59,8 +59,8 @@
         return uniformFloat64(this.generator);
     }
 
-    override integer(least: number, most: number): number {
-        return uniformInt(this.generator, least, most);
+    override integer(min: number, max: number): number {
+        return uniformInt(this.generator, min, max);
     }
 
     override identifier(): string {
@@ -85,8 +85,8 @@
         return uniformFloat64(this.generator);
     }
 
-    override integer(least: number, most: number): number {
-        return uniformInt(this.generator, least, most);
+    override integer(min: number, max: number): number {
+        return uniformInt(this.generator, min, max);
     }
 
     override identifier(): string {
