--- a/packages/basilpaddle/src/node/state/configuration/__tests__/configuration.spec.ts
+++ b/packages/basilpaddle/src/node/state/configuration/__tests__/configuration.spec.ts
@@ -74,7 +74,7 @@
 
     it("reports a duplicate name in one file, where the last value would win silently", () => {
         const [finding] = findingsOf(file("a.json", "{\"pools\": {}, \"pools\": {}}"));
-        expect(finding).to.match(/^a\.json: pools \(line 1, column 15\): stands twice/);
+        expect(finding).to.match(/^a\.json: pools \(line 1, column 15\): is defined twice/);
     });
 
     it("reports errors that only show across files", () => {
@@ -124,9 +124,9 @@
         return Promise.resolve([...this.contents.keys()]);
     }
 
-    override fileStatus(name: string): Promise<{ isFile: boolean; bytes: number; mark: string; }> {
+    override fileStatus(name: string): Promise<{ isFile: boolean; bytes: number; fingerprint: string; }> {
         const text = this.text(name);
-        return Promise.resolve({ isFile: true, bytes: text.length, mark: text });
+        return Promise.resolve({ isFile: true, bytes: text.length, fingerprint: text });
     }
 
     override read(name: string): Promise<Uint8Array> {
