--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/callers.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/callers.spec.ts
@@ -8,12 +8,12 @@
 function sendRaw(port: number, bytes: string): Promise<string> {
     return new Promise((resolve, reject) => {
         const socket = net.connect({ host: "127.0.0.1", port }, () => socket.write(bytes));
-        let got = "";
+        let received = "";
         socket.setEncoding("utf8").on("data", (chunk: string) => {
-            got += chunk;
+            received += chunk;
         });
         socket.on("error", reject);
-        socket.on("close", () => resolve(got));
+        socket.on("close", () => resolve(received));
     });
 }
 
@@ -34,7 +34,7 @@
     });
 
     /** Reservations and decode attempts that are still held; engines evict prefill results by themselves. */
-    function heldDecodes(): number {
+    function allocatedDecodes(): number {
         return harness.engine("d1").attemptsHoldingResources.size + harness.engine("d2").attemptsHoldingResources.size
             + harness.placement.reserved.size;
     }
@@ -48,7 +48,7 @@
         await reached;
         request.destroy();
         await until("request ended", () => harness.daemon.openRequests() === 0);
-        await until("everything freed", () => heldDecodes() === 0);
+        await until("everything freed", () => allocatedDecodes() === 0);
     }
 
     it("leave nothing held when they disconnect while queued", async () => {
@@ -92,7 +92,7 @@
         request.on("error", () => undefined);
         request.on("response", response => response.pause());
         request.end(JSON.stringify(chatBody({ stream: true })));
-        await until("cancelled", () => engine.cancels > 0 && heldDecodes() === 0);
+        await until("cancelled", () => engine.cancels > 0 && allocatedDecodes() === 0);
         expect(sent).to.be.below(4_000);
         request.destroy();
     });
@@ -140,7 +140,7 @@
     });
 
     const key = { "idempotency-key": "k" };
-    const bad: readonly [string, string, unknown, object, number, string][] = [
+    const refusedRequests: readonly [string, string, unknown, object, number, string][] = [
         ["a body that isn't JSON", "/v1/chat/completions", "{", {}, 400, "malformedBody"],
         ["a body that isn't UTF-8", "/v1/chat/completions", Buffer.from([0x22, 0xff, 0x22]), {}, 400, "malformedBody"],
         ["an empty body", "/v1/chat/completions", "", {}, 400, "malformedBody"],
@@ -179,13 +179,13 @@
             "headersTooLarge",
         ],
     ];
-    for (const [name, path, body, headers, status, code] of bad) {
+    for (const [name, path, body, headers, status, code] of refusedRequests) {
         it(`get a specific refusal of ${name}, and the daemon keeps working`, async () => {
             const request = harness.open(path, headers as Record<string, string>);
             const reply = replyOf(request);
             request.end(Buffer.isBuffer(body) || typeof body === "string" ? body : JSON.stringify(body));
-            const { status: got, body: text, headers: replyHeaders } = await reply;
-            expect(got).to.equal(status);
+            const { status: replyStatus, body: text, headers: replyHeaders } = await reply;
+            expect(replyStatus).to.equal(status);
             expect(JSON.parse(text).error).to.include({ code, outcome: "not_run" });
             expect(replyHeaders["basilpaddle-outcome"]).to.equal("not_run");
             expect((await harness.chat()).status).to.equal(200);
@@ -204,7 +204,7 @@
             ["POST /v1/completions HTTP/1.1\r\nhost: a", "requestTimeout"],
         ];
         const answers = await Promise.all(cases.map(([bytes]) => sendRaw(port, bytes)));
-        cases.forEach(([bytes, expected], place) => expect(answers[place], bytes).to.contain(expected));
+        cases.forEach(([bytes, expected], index) => expect(answers[index], bytes).to.contain(expected));
         expect((await harness.chat()).status).to.equal(200);
         expect(harness.daemon.openRequests()).to.equal(0);
     });
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/drain.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/drain.spec.ts
@@ -12,8 +12,8 @@
         const gate = new Promise<void>(resolve => {
             release = resolve;
         });
-        let beats = 0;
-        harness.engine("d1").beforeToken = () => (++beats % 4 === 3 ? gate : Promise.resolve());
+        let tokens = 0;
+        harness.engine("d1").beforeToken = () => (++tokens % 4 === 3 ? gate : Promise.resolve());
     });
 
     afterEach(async () => {
@@ -34,32 +34,32 @@
         await replyOf(idle);
         const replies = startStreams(20);
         await until("streams run", () => harness.engine("d1").ran.filter(ran => ran.stage === "decode").length === 20);
-        const late = harness.open("/v1/chat/completions", {});
-        const lateReply = replyOf(late);
+        const lateRequest = harness.open("/v1/chat/completions", {});
+        const lateReply = replyOf(lateRequest);
         const body = JSON.stringify(chatBody());
-        late.write(body.slice(0, 10));
+        lateRequest.write(body.slice(0, 10));
         await until("late request counted", () => harness.daemon.openRequests() === 21);
         let ended = false;
         const drained = harness.daemon.drain().finally(() => {
             ended = true;
         });
         expect(harness.daemon.isReady()).to.equal(false);
-        const refused = await harness.chat();
-        expect(refused.status).to.equal(503);
-        expect(refused.headers).to.include({ connection: "close", "retry-after": "1" });
-        expect(JSON.parse(refused.body).error).to.include({ code: "shuttingDown", outcome: "not_run" });
+        const refusedReply = await harness.chat();
+        expect(refusedReply.status).to.equal(503);
+        expect(refusedReply.headers).to.include({ connection: "close", "retry-after": "1" });
+        expect(JSON.parse(refusedReply.body).error).to.include({ code: "shuttingDown", outcome: "not_run" });
         expect((await harness.get("/readyz")).status).to.equal(503);
         expect(ended, "the drain ended before its requests").to.equal(false);
         release();
         await Promise.all(replies);
         expect(ended, "the drain ended before a request that was still being received").to.equal(false);
-        late.end(body.slice(10));
+        lateRequest.end(body.slice(10));
         for (const reply of await Promise.all(replies)) {
             expect(streamedText(reply)).to.equal("one two three four");
             expect(reply.broken).to.equal(false);
         }
         expect((await lateReply).status).to.equal(200);
-        expect(await drained).to.deep.equal({ cut: [], unconfirmedCancels: 0, undecidedRuns: 0 });
+        expect(await drained).to.deep.equal({ abortedRequests: [], unconfirmedCancels: 0, undecidedRuns: 0 });
         await harness.daemon.close();
         agent.destroy();
     });
@@ -73,7 +73,7 @@
             expect(reply.broken || reply.status === 503).to.equal(true);
             expect(reply.body).to.contain("\"code\":\"shuttingDown\",\"outcome\":\"failed_after_starting\"");
         }
-        expect((await drained).cut).to.have.length(3);
+        expect((await drained).abortedRequests).to.have.length(3);
         release();
         await until("engine freed", () => harness.engine("d1").attemptsHoldingResources.size === 0);
     });
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/entryDaemon.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/entryDaemon.spec.ts
@@ -20,7 +20,7 @@
             finish_reason: "stop",
         });
         expect(JSON.parse(reply.body).usage.completion_tokens).to.equal(4);
-        expect(harness.heldAttempts()).to.equal(1); // The prefill result, which the engine evicts by itself.
+        expect(harness.allocatedAttempts()).to.equal(1); // The prefill result, which the engine evicts by itself.
     });
 
     it("streams a chat completion and marks its end", async () => {
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/entryHarness.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/entryHarness.ts
@@ -66,7 +66,7 @@
     }
 
     /** Number of reservations and of attempts that engines still hold. */
-    heldAttempts(): number {
+    allocatedAttempts(): number {
         return this.placement.reserved.size
             + this.engines.reduce((sum, engine) => sum + engine.attemptsHoldingResources.size, 0);
     }
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/services.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/services.spec.ts
@@ -76,9 +76,9 @@
     }
 
     it("are forwarded in both directions without hop-by-hop headers", async () => {
-        let got: http.IncomingHttpHeaders = {};
+        let forwardedHeaders: http.IncomingHttpHeaders = {};
         service.handler = (request, response) => {
-            got = request.headers;
+            forwardedHeaders = request.headers;
             response.writeHead(203, { "x-policy": "7", connection: "x-inner", "x-inner": "1" }).end("valid");
         };
         const request = http.get({
@@ -92,15 +92,15 @@
         expect(reply).to.include({ status: 203, body: "valid" });
         expect(reply.headers).to.include({ "x-policy": "7" });
         expect(reply.headers).to.not.have.property("x-inner");
-        expect(got).to.include({ "x-own": "2" });
-        expect(got).to.not.have.property("te");
+        expect(forwardedHeaders).to.include({ "x-own": "2" });
+        expect(forwardedHeaders).to.not.have.property("te");
         expect(service.executedCalls).to.deep.equal(["GET /policies/7?full=1 "]);
     });
 
     it("aren't cached, and are retried at another instance if one refuses the connection", async () => {
-        const dead = await FakeService.create();
-        announce({ one: service.url, two: dead.url });
-        await dead.close();
+        const closedService = await FakeService.create();
+        announce({ one: service.url, two: closedService.url });
+        await closedService.close();
         for (let call = 0; call < 10; call++) {
             expect((await harness.get("/policies/7")).status).to.equal(200);
         }
@@ -193,9 +193,9 @@
             setImmediate(() => response.destroy());
         };
         expect((await harness.get("/policies/7")).broken).to.equal(true);
-        const once = await post("k");
-        expect(once.status).to.equal(502);
-        expect(errorOf(once)).to.include({ code: "backendFailed", outcome: "failed_after_starting" });
+        const nonIdempotentReply = await post("k");
+        expect(nonIdempotentReply.status).to.equal(502);
+        expect(errorOf(nonIdempotentReply)).to.include({ code: "backendFailed", outcome: "failed_after_starting" });
         expect(errorOf(await post("k"))).to.include({ outcome: "failed_after_starting" });
     });
 });
--- a/packages/basilpaddle/src/node/daemon/entry/backendMessages.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/backendMessages.ts
@@ -22,8 +22,8 @@
 /** Upper limit of the delay after which a message that wasn't accepted is sent again. */
 const retryDelayMilliseconds = 250;
 
-/** Dependencies of the handler of backend servers' messages. */
-export type BackendMessagesParts = {
+/** Settings and dependencies of the handler of backend servers' messages. */
+export type BackendMessagesOptions = {
     readonly settings: EntrySettings;
     readonly control: ControlClient;
     readonly placement: Placement;
@@ -38,10 +38,10 @@
 
 /** Handles the announcements, renewals and leave messages of backend servers. */
 export class BackendMessages {
-    private constructor(private readonly parts: BackendMessagesParts) {}
+    private constructor(private readonly options: BackendMessagesOptions) {}
 
-    static create(parts: BackendMessagesParts): BackendMessages {
-        return new BackendMessages(parts);
+    static create(options: BackendMessagesOptions): BackendMessages {
+        return new BackendMessages(options);
     }
 
     /** Handles one message received over HTTP. */
@@ -55,7 +55,7 @@
             sendRefusal(response, notRun("methodNotAllowed", "POST is expected"), requestId);
             return;
         }
-        const body = await readBody(request, response, this.parts.settings.limits, this.parts.clock);
+        const body = await readBody(request, response, this.options.settings.limits, this.options.clock);
         const parsed = body.chain(parseJson);
         if (parsed.isLeft()) {
             sendRefusal(response, parsed.extract() as Refusal, requestId);
@@ -81,7 +81,7 @@
             }
             case "renew": {
                 const outcome = this.renew(message.id, message.incarnation);
-                this.applyLoadReport(outcome, this.known(message.id)?.announcement, message.load);
+                this.applyLoadReport(outcome, this.backendRecord(message.id)?.announcement, message.load);
                 return outcome;
             }
             case "leave":
@@ -90,49 +90,49 @@
     }
 
     private async announce(announcement: Announcement): Promise<AnswerOutcome> {
-        const known = this.known(announcement.id);
+        const known = this.backendRecord(announcement.id);
         if (known !== undefined && known.announcement.incarnation > announcement.incarnation) {
             return "superseded";
         }
         if (known?.state === "leaving" && known.announcement.incarnation === announcement.incarnation) {
             return "superseded";
         }
-        if (this.parts.marks.isLeaving(announcement.id, announcement.incarnation)) {
+        if (this.options.marks.isLeaving(announcement.id, announcement.incarnation)) {
             return "superseded";
         }
         if (known?.state === "ready" && isDeepStrictEqual(known.announcement, announcement)) {
-            this.parts.control.recordRenewal(announcement.id, announcement.incarnation);
+            this.options.control.recordRenewal(announcement.id, announcement.incarnation);
             return "accepted";
         }
-        return this.propose({ kind: "announceBackend", announcement, at: this.parts.clock.wall() });
+        return this.propose({ kind: "announceBackend", announcement, at: this.options.clock.wall() });
     }
 
     private renew(id: string, incarnation: number): AnswerOutcome {
-        const known = this.known(id);
+        const known = this.backendRecord(id);
         if (known === undefined || known.announcement.incarnation < incarnation || known.state === "gone") {
             return "announceAgain";
         }
         if (known.announcement.incarnation > incarnation) {
             return "superseded";
         }
-        this.parts.control.recordRenewal(id, incarnation);
+        this.options.control.recordRenewal(id, incarnation);
         return "accepted";
     }
 
     private leave(id: string, incarnation: number): Promise<AnswerOutcome> {
-        this.parts.marks.markLeaving(id, incarnation);
+        this.options.marks.markLeaving(id, incarnation);
         return this.propose({
             kind: "markBackend",
             id,
             incarnation,
             mark: "leaving",
             by: id,
-            at: this.parts.clock.wall(),
+            at: this.options.clock.wall(),
         });
     }
 
     private async propose(command: Command): Promise<AnswerOutcome> {
-        const proposed = await this.parts.control.propose(command, proposeTimeoutMilliseconds);
+        const proposed = await this.options.control.propose(command, proposeTimeoutMilliseconds);
         return proposed.caseOf<AnswerOutcome>({
             Left: () => "tryAgain",
             Right: result => result.kind === "stale" ? "superseded" : "accepted",
@@ -147,19 +147,20 @@
         if (outcome !== "accepted" || backend === undefined || report === undefined) {
             return;
         }
-        this.parts.placement.load(backend.pool, report);
-        // A call can reach the engine after the cancel for it; the engine then runs an attempt that has already ended.
-        for (const attempt of this.parts.attempts.ended(report.active)) {
-            this.parts.cancellations.cancelInBackground(attempt, backend, false);
+        this.options.placement.load(backend.pool, report);
+        // The request that starts an attempt can reach the engine after the cancel for it; the engine then runs an attempt that
+        // has already ended here.
+        for (const attempt of this.options.attempts.ended(report.active)) {
+            this.options.cancellations.cancelInBackground(attempt, backend, false);
         }
     }
 
-    private known(id: string) {
-        return this.parts.control.view().backends[id];
+    private backendRecord(id: string) {
+        return this.options.control.view().backends[id];
     }
 
     private renewAfterMilliseconds(outcome: AnswerOutcome): number {
-        const interval = Math.ceil(this.parts.settings.timing.backendTimeout / renewalsPerTimeout);
+        const interval = Math.ceil(this.options.settings.timing.backendTimeout / renewalsPerTimeout);
         return outcome === "accepted" ? interval : Math.min(retryDelayMilliseconds, interval);
     }
 }
--- a/packages/basilpaddle/src/node/daemon/entry/callerRoutes.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/callerRoutes.ts
@@ -14,12 +14,12 @@
 const drainRetryAfterMilliseconds = 1_000;
 const overloadRetryAfterMilliseconds = 1_000;
 
-/** Dependencies of the callers' routes. */
-export type CallerRouteParts = {
+/** Limits and dependencies of the callers' routes. */
+export type CallerRoutesOptions = {
     readonly calls: ModelCalls;
     readonly services: ServiceCalls;
     readonly control: ControlClient;
-    readonly open: OpenRequests;
+    readonly openRequests: OpenRequests;
     readonly clock: Clock;
     readonly limits: EntrySettings["limits"];
     readonly isReady: () => boolean;
@@ -33,10 +33,10 @@
 
 /** Dispatches each caller's request to the health checks, the model API or a plain service. */
 export class CallerRoutes {
-    private constructor(private readonly parts: CallerRouteParts) {}
+    private constructor(private readonly options: CallerRoutesOptions) {}
 
-    static create(parts: CallerRouteParts): CallerRoutes {
-        return new CallerRoutes(parts);
+    static create(options: CallerRoutesOptions): CallerRoutes {
+        return new CallerRoutes(options);
     }
 
     async serve(requestId: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -44,7 +44,7 @@
         if (this.serveHealth(path, response)) {
             return;
         }
-        if (this.parts.isDraining()) {
+        if (this.options.isDraining()) {
             sendRefusal(
                 response,
                 notRun("shuttingDown", "this daemon is shutting down", drainRetryAfterMilliseconds),
@@ -52,8 +52,8 @@
             );
             return;
         }
-        if (this.parts.open.size >= this.parts.limits.openRequests) {
-            const message = `${this.parts.limits.openRequests} requests are already in progress at this daemon`;
+        if (this.options.openRequests.size >= this.options.limits.openRequests) {
+            const message = `${this.options.limits.openRequests} requests are already in progress at this daemon`;
             sendRefusal(response, notRun("poolFull", message, overloadRetryAfterMilliseconds), requestId);
             return;
         }
@@ -63,7 +63,7 @@
                 await this.track(
                     requestId,
                     response,
-                    scope => this.parts.calls.serve(form, path, requestId, request, response, scope),
+                    scope => this.options.calls.serve(form, path, requestId, request, response, scope),
                 );
             }
             return;
@@ -91,7 +91,7 @@
             );
             return;
         }
-        const declaration = this.parts.control.view().configuration.declaration;
+        const declaration = this.options.control.view().configuration.declaration;
         const route = findService(declaration, request.headers.host, path);
         if (route === undefined) {
             sendRefusal(response, notRun("unknownRoute", `no service matches the path ${path}`), requestId);
@@ -100,24 +100,24 @@
         await this.track(
             requestId,
             response,
-            scope => this.parts.services.serve(route, requestId, request, response, scope),
+            scope => this.options.services.serve(route, requestId, request, response, scope),
         );
     }
 
-    /** A request counts as in progress once its headers are read, so that a drain waits for one that is still being received. */
+    /** Counts a request as in progress from when its headers are read, so that a drain waits for one that is still being received. */
     private async track(
         requestId: string,
         response: ServerResponse,
         serve: (scope: RequestScope) => Promise<void>,
     ): Promise<void> {
         const scope = RequestScope.create();
-        this.parts.open.add(requestId, scope);
+        this.options.openRequests.add(requestId, scope);
         try {
             await serve(scope);
-            await waitUntilFlushed(response, this.parts.limits.stalledReader, this.parts.clock);
+            await waitUntilFlushed(response, this.options.limits.stalledReader, this.options.clock);
         }
         finally {
-            this.parts.open.remove(requestId);
+            this.options.openRequests.remove(requestId);
         }
     }
 
@@ -127,7 +127,7 @@
             return true;
         }
         if (path === "/readyz") {
-            const ready = this.parts.isReady();
+            const ready = this.options.isReady();
             sendJson(response, ready ? 200 : 503, { status: ready ? "ready" : "notReady" });
             return true;
         }
@@ -149,7 +149,7 @@
     }
 
     private sendModels(response: ServerResponse): void {
-        const pools = Object.values(this.parts.control.view().configuration.declaration.pools);
+        const pools = Object.values(this.options.control.view().configuration.declaration.pools);
         const names = new Set(
             pools.flatMap(pool =>
                 pool.models.flatMap(model => [model.name, ...model.adapters.map(adapter => `${model.name}:${adapter}`)])
--- a/packages/basilpaddle/src/node/daemon/entry/entryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/entryDaemon.ts
@@ -28,11 +28,11 @@
 import { ServiceCalls } from "./services/serviceCalls.js";
 import { ServiceConnections } from "./services/serviceConnections.js";
 
-/** How long a drain waits for engines to confirm cancels, and for run records to be decided. */
+/** How long a drain waits for engines to confirm cancels, and for a quorum to commit run records. */
 const settleTimeoutMilliseconds = 5_000;
 
-/** Dependencies of an entry daemon. */
-export type EntryDaemonParts = {
+/** Settings and dependencies of an entry daemon. */
+export type EntryDaemonOptions = {
     readonly settings: EntrySettings;
     readonly control: ControlClient;
     readonly placement: Placement;
@@ -47,30 +47,31 @@
 
 /** Result of a drain. */
 export type DrainReport = {
-    /** Identifiers of the requests that were stopped by a second call of `drain`. */
-    readonly cut: readonly string[];
-    /** Cancels that the engine didn't confirm in time, and run records that no quorum decided in time. */
+    /** Identifiers of the requests that were aborted by a second call of `drain`. */
+    readonly abortedRequests: readonly string[];
+    /** Cancels that the engine didn't confirm in time. */
     readonly unconfirmedCancels: number;
+    /** Run records that no quorum committed in time. */
     readonly undecidedRuns: number;
 };
 
 /** Serves callers and backend servers over HTTP. */
 export class EntryDaemon {
     private readonly store = DisposableStore.create();
-    private readonly open = OpenRequests.create();
+    private readonly requestsInProgress = OpenRequests.create();
     private callerListener!: HttpServer;
     private backendListener!: HttpServer;
     private draining: Promise<DrainReport> | undefined;
-    private readonly cut: string[] = [];
+    private readonly abortedRequestIds: string[] = [];
 
     private constructor(
-        private readonly parts: EntryDaemonParts,
-        private readonly request: RequestParts,
+        private readonly options: EntryDaemonOptions,
+        private readonly requestDependencies: RequestParts,
     ) {}
 
-    static async create(parts: EntryDaemonParts): Promise<EntryDaemon> {
-        const request = requestParts(parts);
-        const daemon = new EntryDaemon(parts, request);
+    static async create(options: EntryDaemonOptions): Promise<EntryDaemon> {
+        const requestDependencies = createRequestDependencies(options);
+        const daemon = new EntryDaemon(options, requestDependencies);
         await daemon.start(await PrefixHash.create());
         return daemon;
     }
@@ -87,55 +88,63 @@
 
     /** Requests in progress. */
     openRequests(): number {
-        return this.open.size;
+        return this.requestsInProgress.size;
     }
 
     /** Whether the platform's load balancer should send requests to this daemon. */
     isReady(): boolean {
-        return this.draining === undefined && this.parts.control.mayStart();
+        return this.draining === undefined && this.options.control.mayStart();
     }
 
     /**
-     * Refuses new requests and waits without a time limit until those in progress have ended. A second call stops them;
-     * both calls then report which requests were stopped.
+     * Refuses new requests and waits without a time limit until those in progress have ended. A second call aborts them;
+     * both calls then report which requests were aborted.
      */
     drain(): Promise<DrainReport> {
         if (this.draining !== undefined) {
-            this.cut.push(...this.open.stopAll());
+            this.abortedRequestIds.push(...this.requestsInProgress.stopAll());
             return this.draining;
         }
-        this.parts.logger.info("draining", { open: this.open.size });
+        this.options.logger.info("draining", { open: this.requestsInProgress.size });
         this.draining = this.waitUntilDrained();
         this.callerListener.closeIdle();
         return this.draining;
     }
 
-    /** Drains unless that was already done, then closes the listeners and engine clients, but not the control client or the placement. */
+    /** Drains if `drain` wasn't called before, then closes the listeners and engine clients, but not the control client or the placement. */
     async close(): Promise<void> {
         await (this.draining ?? this.drain());
         await this.store.dispose();
     }
 
     private async start(prefixHash: PrefixHash): Promise<void> {
-        const { settings, control, logger } = this.parts;
-        const calls = ModelCalls.create({ request: this.request, prefixHash, limits: settings.limits });
-        const connections = ServiceConnections.create(this.parts.randomness);
+        const { settings, control, logger } = this.options;
+        const calls = ModelCalls.create({
+            requestDependencies: this.requestDependencies,
+            prefixHash,
+            limits: settings.limits,
+        });
+        const connections = ServiceConnections.create(this.options.randomness);
         const routes = CallerRoutes.create({
             calls,
-            services: ServiceCalls.create({ request: this.request, limits: settings.limits, connections }),
+            services: ServiceCalls.create({
+                requestDependencies: this.requestDependencies,
+                limits: settings.limits,
+                connections,
+            }),
             control,
-            open: this.open,
-            clock: this.parts.clock,
+            openRequests: this.requestsInProgress,
+            clock: this.options.clock,
             limits: settings.limits,
             isReady: () => this.isReady(),
             isDraining: () => this.draining !== undefined,
         });
-        const messages = BackendMessages.create({ ...this.request, settings });
+        const messages = BackendMessages.create({ ...this.requestDependencies, settings });
         this.store.add(() => connections.close());
-        this.store.add(() => this.request.engines.close());
-        this.store.add(() => this.request.cancellations.close());
-        this.store.add(() => this.request.runRecords.close());
-        this.store.add(() => this.request.crashDetector.close());
+        this.store.add(() => this.requestDependencies.engines.close());
+        this.store.add(() => this.requestDependencies.cancellations.close());
+        this.store.add(() => this.requestDependencies.runRecords.close());
+        this.store.add(() => this.requestDependencies.crashDetector.close());
         this.store.add(control.onView(view => this.applyView(view)));
         const receiveTimeout = settings.limits.receiveTimeout;
         this.callerListener = await HttpServer.create({
@@ -159,13 +168,13 @@
         response: ServerResponse,
         serve: (requestId: string) => Promise<void>,
     ): void {
-        const requestId = this.parts.randomness.identifier();
+        const requestId = this.options.randomness.identifier();
         response.setHeader(callerHeaders.requestId, requestId);
         if (this.draining !== undefined) {
             response.setHeader("connection", "close");
         }
         serve(requestId).catch((failure: unknown) => {
-            this.parts.logger.error("request failed with an internal error", {
+            this.options.logger.error("request failed with an internal error", {
                 request: requestId,
                 path: request.url,
                 failure: failure instanceof Error ? failure.stack : String(failure),
@@ -176,31 +185,31 @@
     }
 
     private async waitUntilDrained(): Promise<DrainReport> {
-        await this.open.untilEmpty();
+        await this.requestsInProgress.untilEmpty();
         const [unconfirmedCancels, undecidedRuns] = await Promise.all([
-            this.request.cancellations.drain(settleTimeoutMilliseconds),
-            this.request.runRecords.drain(settleTimeoutMilliseconds),
+            this.requestDependencies.cancellations.drain(settleTimeoutMilliseconds),
+            this.requestDependencies.runRecords.drain(settleTimeoutMilliseconds),
         ]);
-        return { cut: this.cut, unconfirmedCancels, undecidedRuns };
+        return { abortedRequests: this.abortedRequestIds, unconfirmedCancels, undecidedRuns };
     }
 
     private applyView(view: View): void {
-        this.request.marks.removeReflected(view);
+        this.requestDependencies.marks.removeReflected(view);
         const urls = new Set(Object.values(view.backends).map(backend => backend.announcement.url));
-        this.request.engines.closeUnused(urls).catch((failure: unknown) => {
-            this.parts.logger.warn("the client of a removed engine didn't close", { failure: String(failure) });
+        this.requestDependencies.engines.closeUnused(urls).catch((failure: unknown) => {
+            this.options.logger.warn("failed to close the client of a removed engine", { failure: String(failure) });
         });
     }
 }
 
-function requestParts(parts: EntryDaemonParts): RequestParts {
-    const { settings, control, clock, randomness, logger, metrics } = parts;
-    const engines = EngineClients.create(parts.engines);
+function createRequestDependencies(options: EntryDaemonOptions): RequestParts {
+    const { settings, control, clock, randomness, logger, metrics } = options;
+    const engines = EngineClients.create(options.engines);
     const view = () => control.view();
     return {
         failureDomain: settings.failureDomain,
         control,
-        placement: parts.placement,
+        placement: options.placement,
         engines,
         cancellations: Cancellations.create({ engines, view, clock, randomness, logger, metrics }),
         runRecords: RunRecords.create({ control, clock, randomness, logger, metrics }),
@@ -211,7 +220,7 @@
         logger,
         metrics,
         crashDetector: CrashDetector.create({
-            quarantine: parts.quarantinedRequests,
+            quarantine: options.quarantinedRequests,
             isGone: incarnation => hasEnded(control.view(), incarnation),
             listens: probeListening,
             clock,
--- a/packages/basilpaddle/src/node/daemon/entry/expectedTokens.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/expectedTokens.ts
@@ -3,7 +3,7 @@
 const maxPools = 1_000;
 const smoothingFactor = 0.05;
 
-/** Estimates the tokens of an answer by an exponential moving average over the answers of its pool. */
+/** Estimates the number of tokens of an answer by an exponential moving average over the answers of its pool. */
 export class ExpectedTokens {
     private readonly means = new LRUCache<string, number>({ max: maxPools });
 
--- a/packages/basilpaddle/src/node/daemon/entry/httpServer.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/httpServer.ts
@@ -13,7 +13,7 @@
 const checkIntervalMilliseconds = 1_000;
 
 /** Settings and request handler of an HTTP listener. */
-export type HttpServerParts = {
+export type HttpServerOptions = {
     readonly address: Address;
     /** Milliseconds for a caller to send a whole request. */
     readonly receiveTimeout: number;
@@ -21,25 +21,25 @@
     readonly handler: (request: http.IncomingMessage, response: http.ServerResponse) => void;
 };
 
-/** An HTTP listener. It sets every timeout of Node's server explicitly, as none of them may end an answer in progress. */
+/** An HTTP listener. Every timeout of Node's server is set explicitly, since none of them may interrupt an answer in progress. */
 export class HttpServer {
     private readonly responsesBySocket = new WeakMap<Socket, Set<http.ServerResponse>>();
 
-    private constructor(private readonly server: http.Server, private readonly parts: HttpServerParts) {}
+    private constructor(private readonly server: http.Server, private readonly options: HttpServerOptions) {}
 
-    static async create(parts: HttpServerParts): Promise<HttpServer> {
+    static async create(options: HttpServerOptions): Promise<HttpServer> {
         const server = http.createServer({
             maxHeaderSize: maxHeaderBytes,
-            headersTimeout: Math.min(headersTimeoutMilliseconds, parts.receiveTimeout),
-            // The reader of the body has a shorter timeout and gives a more specific answer; this one covers all other cases.
-            requestTimeout: parts.receiveTimeout + receiveGraceMilliseconds,
+            headersTimeout: Math.min(headersTimeoutMilliseconds, options.receiveTimeout),
+            // `readBody` has a shorter timeout and gives a more specific answer; this one covers all other cases.
+            requestTimeout: options.receiveTimeout + receiveGraceMilliseconds,
             keepAliveTimeout: keepAliveTimeoutMilliseconds,
             connectionsCheckingInterval: checkIntervalMilliseconds,
             noDelay: true,
         });
         // An idle timeout of the socket would break a stream whose engine sends nothing for a long time.
         server.timeout = 0;
-        const created = new HttpServer(server, parts);
+        const created = new HttpServer(server, options);
         server.on("request", (request, response) => created.handleRequest(request, response));
         server.on(
             "clientError",
@@ -47,7 +47,7 @@
         );
         await new Promise<void>((resolve, reject) => {
             server.once("error", reject);
-            server.listen(parts.address.port, parts.address.host, () => {
+            server.listen(options.address.port, options.address.host, () => {
                 server.off("error", reject);
                 resolve();
             });
@@ -68,9 +68,9 @@
     async close(): Promise<void> {
         const closed = new Promise<void>(resolve => this.server.close(() => resolve()));
         this.server.closeIdleConnections();
-        const sweep = setInterval(() => this.server.closeIdleConnections(), checkIntervalMilliseconds);
+        const closeIdleTimer = setInterval(() => this.server.closeIdleConnections(), checkIntervalMilliseconds);
         await closed;
-        clearInterval(sweep);
+        clearInterval(closeIdleTimer);
     }
 
     /** Closes every connection, also those with a request in progress. */
@@ -87,18 +87,18 @@
         request.on(
             "error",
             failure =>
-                this.parts.logger.debug("the connection failed while a request was being received", {
+                this.options.logger.debug("the connection failed while a request was being received", {
                     failure: failure.message,
                 }),
         );
         response.on(
             "error",
             failure =>
-                this.parts.logger.debug("the connection failed while an answer was being sent", {
+                this.options.logger.debug("the connection failed while an answer was being sent", {
                     failure: failure.message,
                 }),
         );
-        this.parts.handler(request, response);
+        this.options.handler(request, response);
     }
 
     /** Answers malformed HTTP and requests that time out, unless that would corrupt an answer in progress on the same socket. */
@@ -106,8 +106,8 @@
         const responses = [...this.responsesBySocket.get(socket) ?? []];
         if (!socket.writable || responses.length > 0) {
             const [onlyResponse] = responses;
-            // A request whose body is still being read is answered by that reader. A body that is already being forwarded
-            // has an unknown outcome, so the connection is only closed.
+            // While the body is being read, `readBody` answers the request. If the body is already being forwarded, the outcome
+            // is unknown, so the connection is only closed.
             if (
                 responses.length !== 1 || onlyResponse?.req.complete !== false || !onlyResponse.req.emit(malformedEvent)
             ) {
--- a/packages/basilpaddle/src/node/daemon/entry/modelAnswer.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/modelAnswer.ts
@@ -5,8 +5,8 @@
 import type { ModelRequest } from "./modelRequest.js";
 import { sendRefusal } from "./reply.js";
 
-/** Dependencies of an answer to a model request. */
-export type ModelAnswerParts = {
+/** Options of an answer to a model request. */
+export type ModelAnswerOptions = {
     readonly request: ModelRequest;
     readonly requestId: string;
     readonly response: ServerResponse;
@@ -25,23 +25,23 @@
 
 /** The answer to a model request in the format of the callers' API. */
 export abstract class ModelAnswer extends Answer {
-    protected readonly texts: string[] = [];
+    protected readonly tokenTexts: string[] = [];
     protected readonly created: number;
 
-    protected constructor(protected readonly parts: ModelAnswerParts) {
+    protected constructor(protected readonly options: ModelAnswerOptions) {
         super();
-        this.created = Math.floor(parts.clock.wall() / 1_000);
+        this.created = Math.floor(options.clock.wall() / 1_000);
     }
 
-    static create(parts: ModelAnswerParts): ModelAnswer {
-        return parts.request.stream ? new StreamedAnswer(parts) : new BufferedAnswer(parts);
+    static create(options: ModelAnswerOptions): ModelAnswer {
+        return options.request.stream ? new StreamedAnswer(options) : new BufferedAnswer(options);
     }
 
     /** Tells the caller that the request was refused or that the answer is incomplete. */
     abstract refuse(refusal: Refusal): void;
 
     protected envelope(kind: "whole" | "chunk"): Record<string, unknown> {
-        const { request, requestId } = this.parts;
+        const { request, requestId } = this.options;
         const chat = request.form === "chat";
         const object = chat ? (kind === "whole" ? "chat.completion" : "chat.completion.chunk") : "text_completion";
         return {
@@ -62,12 +62,12 @@
 }
 
 class BufferedAnswer extends ModelAnswer {
-    constructor(parts: ModelAnswerParts) {
-        super(parts);
+    constructor(options: ModelAnswerOptions) {
+        super(options);
     }
 
     override token(text: string): undefined {
-        this.texts.push(text);
+        this.tokenTexts.push(text);
     }
 
     override kept(end: AnswerEnd): StoredAnswer {
@@ -76,21 +76,21 @@
 
     override finish(end: AnswerEnd): void {
         const body = this.body(end);
-        this.parts.response.writeHead(200, {
+        this.options.response.writeHead(200, {
             "content-type": "application/json",
             "content-length": Buffer.byteLength(body),
-            [callerHeaders.requestId]: this.parts.requestId,
+            [callerHeaders.requestId]: this.options.requestId,
         });
-        this.parts.response.end(body);
+        this.options.response.end(body);
     }
 
     override refuse(refusal: Refusal): void {
-        sendRefusal(this.parts.response, refusal, this.parts.requestId);
+        sendRefusal(this.options.response, refusal, this.options.requestId);
     }
 
     private body(end: AnswerEnd): string {
-        const text = this.texts.join("");
-        const content = this.parts.request.form === "chat"
+        const text = this.tokenTexts.join("");
+        const content = this.options.request.form === "chat"
             ? { message: { role: "assistant", content: text } }
             : { text };
         return JSON.stringify({
@@ -102,25 +102,25 @@
 }
 
 class StreamedAnswer extends ModelAnswer {
-    private readonly head: string;
-    private readonly tail: string;
+    private readonly eventPrefix: string;
+    private readonly eventSuffix: string;
     private pendingOutput: string = "";
     private flushing = false;
     private headersWritten = false;
 
-    constructor(parts: ModelAnswerParts) {
-        super(parts);
+    constructor(options: ModelAnswerOptions) {
+        super(options);
         // Only the text differs between the events of two tokens; the rest is serialised once.
-        const [head, tail] = this.event({ text: "\u0000" }).split("\"\\u0000\"") as [string, string];
-        this.head = head;
-        this.tail = tail;
+        const [eventPrefix, eventSuffix] = this.event({ text: "\u0000" }).split("\"\\u0000\"") as [string, string];
+        this.eventPrefix = eventPrefix;
+        this.eventSuffix = eventSuffix;
     }
 
     override token(text: string): Promise<void> | undefined {
-        if (this.parts.retainsText) {
-            this.texts.push(text);
+        if (this.options.retainsText) {
+            this.tokenTexts.push(text);
         }
-        this.pendingOutput += this.head + JSON.stringify(text) + this.tail;
+        this.pendingOutput += this.eventPrefix + JSON.stringify(text) + this.eventSuffix;
         if (!this.headersWritten) {
             this.writeHeaders();
             this.flush();
@@ -130,12 +130,12 @@
             this.flushing = true;
             setImmediate(() => this.flush());
         }
-        const bufferedLength = this.pendingOutput.length + this.parts.response.writableLength;
-        return bufferedLength > this.parts.limits.waitingBytes ? this.waitForDrain() : undefined;
+        const bufferedLength = this.pendingOutput.length + this.options.response.writableLength;
+        return bufferedLength > this.options.limits.waitingBytes ? this.waitForDrain() : undefined;
     }
 
     override kept(end: AnswerEnd): StoredAnswer {
-        const text = this.head + JSON.stringify(this.texts.join("")) + this.tail;
+        const text = this.eventPrefix + JSON.stringify(this.tokenTexts.join("")) + this.eventSuffix;
         return {
             status: 200,
             headers: eventHeaders,
@@ -147,13 +147,13 @@
         if (!this.headersWritten) {
             this.writeHeaders();
         }
-        this.parts.response.end(this.pendingOutput + this.closingEvents(end));
+        this.options.response.end(this.pendingOutput + this.closingEvents(end));
         this.pendingOutput = "";
     }
 
     /** Destroys the connection if output was already sent, so that a truncated answer can't be mistaken for a complete one. */
     override refuse(refusal: Refusal): void {
-        const { response, requestId } = this.parts;
+        const { response, requestId } = this.options;
         if (!this.headersWritten) {
             sendRefusal(response, refusal, requestId);
             return;
@@ -161,43 +161,43 @@
         const event = `event: error\ndata: ${JSON.stringify(errorBody(refusal, requestId))}\n\n`;
         response.write(this.pendingOutput + event, () => response.destroy());
         // The write never completes for a caller that doesn't read, and the connection would stay open.
-        const disarm = this.parts.clock.after(errorEventTimeoutMilliseconds, () => response.destroy());
-        response.once("close", disarm);
+        const cancelTimer = this.options.clock.after(errorEventTimeoutMilliseconds, () => response.destroy());
+        response.once("close", cancelTimer);
         this.pendingOutput = "";
     }
 
     private writeHeaders(): void {
         this.headersWritten = true;
-        this.parts.response.writeHead(200, { ...eventHeaders, [callerHeaders.requestId]: this.parts.requestId });
+        this.options.response.writeHead(200, { ...eventHeaders, [callerHeaders.requestId]: this.options.requestId });
         this.pendingOutput = this.openingEvent() + this.pendingOutput;
     }
 
     private flush(): void {
         this.flushing = false;
-        if (this.pendingOutput === "" || this.parts.response.destroyed) {
+        if (this.pendingOutput === "" || this.options.response.destroyed) {
             this.pendingOutput = "";
             return;
         }
-        this.parts.response.write(this.pendingOutput);
+        this.options.response.write(this.pendingOutput);
         this.pendingOutput = "";
     }
 
-    /** Settles once the caller reads again or has disconnected. One that stops reading for too long counts as disconnected. */
+    /** Settles once the caller reads again or has disconnected. A caller that reads nothing for `stalledReader` milliseconds counts as disconnected. */
     private waitForDrain(): Promise<void> {
         this.flush();
-        const { response, clock, scope, limits } = this.parts;
+        const { response, clock, scope, limits } = this.options;
         if (response.writableLength <= limits.waitingBytes) {
             return Promise.resolve();
         }
         return new Promise(resolve => {
             const end = () => {
-                disarm();
+                cancelTimer();
                 response.off("drain", end);
                 response.off("close", end);
                 scope.signal.removeEventListener("abort", end);
                 resolve();
             };
-            const disarm = clock.after(limits.stalledReader, () => scope.stop("callerGone"));
+            const cancelTimer = clock.after(limits.stalledReader, () => scope.stop("callerGone"));
             response.once("drain", end);
             response.once("close", end);
             scope.signal.addEventListener("abort", end, { once: true });
@@ -205,11 +205,11 @@
     }
 
     private openingEvent(): string {
-        return this.parts.request.form === "chat" ? this.event({ role: "assistant", text: "" }) : "";
+        return this.options.request.form === "chat" ? this.event({ role: "assistant", text: "" }) : "";
     }
 
     private closingEvents(end: AnswerEnd): string {
-        const usage = this.parts.request.includeUsage
+        const usage = this.options.request.includeUsage
             ? `data: ${JSON.stringify({ ...this.envelope("chunk"), choices: [], usage: this.usage(end) })}\n\n`
             : "";
         return `${this.event({ end: end.reason })}${usage}data: [DONE]\n\n`;
@@ -217,7 +217,9 @@
 
     private event(part: { readonly text?: string; readonly role?: string; readonly end?: string; }): string {
         const { text, role, end } = part;
-        const content = this.parts.request.form === "chat" ? { delta: { role, content: text } } : { text: text ?? "" };
+        const content = this.options.request.form === "chat"
+            ? { delta: { role, content: text } }
+            : { text: text ?? "" };
         const choices = [{ index: 0, ...content, finish_reason: end ?? jsonNull }];
         return `data: ${JSON.stringify({ ...this.envelope("chunk"), choices })}\n\n`;
     }
--- a/packages/basilpaddle/src/node/daemon/entry/modelCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/modelCalls.ts
@@ -34,9 +34,9 @@
 
 const defaultDeadlineMilliseconds = 600_000;
 
-/** Dependencies of the model API. */
-export type ModelCallParts = {
-    readonly request: RequestParts;
+/** Limits and dependencies of the model API. */
+export type ModelCallsOptions = {
+    readonly requestDependencies: RequestParts;
     readonly prefixHash: PrefixHash;
     readonly limits: EntrySettings["limits"];
 };
@@ -47,10 +47,10 @@
 export class ModelCalls {
     private readonly expected = ExpectedTokens.create();
 
-    private constructor(private readonly parts: ModelCallParts) {}
+    private constructor(private readonly options: ModelCallsOptions) {}
 
-    static create(parts: ModelCallParts): ModelCalls {
-        return new ModelCalls(parts);
+    static create(options: ModelCallsOptions): ModelCalls {
+        return new ModelCalls(options);
     }
 
     /** Handles one call; settles once it is answered, refused or abandoned. */
@@ -62,13 +62,13 @@
         response: ServerResponse,
         scope: RequestScope,
     ): Promise<void> {
-        const { clock } = this.parts.request;
+        const { clock } = this.options.requestDependencies;
         const receivedAt = clock.monotonic();
-        const body = await readBody(request, response, this.parts.limits, clock);
+        const body = await readBody(request, response, this.options.limits, clock);
         const resolved = body.chain(bytes => this.resolve(form, path, requestId, request, bytes, receivedAt));
         if (resolved.isLeft()) {
             const refusal = resolved.extract() as Refusal;
-            this.parts.request.metrics.count("basilpaddle_refusals_total", {
+            this.options.requestDependencies.metrics.count("basilpaddle_refusals_total", {
                 pool: "",
                 code: refusal.code,
                 outcome: refusal.outcome,
@@ -84,14 +84,14 @@
         response: ServerResponse,
         scope: RequestScope,
     ): Promise<void> {
-        const { request: parts, limits } = this.parts;
+        const { requestDependencies: dependencies, limits } = this.options;
         const { requestId } = work;
         const answer = ModelAnswer.create({
             request,
             requestId,
             response,
             scope,
-            clock: parts.clock,
+            clock: dependencies.clock,
             limits,
             retainsText: work.run !== undefined,
         });
@@ -100,13 +100,13 @@
         if (response.destroyed) {
             onClose();
         }
-        const end = await RequestDriver.drive(parts, work, answer, scope);
+        const end = await RequestDriver.drive(dependencies, work, answer, scope);
         response.off("close", onClose);
         if (end.kind === "replayed") {
             sendRecordedAnswer(response, end.answer);
         }
         else if (end.kind === "refused") {
-            parts.logger.debug("request refused", { request: requestId, ...end.refusal });
+            dependencies.logger.debug("request refused", { request: requestId, ...end.refusal });
             answer.refuse(end.refusal);
         }
         else {
@@ -122,7 +122,7 @@
         bytes: Buffer,
         receivedAt: number,
     ): Either<Refusal, ResolvedRequest> {
-        const declaration = this.parts.request.control.view().configuration.declaration;
+        const declaration = this.options.requestDependencies.control.view().configuration.declaration;
         return readCallerOptions(request).chain(callerOptions =>
             parseJson(bytes)
                 .chain(body => readModelRequest(form, body))
@@ -158,10 +158,10 @@
             digest: digestOf({ caller: callerOptions.organisation, method: "POST", target: path, body }),
             generation: {
                 ...generationOf(request, target),
-                version: servedVersion(this.parts.request.control.view(), target.poolName, target.model),
+                version: servedVersion(this.options.requestDependencies.control.view(), target.poolName, target.model),
             },
             promptTokens: estimateTokens(request.prompt),
-            prefixes: this.parts.prefixHash.prefixes(request.prompt),
+            prefixes: this.options.prefixHash.prefixes(request.prompt),
             blockTokens,
             expectedTokens: this.expected.estimate(target.poolName, request.maxTokens),
             receivedAt,
@@ -185,6 +185,6 @@
     if (callerOptions.key === undefined) {
         return Left(notRun("keyMissing", `a non-idempotent request needs the header ${callerHeaders.key}`));
     }
-    // The path stands for the route: the name of a route may change between a request and its retry.
+    // The run is identified by the path instead of the route, since a route may be renamed between a request and its retry.
     return Right(identifyRun(callerOptions.organisation, path, callerOptions.key, bytes));
 }
--- a/packages/basilpaddle/src/node/daemon/entry/modelRequest.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/modelRequest.ts
@@ -19,7 +19,7 @@
 /** A validated model request. */
 export type ModelRequest = {
     readonly form: ModelForm;
-    /** As given by the caller, with the adapter if there is one. */
+    /** As named by the caller, with the adapter if there is one. */
     readonly model: string;
     readonly stream: boolean;
     readonly includeUsage: boolean;
--- a/packages/basilpaddle/src/node/daemon/entry/openRequests.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/openRequests.ts
@@ -33,8 +33,8 @@
 
     /** Stops all requests and returns their identifiers. */
     stopAll(): readonly string[] {
-        const stopped = [...this.scopes.keys()];
+        const stoppedRequests = [...this.scopes.keys()];
         this.scopes.forEach(scope => scope.stop("shuttingDown"));
-        return stopped;
+        return stoppedRequests;
     }
 }
--- a/packages/basilpaddle/src/node/daemon/entry/reply.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/reply.ts
@@ -47,8 +47,8 @@
 
 /**
  * Ends an answer that is sent before its request was received completely. Closing at once would reset the connection
- * while the caller still sends; the reset can overtake the answer, and the caller would see a connection error without
- * the reason.
+ * while the caller is still sending; the reset can overtake the answer, and the caller would see a connection error
+ * without the reason of the refusal.
  */
 function endAfterRequest(response: ServerResponse, body: string): void {
     const request = response.req;
@@ -84,10 +84,10 @@
     response.end(answer.body);
 }
 
-/** Outcome of a request that failed with an internal error of this daemon: whether it ran isn't known. */
+/** Outcome of a request that failed with an internal error of this daemon: it isn't known whether the request ran. */
 export const internalErrorOutcome: Outcome = "unknown";
 
-/** A header's value. Repeated headers are joined, which the validation of each header then refuses. */
+/** Value of a header. Repeated headers are joined by commas, and the validation of each header then refuses the joined value. */
 export function header(request: IncomingMessage, name: string): string | undefined {
     const value = request.headers[name];
     return Array.isArray(value) ? value.join(",") : value;
--- a/packages/basilpaddle/src/node/daemon/entry/requestBody.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/requestBody.ts
@@ -32,14 +32,14 @@
                 return;
             }
             ended = true;
-            disarm();
+            cancelTimer();
             if (result.isLeft()) {
                 response.setHeader("connection", "close");
                 chunks.length = 0;
             }
             resolve(result);
         };
-        const disarm = clock.after(
+        const cancelTimer = clock.after(
             limits.receiveTimeout,
             () =>
                 end(Left(
--- a/packages/basilpaddle/src/node/daemon/entry/services/recordedCall.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/recordedCall.ts
@@ -15,20 +15,20 @@
 const recordedHeaders = ["content-type", "content-encoding", "location", "etag"];
 
 /**
- * Forwards the answer of a recorded call and records it. The last chunk is held until the record is stored, so a caller
- * that received the whole answer can rely on a retry being given the same one. The call goes on if the caller
- * disconnects: the service may have executed it already, and a retry with the same key is given its answer.
+ * Forwards the answer of a recorded call and records it. The last chunk is sent only after the record is stored, so a
+ * caller that received the whole answer gets the same answer on a retry. The call continues if the caller disconnects: the
+ * service may have executed it already, and a retry with the same key gets its answer.
  */
 export async function forwardRecordedAnswer(
-    parts: RequestParts,
+    dependencies: RequestParts,
     run: Run,
     call: ServiceCall,
     answer: Dispatcher.ResponseData,
 ): Promise<void> {
     const chunks: Buffer[] = [];
-    const mayProve = engineRefusalStatuses.has(answer.statusCode);
+    const mayProveNotRun = engineRefusalStatuses.has(answer.statusCode);
     let length = 0;
-    let last: Buffer | undefined;
+    let pendingChunk: Buffer | undefined;
     try {
         for await (const chunk of answer.body as AsyncIterable<Buffer>) {
             length += chunk.length;
@@ -36,41 +36,41 @@
             if (isRecorded) {
                 chunks.push(chunk);
             }
-            if (mayProve && length <= maxProofBytes) {
+            if (mayProveNotRun && length <= maxProofBytes) {
                 continue;
             }
-            if (last === undefined) {
-                last = Buffer.concat(isRecorded ? chunks : [...chunks, chunk]);
+            if (pendingChunk === undefined) {
+                pendingChunk = Buffer.concat(isRecorded ? chunks : [...chunks, chunk]);
                 continue;
             }
             if (!call.response.headersSent) {
                 writeHead(call, answer, undefined);
             }
-            await write(call.response, last);
-            last = chunk;
+            await write(call.response, pendingChunk);
+            pendingChunk = chunk;
         }
     }
     catch (failure) {
-        parts.logger.warn("the answer of a service ended prematurely", {
+        dependencies.logger.warn("the answer of a service ended prematurely", {
             request: call.requestId,
             failure: String(failure),
         });
-        await parts.runRecords.finish(run, "failedAfterStarting", undefined);
+        await dependencies.runRecords.finish(run, "failedAfterStarting", undefined);
         throw failure;
     }
-    const proved = mayProve && length <= maxProofBytes && isNotRunProof(Buffer.concat(chunks));
-    const recorded = proved
-        ? parts.runRecords.release(run)
-        : parts.runRecords.finish(
+    const isProvenNotRun = mayProveNotRun && length <= maxProofBytes && isNotRunProof(Buffer.concat(chunks));
+    const recorded = isProvenNotRun
+        ? dependencies.runRecords.release(run)
+        : dependencies.runRecords.finish(
             run,
             "answered",
             length <= maxRecordedBytes ? recordedAnswer(answer, chunks) : undefined,
         );
     await untilAborted(recorded, call.scope.signal, undefined);
     if (!call.response.headersSent) {
-        writeHead(call, answer, proved ? "notRun" : undefined);
+        writeHead(call, answer, isProvenNotRun ? "notRun" : undefined);
     }
-    call.response.end(last ?? Buffer.concat(chunks));
+    call.response.end(pendingChunk ?? Buffer.concat(chunks));
 }
 
 /** Outcome reported to the caller for a call whose answer ended prematurely. */
@@ -88,7 +88,7 @@
     return { status: answer.statusCode, headers, body: Buffer.concat(chunks) };
 }
 
-/** A 503 status alone doesn't prove that the call wasn't executed: it may come from a component that timed out waiting for another. */
+/** A 503 status alone doesn't prove that the call wasn't executed: it may come from a component that timed out while waiting for another one. */
 function isNotRunProof(body: Buffer): boolean {
     try {
         return engineRefusalSchema.safeParse(JSON.parse(body.toString())).success;
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceCall.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceCall.ts
@@ -27,8 +27,8 @@
     readonly scope: RequestScope;
     /** Disposed when the call has ended. */
     readonly store: DisposableStore;
-    /** Digest and attempt of the call; undefined where the body isn't known before it is forwarded. */
-    readonly arrived?: RequestAttempt;
+    /** Digest of the call's content, and its attempt; undefined if the body is streamed, so that its digest isn't known in advance. */
+    readonly attemptIdentity?: RequestAttempt;
 };
 
 /** Result of sending a call to an instance of its service. */
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceCalls.ts
@@ -18,9 +18,9 @@
 import type { ServiceConnections } from "./serviceConnections.js";
 import type { ServiceRoute } from "./serviceRoute.js";
 
-/** Dependencies of calls to plain services. */
-export type ServiceCallParts = {
-    readonly request: RequestParts;
+/** Limits and dependencies of calls to plain services. */
+export type ServiceCallsOptions = {
+    readonly requestDependencies: RequestParts;
     readonly limits: EntrySettings["limits"];
     readonly connections: ServiceConnections;
 };
@@ -30,10 +30,10 @@
 
 /** Forwards calls to plain services. Answers are never cached; only a recorded run is replayed. */
 export class ServiceCalls {
-    private constructor(private readonly parts: ServiceCallParts) {}
+    private constructor(private readonly options: ServiceCallsOptions) {}
 
-    static create(parts: ServiceCallParts): ServiceCalls {
-        return new ServiceCalls(parts);
+    static create(options: ServiceCallsOptions): ServiceCalls {
+        return new ServiceCalls(options);
     }
 
     /** Handles one call. */
@@ -60,34 +60,36 @@
             this.refuse(call, parsed.extract() as Refusal);
             return;
         }
-        const options = parsed.extract() as CallerOptions;
-        const limit = Math.min(route.service.timeout, options.deadline ?? Infinity);
-        store.add(this.parts.request.clock.after(limit, () => scope.stop("deadlineExceeded")));
+        const callerOptions = parsed.extract() as CallerOptions;
+        const limit = Math.min(route.service.timeout, callerOptions.deadline ?? Infinity);
+        store.add(this.options.requestDependencies.clock.after(limit, () => scope.stop("deadlineExceeded")));
         const methods: readonly string[] = route.service.idempotentMethods;
-        if (options.nonIdempotent || !methods.includes(request.method ?? "")) {
-            await this.serveAtMostOnce(call, options, limit);
+        if (callerOptions.nonIdempotent || !methods.includes(request.method ?? "")) {
+            await this.serveAtMostOnce(call, callerOptions, limit);
             return;
         }
         const onClose = () => scope.stop("callerGone");
         response.once("close", onClose);
         store.add(() => void response.off("close", onClose));
-        await this.forward(call, options);
+        await this.forward(call, callerOptions);
     }
 
     /**
      * Forwards an idempotent call, streamed in both directions. A call without a body is retried once at another instance
      * if it is certain that nothing was sent.
      */
-    private async forward(received: ServiceCall, options: CallerOptions): Promise<void> {
-        const body = LimitedBody.forRequest(received.request, this.parts.limits.bodyBytes);
+    private async forward(originalCall: ServiceCall, callerOptions: CallerOptions): Promise<void> {
+        const body = LimitedBody.forRequest(originalCall.request, this.options.limits.bodyBytes);
         // The digest of a streamed body isn't known before the body is forwarded.
-        const call = body === undefined ? { ...received, arrived: arrivedOf(received, options, body) } : received;
+        const call = body === undefined
+            ? { ...originalCall, attemptIdentity: attemptIdentityOf(originalCall, callerOptions, body) }
+            : originalCall;
         const tried = new Set<string>();
         for (;;) {
             const sent = await this.send(
                 call,
                 tried,
-                instance => sendTo(call, instance, this.parts.connections.shared, body, call.scope.signal),
+                instance => sendTo(call, instance, this.options.connections.shared, body, call.scope.signal),
             );
             if (sent.kind === "answer") {
                 writeHead(call, sent.answer, undefined);
@@ -105,28 +107,28 @@
         }
     }
 
-    /** Handles a call that runs at most once: recorded before its first byte is sent, on a dedicated connection. */
-    private async serveAtMostOnce(call: ServiceCall, options: CallerOptions, limit: number): Promise<void> {
-        const { request: parts, limits } = this.parts;
-        if (options.key === undefined) {
+    /** Handles a call that runs at most once: it is recorded before its first byte is sent, and sent on a dedicated connection. */
+    private async serveAtMostOnce(call: ServiceCall, callerOptions: CallerOptions, limit: number): Promise<void> {
+        const { requestDependencies: dependencies, limits } = this.options;
+        if (callerOptions.key === undefined) {
             const message = `this call runs at most once and needs the header ${callerHeaders.key}`;
             this.refuse(call, notRun("keyMissing", message));
             return;
         }
-        const read = await readBody(call.request, call.response, limits, parts.clock);
-        if (read.isLeft()) {
-            this.refuse(call, read.extract() as Refusal);
+        const bodyResult = await readBody(call.request, call.response, limits, dependencies.clock);
+        if (bodyResult.isLeft()) {
+            this.refuse(call, bodyResult.extract() as Refusal);
             return;
         }
-        const body = read.extract() as Buffer;
-        if (!parts.control.mayStart()) {
+        const body = bodyResult.extract() as Buffer;
+        if (!dependencies.control.mayStart()) {
             this.refuse(call, viewExpired.refusal);
             return;
         }
         const { name } = call.route;
-        const content = Buffer.concat([Buffer.from(`${call.request.method} ${call.request.url}\n`), body]);
-        const start = await parts.runRecords.start(
-            identifyRun(options.organisation, `/${name}`, options.key, content),
+        const runContent = Buffer.concat([Buffer.from(`${call.request.method} ${call.request.url}\n`), body]);
+        const start = await dependencies.runRecords.start(
+            identifyRun(callerOptions.organisation, `/${name}`, callerOptions.key, runContent),
             limit,
         );
         if (start.kind === "replayed") {
@@ -136,27 +138,31 @@
             this.refuse(call, start.refusal);
         }
         else {
-            await this.runRecorded({ ...call, arrived: arrivedOf(call, options, body) }, start.run, body);
+            await this.runRecorded(
+                { ...call, attemptIdentity: attemptIdentityOf(call, callerOptions, body) },
+                start.run,
+                body,
+            );
         }
     }
 
     private async runRecorded(call: ServiceCall, run: Run, body: Buffer): Promise<void> {
-        const { runRecords: runs } = this.parts.request;
-        const connections = this.parts.connections;
+        const { runRecords } = this.options.requestDependencies;
+        const connections = this.options.connections;
         const sent = await this.send(call, new Set(), async instance => {
             const connection = connections.createDedicated(instance);
             call.store.add(() => connection.destroy());
             return sendTo(call, instance, connection, body.length > 0 ? body : undefined, call.scope.signal);
         });
         if (sent.kind === "answer") {
-            await forwardRecordedAnswer(this.parts.request, run, call, sent.answer).then(
+            await forwardRecordedAnswer(this.options.requestDependencies, run, call, sent.answer).then(
                 () => this.reportAnswer(call, sent),
                 (failure: unknown) => this.endBrokenAnswer(call, sent.instance, failure),
             );
             return;
         }
         const { outcome } = sent.refusal;
-        await (outcome === "notRun" ? runs.release(run) : runs.finish(run, outcome, undefined));
+        await (outcome === "notRun" ? runRecords.release(run) : runRecords.finish(run, outcome, undefined));
         this.refuse(call, sent.refusal);
     }
 
@@ -165,16 +171,16 @@
         tried: Set<string>,
         sendToInstance: (instance: Announcement) => Promise<SendResult>,
     ): Promise<SendResult> {
-        const { control, marks } = this.parts.request;
+        const { control, marks } = this.options.requestDependencies;
         const { name } = call.route;
-        const { crashDetector: crashes, logger } = this.parts.request;
-        const quarantined = call.arrived && quarantineRefusal(crashes, call.arrived, logger);
+        const { crashDetector, logger } = this.options.requestDependencies;
+        const quarantined = call.attemptIdentity && quarantineRefusal(crashDetector, call.attemptIdentity, logger);
         if (quarantined !== undefined) {
             return { kind: "failed", refusal: quarantined };
         }
         const isExcluded = (instance: Announcement) =>
             tried.has(instance.id) || marks.isLeaving(instance.id, instance.incarnation);
-        const instance = this.parts.connections.pick(control.view(), name, isExcluded);
+        const instance = this.options.connections.pick(control.view(), name, isExcluded);
         if (instance === undefined) {
             return failedResult("noBackend", "notRun", `no instance of the service ${name} is ready`);
         }
@@ -185,7 +191,7 @@
         if (call.scope.stopped !== undefined) {
             return failedResult(call.scope.stopped, "notRun", "stopped before the call was sent");
         }
-        call.store.add(this.parts.connections.trackCall(instance));
+        call.store.add(this.options.connections.trackCall(instance));
         const sent = await sendToInstance(instance);
         if (sent.kind === "failed" && sent.refusal.code === "backendFailed") {
             this.reportLostInstance(call, instance);
@@ -193,15 +199,19 @@
         return sent;
     }
 
-    private reportLostInstance({ arrived }: ServiceCall, instance: Announcement): void {
-        if (arrived !== undefined) {
-            void this.parts.request.crashDetector.reportLostRun(arrived, backendIncarnationOf(instance), "whole");
+    private reportLostInstance({ attemptIdentity }: ServiceCall, instance: Announcement): void {
+        if (attemptIdentity !== undefined) {
+            void this.options.requestDependencies.crashDetector.reportLostRun(
+                attemptIdentity,
+                backendIncarnationOf(instance),
+                "whole",
+            );
         }
     }
 
-    private reportAnswer({ arrived }: ServiceCall, { answer }: Extract<SendResult, { kind: "answer"; }>): void {
-        if (arrived !== undefined && answer.statusCode < firstErrorStatus) {
-            this.parts.request.crashDetector.reportAnswered(arrived);
+    private reportAnswer({ attemptIdentity }: ServiceCall, { answer }: Extract<SendResult, { kind: "answer"; }>): void {
+        if (attemptIdentity !== undefined && answer.statusCode < firstErrorStatus) {
+            this.options.requestDependencies.crashDetector.reportAnswered(attemptIdentity);
         }
     }
 
@@ -209,7 +219,7 @@
         if (call.scope.stopped === undefined) {
             this.reportLostInstance(call, instance);
         }
-        this.parts.request.logger.warn("call to a service ended prematurely", {
+        this.options.requestDependencies.logger.warn("call to a service ended prematurely", {
             request: call.requestId,
             failure: String(failure),
         });
@@ -218,7 +228,7 @@
     }
 
     private refuse(call: ServiceCall, refusal: Refusal): void {
-        this.parts.request.metrics.count("basilpaddle_refusals_total", {
+        this.options.requestDependencies.metrics.count("basilpaddle_refusals_total", {
             pool: call.route.name,
             code: refusal.code,
             outcome: refusal.outcome,
@@ -227,8 +237,8 @@
     }
 }
 
-function arrivedOf(call: ServiceCall, options: CallerOptions, body: Buffer | undefined): RequestAttempt {
+function attemptIdentityOf(call: ServiceCall, callerOptions: CallerOptions, body: Buffer | undefined): RequestAttempt {
     const { method = "GET", url = "/" } = call.request;
-    const digest = digestOf({ caller: options.organisation, method, target: url, body });
+    const digest = digestOf({ caller: callerOptions.organisation, method, target: url, body });
     return { digest, attempt: call.requestId };
 }
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceConnections.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceConnections.ts
@@ -58,9 +58,9 @@
     trackCall(instance: Announcement): () => void {
         this.openCalls.set(instance.id, this.openCallsAt(instance) + 1);
         return () => {
-            const left = this.openCallsAt(instance) - 1;
-            if (left > 0) {
-                this.openCalls.set(instance.id, left);
+            const remaining = this.openCallsAt(instance) - 1;
+            if (remaining > 0) {
+                this.openCalls.set(instance.id, remaining);
             }
             else {
                 this.openCalls.delete(instance.id);
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Creates a dedicated connection for one call that must not be retried. The service may have just closed its end of
-     * a kept-alive connection, and the reset that follows doesn't say whether it received the request.
+     * Creates a dedicated connection for one call that must not be retried. The service may just have closed its end of
+     * a kept-alive connection, and the reset that follows doesn't show whether the service received the request.
      */
     createDedicated(instance: Announcement): Dispatcher {
         return new Client(instance.url, {
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceHeaders.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceHeaders.ts
@@ -16,25 +16,27 @@
 
 /** The end-to-end headers of a message, without the hop-by-hop ones and those that `connection` names. */
 export function endToEnd(headers: IncomingHttpHeaders): Record<string, string | string[]> {
-    const named = String(headers.connection ?? "").toLowerCase().split(",").map(name => name.trim());
-    const dropped = new Set([...hopByHop, ...named]);
-    const kept: Record<string, string | string[]> = {};
+    const connectionHeaders = String(headers.connection ?? "").toLowerCase().split(",").map(name => name.trim());
+    const dropped = new Set([...hopByHop, ...connectionHeaders]);
+    const endToEndOnly: Record<string, string | string[]> = {};
     for (const [name, value] of Object.entries(headers)) {
         if (value !== undefined && !dropped.has(name)) {
-            kept[name] = value;
+            endToEndOnly[name] = value;
         }
     }
-    return kept;
+    return endToEndOnly;
 }
 
 /** Headers of a request as forwarded to a service. */
 export function forwardedHeaders(request: IncomingMessage, requestId: string): Record<string, string | string[]> {
     const headers = endToEnd(request.headers);
-    // "100 Continue" has already been answered when the body arrives.
+    // This daemon has already sent "100 Continue" itself when the body arrives.
     delete headers.expect;
-    const before = headers["x-forwarded-for"];
-    const from = request.socket.remoteAddress ?? "unknown";
-    headers["x-forwarded-for"] = before === undefined ? from : `${String(before)}, ${from}`;
+    const earlierAddresses = headers["x-forwarded-for"];
+    const senderAddress = request.socket.remoteAddress ?? "unknown";
+    headers["x-forwarded-for"] = earlierAddresses === undefined
+        ? senderAddress
+        : `${String(earlierAddresses)}, ${senderAddress}`;
     headers[callerHeaders.requestId] = requestId;
     return headers;
 }
--- a/packages/basilpaddle/src/node/daemon/start/entryStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryStart.ts
@@ -52,10 +52,14 @@
     }
 
     private async shutDown(): Promise<ShutdownReport> {
-        const { cut, unconfirmedCancels, undecidedRuns } = await this.daemon.drain();
-        this.logger.info("requests are drained; closing", { cut: cut.length, unconfirmedCancels, undecidedRuns });
+        const { abortedRequests, unconfirmedCancels, undecidedRuns } = await this.daemon.drain();
+        this.logger.info("requests are drained; closing", {
+            cut: abortedRequests.length,
+            unconfirmedCancels,
+            undecidedRuns,
+        });
         await this.store.dispose();
-        return { cut };
+        return { cut: abortedRequests };
     }
 
     protected override async openComponents(): Promise<void> {
