--- a/packages/basilpaddle/src/node/daemon/control/__tests__/controlDaemon.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/controlDaemon.spec.ts
@@ -125,7 +125,8 @@
 
     it("answers `undecided` for a change when leadership ends before it is in force", async () => {
         // Failure: an operator was answered `accepted` while a daemon still used the old configuration. The change is
-        // committed, a session hasn't applied it, and leadership changes twice; the answer was given beyond the end of its term.
+        // committed, a session hasn't applied it, and leadership is lost and regained; the answer was sent after the term in which
+        // the change was proposed.
         await propose(commands.open("a"));
         const answer = propose(commands.change("one", 0));
         await untilCommitted();
--- a/packages/basilpaddle/src/node/daemon/control/__tests__/controlGroup.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/control/__tests__/controlGroup.spec.ts
@@ -34,10 +34,10 @@
         // change is applied twice. A quorum holds the change, the leader is killed before it answers, and the same change
         // is sent to the next leader; the answer was kept only in the memory of the killed one.
         const entry = await follower("entry-1");
-        const former = await group.leader();
-        const first = group.daemon(former).propose(commands.change("one", 0));
-        await until("the change", () => group.daemon(former).status().history().length === 1 || undefined);
-        await group.kill(former);
+        const killedLeader = await group.leader();
+        const first = group.daemon(killedLeader).propose(commands.change("one", 0));
+        await until("the change", () => group.daemon(killedLeader).status().history().length === 1 || undefined);
+        await group.kill(killedLeader);
         expect((await first).kind).to.be.oneOf(["undecided", "result"]);
         const { result } = await entry.propose(commands.change("one", 0));
         expect(result).to.deep.equal({ kind: "accepted", revision: 1 });
@@ -56,15 +56,15 @@
 
     it("grants leases, and grants those of a dead daemon to another one with a higher fence", async () => {
         const [first, second] = [await follower("entry-1"), await follower("entry-2")];
-        const held = await until("a holder", () => second.view().leases.orders ?? undefined);
-        const [dead, alive] = held.holder.daemon === "entry-1" ? [first, second] : [second, first];
-        dead.stop();
-        const next = await until("another holder", () => {
-            const lease = alive.view().leases.orders;
-            return lease?.holder.daemon === alive.session.daemon ? lease : undefined;
+        const firstLease = await until("a holder", () => second.view().leases.orders ?? undefined);
+        const [stoppedHolder, successor] = firstLease.holder.daemon === "entry-1" ? [first, second] : [second, first];
+        stoppedHolder.stop();
+        const nextLease = await until("another holder", () => {
+            const lease = successor.view().leases.orders;
+            return lease?.holder.daemon === successor.session.daemon ? lease : undefined;
         });
-        expect(next.fence).to.be.above(held.fence);
-        expect(alive.view().sessions).to.have.all.keys(alive.session.daemon);
+        expect(nextLease.fence).to.be.above(firstLease.fence);
+        expect(successor.view().sessions).to.have.all.keys(successor.session.daemon);
     });
 
     it("keeps the session of an entry daemon that is disconnected from only the leader", async () => {
@@ -72,8 +72,8 @@
         // daemons receive its heartbeats. Its connection to the leader fails silently for longer than the session timeout,
         // and the leader closed sessions based only on the heartbeats that it received itself.
         const leader = await group.leader();
-        const [cut, other] = [await follower("entry-1"), await follower("entry-2")];
-        cut.avoid(leader);
+        const [disconnected, other] = [await follower("entry-1"), await follower("entry-2")];
+        disconnected.avoid(leader);
         const since = performance.now();
         await until(
             "twice the session timeout",
@@ -83,27 +83,27 @@
         expect(await group.leader()).to.equal(leader);
         const answer = await other.propose(commands.change("one", 0));
         expect(answer.result).to.include({ kind: "accepted" });
-        expect(cut.view().configuration.changeId).to.equal("one");
+        expect(disconnected.view().configuration.changeId).to.equal("one");
     });
 
     it("brings a daemon that missed hundreds of changes up to date by the whole view and the steps after it", async () => {
         const entry = await follower("entry-1");
         await until("a lease holder, after which the view doesn't change", () => entry.view().leases.orders);
-        const late = new Follower(group, "entry-2");
-        followers.push(late);
+        const lateFollower = new Follower(group, "entry-2");
+        followers.push(lateFollower);
         await Promise.all(Array.from({ length: 500 }, (_, count) => entry.propose(commands.announce(`w${count}`, 1))));
-        const [asked] = names as [string];
-        const newest = group.daemon(asked).status();
+        const [queriedControl] = names as [string];
+        const newest = group.daemon(queriedControl).status();
         await until("all announcements applied", () => Object.keys(newest.view().backends).length === 500 || undefined);
-        await late.ask(asked);
-        expect(late.snapshots).to.equal(1);
-        expect(late.view()).to.deep.equal(newest.view());
+        await lateFollower.ask(queriedControl);
+        expect(lateFollower.snapshots).to.equal(1);
+        expect(lateFollower.view()).to.deep.equal(newest.view());
         await entry.propose(commands.announce("last", 1));
         await until("the last announcement applied", () => newest.view().backends.last);
-        await late.ask(asked);
-        expect(late.snapshots).to.equal(1);
-        expect(late.view()).to.deep.equal(newest.view());
-        expect(Object.keys(late.view().backends)).to.have.length(501);
+        await lateFollower.ask(queriedControl);
+        expect(lateFollower.snapshots).to.equal(1);
+        expect(lateFollower.view()).to.deep.equal(newest.view());
+        expect(Object.keys(lateFollower.view().backends)).to.have.length(501);
     });
 
     it("never sends an old view from a control daemon that was isolated for an hour", async () => {
@@ -111,19 +111,19 @@
         // request of an entry daemon is in transit, the others accept changes, and then the old leader answers; its answer
         // was treated as the newest because it still considers itself the leader.
         const entry = await follower("entry-1");
-        const cut = await group.leader();
-        group.cut(cut);
-        group.clocks.get(cut)!.shift += hourMilliseconds;
+        const isolatedLeader = await group.leader();
+        group.cut(isolatedLeader);
+        group.clocks.get(isolatedLeader)!.shift += hourMilliseconds;
         for (let base = 0; base < 2; base++) {
             await entry.propose(commands.change(`change-${base}`, base));
         }
-        const old = group.daemon(cut);
-        expect(old.status().view().configuration.revision).to.equal(0);
-        expect((await old.propose(commands.change("late", 0))).kind).to.be.oneOf(["notLeader", "undecided"]);
-        group.mend(cut);
-        const answer = await until("an answer", () => entry.view().index > 0 ? entry.ask(cut) : undefined);
+        const isolatedDaemon = group.daemon(isolatedLeader);
+        expect(isolatedDaemon.status().view().configuration.revision).to.equal(0);
+        expect((await isolatedDaemon.propose(commands.change("late", 0))).kind).to.be.oneOf(["notLeader", "undecided"]);
+        group.mend(isolatedLeader);
+        const answer = await until("an answer", () => entry.view().index > 0 ? entry.ask(isolatedLeader) : undefined);
         expect(answer?.snapshot?.index ?? entry.view().index).to.be.at.least(entry.view().index);
-        await until("the newest view", () => old.status().view().configuration.revision === 2 || undefined);
+        await until("the newest view", () => isolatedDaemon.status().view().configuration.revision === 2 || undefined);
         expect(entry.view().configuration.changeId).to.equal("change-1");
     });
 
--- a/packages/basilpaddle/src/node/daemon/control/controlDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/control/controlDaemon.ts
@@ -34,11 +34,11 @@
     readonly replica?: ReplicaFactory;
     /** Called once if the replica stops because of an error; the process should close the daemon and exit. */
     readonly onFailure?: (error: unknown) => void;
-    /** Answers requests over links of kinds that this daemon doesn't handle itself; resolves to undefined for unknown kinds. */
+    /** Answers requests of kinds that this daemon doesn't handle itself; resolves with undefined for unknown kinds. */
     readonly otherRequests?: (body: unknown) => Promise<unknown>;
 };
 
-/** A control daemon: a replica of the log, the service for other daemons, and the leader's tasks while it leads. */
+/** A control daemon: runs a replica of the log, answers other daemons, and performs the leader's tasks while it leads. */
 export class ControlDaemon {
     private constructor(
         private readonly store: DisposableStore,
@@ -91,7 +91,8 @@
         };
         const proposals = Proposals.create(core);
         const status = ControlStatus.create(core);
-        // The replica is closed before the server: transferring leadership still needs the answers of other daemons.
+        // The replica is closed before the server: the transfer of leadership still needs the answers of other daemons, which
+        // arrive at the server.
         const service = PeerService.create(core, proposals);
         const handler: LinkHandler = async body => await options.otherRequests?.(body) ?? service.handle(body);
         const server = await openServer(settings.peers, handler, logger, replica);
@@ -140,7 +141,8 @@
 
 function groupReplica(options: ControlDaemonOptions, store: DisposableStore): ReplicaFactory {
     return async (stateMachine, onFailure) => {
-        // Taken before the folder is opened: opening discards unfinished writes, which may belong to a process still running.
+        // The lock is acquired before the folder is opened: opening it discards unfinished writes, which may belong to a process
+        // that is still running.
         const lock = await FolderLock.create(options.settings.dataFolder);
         store.add(() => lock.close());
         return openGroupReplica({
@@ -169,22 +171,22 @@
     }
 }
 
-/** Updates the state outside of the replicated state when commands are applied or leadership changes. */
+/** Updates the local state, which isn't replicated, when commands are applied or leadership changes. */
 function subscribe(core: ControlCore, proposals: Proposals, status: ControlStatus, store: DisposableStore): void {
     const { replica, ledger, clock, inForce, livenessTable } = core;
-    let sessionEnds = SessionEndDetector.create(ledger.view());
-    let restores = ledger.restores();
+    let sessionEndDetector = SessionEndDetector.create(ledger.view());
+    let handledRestores = ledger.restores();
     const detectRestore = (): void => {
-        if (ledger.restores() !== restores) {
-            restores = ledger.restores();
-            sessionEnds = SessionEndDetector.create(ledger.view());
+        if (ledger.restores() !== handledRestores) {
+            handledRestores = ledger.restores();
+            sessionEndDetector = SessionEndDetector.create(ledger.view());
             inForce.recordSessionClosed(clock.monotonic());
             status.recordChange();
         }
     };
     store.add(replica.onApplied((_index, command, result) => {
         detectRestore();
-        if (sessionEnds.endedUnannounced(command, result, ledger.view())) {
+        if (sessionEndDetector.endedUnexpectedly(command, result, ledger.view())) {
             inForce.recordSessionClosed(clock.monotonic());
         }
         if (command.kind === "announceBackend") {
--- a/packages/basilpaddle/src/node/daemon/control/controlStatus.ts
+++ b/packages/basilpaddle/src/node/daemon/control/controlStatus.ts
@@ -7,10 +7,11 @@
 export type OpenSessionStatus = {
     readonly session: Incarnation;
     readonly failureDomain: string;
-    /** Latest view index and revision that the entry daemon reported as applied; undefined without a heartbeat received here. */
+    /** Latest view index that the entry daemon reported as applied; undefined if no heartbeat was received here. */
     readonly applied: number | undefined;
+    /** Latest revision that it reported as applied; undefined if no heartbeat was received here. */
     readonly revision: number | undefined;
-    /** Milliseconds since its last heartbeat received here. */
+    /** Milliseconds since its last heartbeat that was received here. */
     readonly silence: number | undefined;
 };
 
@@ -40,12 +41,14 @@
         return this.core.replica.currentStatus();
     }
 
-    /** Whether the replica led during a whole round trip to a quorum that began after the call; `timeout` is in milliseconds. */
+    /**
+     * Whether the replica led throughout a round trip to a quorum that began after the call; `timeout` is in milliseconds.
+     */
     confirmLeadership(timeout: number): Promise<boolean> {
         return this.core.replica.confirmLeadership(timeout);
     }
 
-    /** The view of the commands applied here. */
+    /** The view after the commands that were applied here. */
     view(): View {
         return this.core.ledger.view();
     }
--- a/packages/basilpaddle/src/node/daemon/control/core.ts
+++ b/packages/basilpaddle/src/node/daemon/control/core.ts
@@ -3,7 +3,7 @@
 import type { Ledger } from "../../state/index.js";
 import type { Clock, Logger } from "../../utils/index.js";
 
-/** Dependencies shared by the parts of a control daemon. */
+/** State and dependencies that the components of a control daemon share. */
 export type ControlCore = {
     readonly name: string;
     readonly timing: Timing;
--- a/packages/basilpaddle/src/node/daemon/control/declarationCheck.ts
+++ b/packages/basilpaddle/src/node/daemon/control/declarationCheck.ts
@@ -4,10 +4,10 @@
 import { DefinitionLocations } from "../../state/configuration/definitionLocations.js";
 import { encodeFrame } from "../../transport/index.js";
 
-/** Stands for a file name in findings: the declaration arrives merged, so its files aren't known here. */
+/** File name in findings: the declaration was merged from its files before it was sent, so their names aren't known here. */
 const mergedDeclarationName = "declaration";
 
-/** Space in a command for its kind and its time, in addition to the change. */
+/** Upper bound for the size of a command's other fields, its kind and time, in bytes. */
 const commandOverheadBytes = 1_024;
 
 /** All findings in a change that matches the schema. */
@@ -19,7 +19,7 @@
         file: mergedDeclarationName,
         place: "",
         cause: `the change has ${bytes} bytes including the text of its files; the limit is ${commandLimitBytes}`,
-        cure: "divide what rarely changes into fewer, shorter entries",
+        cure: "shorten the configuration, for example by using fewer entries",
     }];
 }
 
--- a/packages/basilpaddle/src/node/daemon/control/lifecycle.ts
+++ b/packages/basilpaddle/src/node/daemon/control/lifecycle.ts
@@ -9,7 +9,7 @@
     states: {
         starting: { on: { started: "serving", failed: "failed", stop: "stopping" } },
         serving: { on: { failed: "failed", stop: "stopping" } },
-        // The daemon must not vote or answer any more, but its resources still have to be released.
+        // The daemon no longer votes or answers, but its resources still have to be released.
         failed: { on: { stop: "stopping" } },
         stopping: { on: { stopped: "stopped" } },
         stopped: { type: "final" },
@@ -34,8 +34,8 @@
 
     /** Sends an event; returns whether it changed the state. */
     send(type: LifecycleEvent["type"]): boolean {
-        const before = this.state();
+        const previousState = this.state();
         this.actor.send({ type });
-        return this.state() !== before;
+        return this.state() !== previousState;
     }
 }
--- a/packages/basilpaddle/src/node/daemon/control/livenessRelay.ts
+++ b/packages/basilpaddle/src/node/daemon/control/livenessRelay.ts
@@ -5,14 +5,14 @@
 type LivenessMessage = Extract<PeerRequest, { kind: "heard"; }>;
 
 /**
- * Reports to the leader the sessions and backend servers that sent heartbeats to this control daemon. Without it, an
- * entry daemon that is disconnected from only the leader would have its view confirmed by the other control daemons while
- * the leader closes its session as silent: it would stop starting work although a majority of the control daemons receives
- * its heartbeats, and the requests that it still runs would be cancelled at the engines.
+ * Reports to the leader the sessions and backend servers that sent heartbeats to this control daemon. Otherwise,
+ * if an entry daemon is disconnected from only the leader, the leader would close its session as silent, although a majority
+ * of the control daemons receives its heartbeats and confirms its view: the entry daemon would stop starting work, and the
+ * requests that it still runs would be cancelled at the engines.
  */
 export class LivenessRelay {
     private readonly links: ReadonlyMap<string, Link>;
-    private reportedUpTo: number;
+    private reportedUntil: number;
     private cancelTimer: (() => void) | undefined;
     private closed = false;
 
@@ -20,7 +20,7 @@
         this.links = new Map(
             controls.filter(({ name }) => name !== core.name).map(control => [control.name, network.link(control)]),
         );
-        this.reportedUpTo = core.clock.monotonic();
+        this.reportedUntil = core.clock.monotonic();
     }
 
     static create(core: ControlCore, controls: ControlSettings["controls"], network: Network): LivenessRelay {
@@ -45,11 +45,11 @@
         }
     }
 
-    /** A lost message needs no retry: those that are still alive send another heartbeat before the next report. */
+    /** A lost report isn't sent again: daemons and servers that are still running send another heartbeat before the next report. */
     private sendReport(): void {
         const { leader, leading } = this.core.replica.currentStatus();
-        const report = this.core.livenessTable.reportSince(this.reportedUpTo);
-        this.reportedUpTo = this.core.clock.monotonic();
+        const report = this.core.livenessTable.reportSince(this.reportedUntil);
+        this.reportedUntil = this.core.clock.monotonic();
         const link = leading || leader === undefined ? undefined : this.links.get(leader);
         if (link !== undefined && report.sessions.length + report.renewals.length > 0) {
             link.send({ kind: "heard", ...report } satisfies LivenessMessage);
@@ -58,9 +58,9 @@
 }
 
 /**
- * Merges the heartbeats that another control daemon received. What an entry daemon has applied stays true however late the
- * report arrives. The heartbeat itself is dated with the time of arrival, which can keep a session open for the delay of
- * the report, but no longer.
+ * Merges the heartbeats that another control daemon received. A late report is harmless: an entry daemon never reverts a view
+ * that it has applied. The heartbeats count from when the report arrives, which can keep a session open longer by the delay
+ * of the report, but not more.
  */
 export function mergeLivenessMessage(
     { livenessTable, clock }: Pick<ControlCore, "livenessTable" | "clock">,
--- a/packages/basilpaddle/src/node/daemon/control/peerService.ts
+++ b/packages/basilpaddle/src/node/daemon/control/peerService.ts
@@ -37,14 +37,14 @@
                 this.proposals.recheckWaiting();
                 return { kind: "received" };
             case "propose":
-                return toPeer(await this.proposals.propose(request.command));
+                return toPeerAnswer(await this.proposals.propose(request.command));
             default:
-                return { kind: "failure", message: `a control daemon doesn't answer ${request.kind}` };
+                return { kind: "failure", message: `a control daemon doesn't handle requests of kind ${request.kind}` };
         }
     }
 }
 
-function toPeer(answer: ProposalAnswer): PeerAnswer {
+function toPeerAnswer(answer: ProposalAnswer): PeerAnswer {
     if (answer.kind === "findings") {
         return { kind: "failure", message: findingsText(answer.findings) };
     }
--- a/packages/basilpaddle/src/node/daemon/control/proposals.ts
+++ b/packages/basilpaddle/src/node/daemon/control/proposals.ts
@@ -6,15 +6,15 @@
 /** Result of a proposal at this control daemon. */
 export type ProposalAnswer =
     | ProposalOutcome
-    /** Nothing was proposed because the declaration is invalid. */
+    /** The declaration is invalid, so nothing was proposed. */
     | { readonly kind: "findings"; readonly findings: readonly Finding[]; };
 
-/** Timeout of a proposal, and of confirming leadership, in election timeouts. */
-const timeoutInElections = 4;
+/** Timeout of a proposal, and of a confirmation of leadership, in election timeouts. */
+const electionTimeoutsPerProposal = 4;
 
 /** Proposes commands; a change of the configuration is answered only when it is in force everywhere. */
 export class Proposals {
-    private readonly waiting = new Set<() => void>();
+    private readonly waitingChecks = new Set<() => void>();
 
     private constructor(private readonly core: ControlCore) {}
 
@@ -37,23 +37,23 @@
 
     /** Checks again whether the waiting changes are in force; called after a heartbeat or a change of leadership. */
     recheckWaiting(): void {
-        for (const check of [...this.waiting]) {
+        for (const check of [...this.waitingChecks]) {
             check();
         }
     }
 
     /**
      * A leader that was replaced while waiting must not answer `accepted`: it doesn't know which sessions its successor
-     * opened, and their daemons may not have applied the change. Therefore leadership is confirmed by a round trip to a
-     * quorum that begins after the wait.
+     * opened, and the daemons of these sessions may not have applied the change. Therefore leadership is confirmed after the
+     * wait by a round trip to a quorum.
      */
     private async acceptedOnceInForce(
-        accepted: Extract<ProposalOutcome, { kind: "result"; }>,
+        acceptedProposal: Extract<ProposalOutcome, { kind: "result"; }>,
     ): Promise<ProposalOutcome> {
-        const change = { index: accepted.index, committedAt: this.core.clock.monotonic() };
+        const change = { index: acceptedProposal.index, committedAt: this.core.clock.monotonic() };
         const inForce = await this.untilInForce(change);
         if (inForce && await this.core.replica.confirmLeadership(this.timeoutMilliseconds())) {
-            return accepted;
+            return acceptedProposal;
         }
         return { kind: "undecided", reason: "leadership ended before the change was known to be in force" };
     }
@@ -63,7 +63,7 @@
             let cancelTimer: (() => void) | undefined;
             const settle = (inForce: boolean): void => {
                 cancelTimer?.();
-                this.waiting.delete(check);
+                this.waitingChecks.delete(check);
                 resolve(inForce);
             };
             const check = (): void => {
@@ -76,7 +76,7 @@
                 const remaining = Math.ceil(status.until - this.core.clock.monotonic());
                 cancelTimer = this.core.clock.after(Math.max(1, remaining), check);
             };
-            this.waiting.add(check);
+            this.waitingChecks.add(check);
             check();
         });
     }
@@ -91,6 +91,6 @@
     }
 
     private timeoutMilliseconds(): number {
-        return timeoutInElections * this.core.timing.electionTimeout;
+        return electionTimeoutsPerProposal * this.core.timing.electionTimeout;
     }
 }
--- a/packages/basilpaddle/src/node/daemon/control/sessionEndDetector.ts
+++ b/packages/basilpaddle/src/node/daemon/control/sessionEndDetector.ts
@@ -1,6 +1,6 @@
 import type { Command, CommandResult, View } from "../../protocol/index.js";
 
-/** Detects which applied commands ended a session that its daemon hadn't closed itself. */
+/** Detects applied commands that ended a session without its daemon having closed it. */
 export class SessionEndDetector {
     private constructor(private sessions: View["sessions"]) {}
 
@@ -8,9 +8,9 @@
         return new SessionEndDetector(view.sessions);
     }
 
-    /** Whether an applied command ended a session in this way; `view` is the view after the command. */
-    endedUnannounced(command: Command, result: CommandResult, view: View): boolean {
-        const before = this.sessions;
+    /** Whether the applied command ended a session that its daemon didn't close itself; `view` is the view after the command. */
+    endedUnexpectedly(command: Command, result: CommandResult, view: View): boolean {
+        const earlierSessions = this.sessions;
         this.sessions = view.sessions;
         if (result.kind !== "done") {
             return false;
@@ -19,8 +19,8 @@
             return command.reason !== "left";
         }
         if (command.kind === "openSession") {
-            const earlier = before[command.session.daemon]?.session;
-            return earlier !== undefined && earlier.incarnation !== command.session.incarnation;
+            const earlierSession = earlierSessions[command.session.daemon]?.session;
+            return earlierSession !== undefined && earlierSession.incarnation !== command.session.incarnation;
         }
         return false;
     }
--- a/packages/basilpaddle/src/node/daemon/control/supervisorLoop.ts
+++ b/packages/basilpaddle/src/node/daemon/control/supervisorLoop.ts
@@ -4,12 +4,12 @@
 
 /** Lower limit of the interval between two steps. */
 const minIntervalMilliseconds = 20;
-/** Steps within the shorter of the session and backend timeouts. */
+/** Number of steps within the session timeout or the backend timeout, whichever is shorter. */
 const stepsPerTimeout = 20;
 /** Timeout of each command of a step, in election timeouts. */
-const timeoutInElections = 2;
+const electionTimeoutsPerProposal = 2;
 
-/** Runs the steps of the supervisor and proposes the commands that they result in. */
+/** Runs the steps of the supervisor at intervals and proposes the commands that they return. */
 export class SupervisorLoop {
     private cancelTimer: (() => void) | undefined;
     private closed = false;
@@ -57,7 +57,7 @@
 
     private async propose(command: Command): Promise<void> {
         const { replica, logger, timing } = this.core;
-        const proposal = await replica.propose(command, timeoutInElections * timing.electionTimeout);
+        const proposal = await replica.propose(command, electionTimeoutsPerProposal * timing.electionTimeout);
         logger.info("the leader proposed a command", {
             command: command.kind,
             subject: subjectOf(command),
--- a/packages/basilpaddle/src/node/daemon/control/viewAnswers.ts
+++ b/packages/basilpaddle/src/node/daemon/control/viewAnswers.ts
@@ -34,7 +34,7 @@
     };
 }
 
-/** Empty for a daemon that is up to date or ahead, so that a control daemon that was isolated never sends out its old view. */
+/** Returns nothing for a daemon that is up to date or ahead, so that a control daemon that was isolated never sends its outdated view. */
 function viewUpdateAfter(core: ControlCore, applied: number): ViewUpdate {
     const view = core.ledger.view();
     if (view.index <= applied) {
