--- a/packages/basilpaddle/src/node/daemon/start/__tests__/daemonLifecycle.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/daemonLifecycle.spec.ts
@@ -9,7 +9,7 @@
     override readonly failure: Promise<string>;
     fail!: (cause: string) => void;
     finish!: () => void;
-    stops = 0;
+    stopCalls = 0;
     private readonly ended: Promise<ShutdownReport>;
     private end!: (report: ShutdownReport) => void;
 
@@ -20,14 +20,14 @@
         });
         this.ended = new Promise(resolve => {
             this.end = resolve;
-            this.finish = () => resolve({ cut: [] });
+            this.finish = () => resolve({ abortedRequests: [] });
         });
     }
 
     override stop(): Promise<ShutdownReport> {
-        this.stops += 1;
-        if (this.stops > 1) {
-            this.end({ cut: ["request-1"] });
+        this.stopCalls += 1;
+        if (this.stopCalls > 1) {
+            this.end({ abortedRequests: ["request-1"] });
         }
         return this.ended;
     }
@@ -45,7 +45,7 @@
 
     it("ends as stopped once the requests in progress have completed", async () => {
         signals.emit("SIGTERM", "SIGTERM");
-        expect(daemon.stops).to.equal(1);
+        expect(daemon.stopCalls).to.equal(1);
         daemon.finish();
         expect(await ended).to.deep.equal({ kind: "stopped" });
         expect(signals.eventNames()).to.deep.equal([]);
@@ -54,13 +54,13 @@
     it("aborts requests in progress on a second signal and reports them", async () => {
         signals.emit("SIGTERM", "SIGTERM");
         signals.emit("SIGINT", "SIGINT");
-        expect(await ended).to.deep.equal({ kind: "cutOff", cut: ["request-1"] });
+        expect(await ended).to.deep.equal({ kind: "cutOff", abortedRequests: ["request-1"] });
     });
 
     it("ends as failed on an uncaught error, without a graceful shutdown", async () => {
         signals.emit("uncaughtException", new Error("a fault"));
         expect(await ended).to.deep.equal({ kind: "failed", cause: "an uncaught error" });
-        expect(daemon.stops).to.equal(0);
+        expect(daemon.stopCalls).to.equal(0);
     });
 
     it("ends as failed when the daemon reports a failure", async () => {
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/entryStart.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/entryStart.spec.ts
@@ -23,11 +23,11 @@
     return { host, port };
 }
 
-async function until(what: string, holds: () => Promise<boolean>): Promise<void> {
+async function until(description: string, condition: () => Promise<boolean>): Promise<void> {
     const end = Date.now() + 15_000;
-    while (!(await holds())) {
+    while (!(await condition())) {
         if (Date.now() > end) {
-            throw new Error(`timed out waiting for ${what}`);
+            throw new Error(`timed out waiting for ${description}`);
         }
         await new Promise(resolve => setTimeout(resolve, 20));
     }
@@ -59,15 +59,15 @@
         });
         await initialiseControl(settings, "test");
         control = await startControl(settings, createSilentLogger());
-        const any = { host, port: 0 };
+        const anyPort = { host, port: 0 };
         const entrySettings = entrySettingsSchema.parse({
             ...common,
             role: "entry",
             name: "entry-1",
-            peers: any,
+            peers: anyPort,
             operators: entryOperators,
             callers,
-            backends: any,
+            backends: anyPort,
         });
         entry = await startEntry(entrySettings, createSilentLogger());
         await until("the session", async () => (await sessions()).includes("entry-1"));
@@ -94,18 +94,18 @@
     // Guards against a scheduler that cancels the streams of a daemon during its graceful shutdown. The session was closed
     // before the drain, and an attempt that an engine lists without an open session counts as abandoned.
     it("keeps its session until no request is in progress, and then closes it", async () => {
-        const asking = http.request({
+        const slowRequest = http.request({
             host,
             port: callers.port,
             method: "POST",
             path: "/v1/completions",
             headers: { "content-type": "application/json", "content-length": 1_000 },
         });
-        request = asking;
+        request = slowRequest;
         const answered = new Promise<void>(resolve =>
-            asking.on("response", response => response.resume().on("end", resolve))
+            slowRequest.on("response", response => response.resume().on("end", resolve))
         );
-        await new Promise<void>(resolve => asking.write("{", () => resolve()));
+        await new Promise<void>(resolve => slowRequest.write("{", () => resolve()));
         await until("the request to be in progress", async () => {
             const metrics = await fetch(`http://${host}:${entryOperators.port}/metrics`);
             return (await metrics.text()).includes("basilpaddle_open_requests 1");
@@ -117,9 +117,9 @@
         for (let count = 0; count < 20; count++) {
             expect([await sessions(), ended]).to.deep.equal([["entry-1"], false]);
         }
-        asking.end(" ".repeat(999));
+        slowRequest.end(" ".repeat(999));
         await answered;
-        expect(await stopped).to.deep.equal({ cut: [] });
+        expect(await stopped).to.deep.equal({ abortedRequests: [] });
         expect(await sessions()).to.deep.equal([]);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/metricsServer.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/metricsServer.spec.ts
@@ -38,14 +38,14 @@
     });
 
     it("lists the quarantined requests, and releases one", async () => {
-        const listed = async (): Promise<unknown[]> => {
+        const listQuarantined = async (): Promise<unknown[]> => {
             const answer = await fetch(`${base}/operator/v1/held?timeout=1000`);
             return (await answer.json() as { requests: unknown[]; }).requests;
         };
-        expect(await listed()).to.have.length(1);
+        expect(await listQuarantined()).to.have.length(1);
         const body = JSON.stringify({ digest: "d", operator: "somebody" });
         expect(await release(body)).to.deep.equal([200, { kind: "released", digest: "d", wasSuspected: true }]);
-        expect(await listed()).to.deep.equal([]);
+        expect(await listQuarantined()).to.deep.equal([]);
         expect((await release(body))[1]).to.include({ wasSuspected: false });
     });
 
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/settings.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/settings.spec.ts
@@ -56,7 +56,9 @@
 
     it("rejects timing under which two daemons could hold the same lease", async () => {
         const found = await findings({ ...control, timing: { viewLease: 3_000, sessionTimeout: 2_000 } });
-        expect(found).to.match(/timing\.sessionTimeout .*would give away leases/);
+        expect(found).to.match(
+            /timing\.sessionTimeout .*too short.*another daemon could be granted leases that are still in use/,
+        );
     });
 
     it("rejects a list of control daemons without this one, and duplicate names and addresses", async () => {
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/settingsFile.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/settingsFile.spec.ts
@@ -48,9 +48,9 @@
 
     /** Writes the file in steps, as a slow writer does; the last step completes it. */
     async function writeLater(text: string): Promise<void> {
-        for (const part of [0.3, 0.6, 1]) {
+        for (const fraction of [0.3, 0.6, 1]) {
             await new Promise(resolve => setTimeout(resolve, 120));
-            await writeFile(file, text.slice(0, Math.floor(part * text.length)));
+            await writeFile(file, text.slice(0, Math.floor(fraction * text.length)));
         }
     }
 
--- a/packages/basilpaddle/src/node/daemon/start/assembledDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/start/assembledDaemon.ts
@@ -9,7 +9,7 @@
 } from "../../utils/index.js";
 import { RunningDaemon } from "./runningDaemon.js";
 
-/** A daemon that owns its components, with the host's clocks and random numbers. */
+/** Base class of daemons that open and own their components, and use the clock and random numbers of the host. */
 export abstract class AssembledDaemon extends RunningDaemon {
     override readonly failure: Promise<string>;
     protected readonly store = DisposableStore.create();
--- a/packages/basilpaddle/src/node/daemon/start/controlStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/controlStart.ts
@@ -34,7 +34,7 @@
     }
 
     override stop(): Promise<ShutdownReport> {
-        this.stopping ??= this.store.dispose().then(() => ({ cut: [] }));
+        this.stopping ??= this.store.dispose().then(() => ({ abortedRequests: [] }));
         return this.stopping;
     }
 
@@ -61,7 +61,7 @@
             quarantine: daemon.quarantinedRequests,
             daemon: () => this.status(),
         });
-        // The operators' server is closed last, so that operators can follow the handover of leadership.
+        // The operators' server is closed last, so that operators can observe the transfer of leadership.
         this.store.add(() => operators.close());
         this.store.add(() => daemon.close());
         logger.info("serving", { peers: daemon.port(), operators: operators.port() });
--- a/packages/basilpaddle/src/node/daemon/start/daemonLifecycle.ts
+++ b/packages/basilpaddle/src/node/daemon/start/daemonLifecycle.ts
@@ -5,7 +5,7 @@
 /** How a daemon's process ended. */
 export type DaemonExit =
     | { readonly kind: "stopped"; }
-    | { readonly kind: "cutOff"; readonly cut: readonly string[]; }
+    | { readonly kind: "cutOff"; readonly abortedRequests: readonly string[]; }
     | { readonly kind: "failed"; readonly cause: string; };
 
 /** Signals that stop a daemon. */
@@ -43,7 +43,7 @@
 class DaemonLifecycle {
     readonly ended: Promise<DaemonExit>;
     private end!: (end: DaemonExit) => void;
-    private signalsSeen = 0;
+    private receivedSignals = 0;
 
     constructor(private readonly daemon: RunningDaemon, private readonly logger: Logger) {
         this.ended = new Promise(resolve => {
@@ -52,8 +52,8 @@
     }
 
     signal(name: string): void {
-        this.signalsSeen += 1;
-        if (this.signalsSeen === 1) {
+        this.receivedSignals += 1;
+        if (this.receivedSignals === 1) {
             this.logger.info("shutting down: accepting no new work, waiting for requests in progress", {
                 signal: name,
             });
@@ -78,11 +78,14 @@
 
     private stop(): void {
         this.daemon.stop().then(
-            ({ cut }) => {
-                if (cut.length > 0) {
-                    this.logger.warn("the shutdown aborted requests in progress", { count: cut.length, cut });
+            ({ abortedRequests }) => {
+                if (abortedRequests.length > 0) {
+                    this.logger.warn("the shutdown aborted requests in progress", {
+                        count: abortedRequests.length,
+                        cut: abortedRequests,
+                    });
                 }
-                this.end(cut.length > 0 ? { kind: "cutOff", cut } : { kind: "stopped" });
+                this.end(abortedRequests.length > 0 ? { kind: "cutOff", abortedRequests } : { kind: "stopped" });
             },
             (error: unknown) => this.fail("the shutdown failed", error),
         );
--- a/packages/basilpaddle/src/node/daemon/start/entryMetrics.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryMetrics.ts
@@ -22,11 +22,11 @@
         metrics.gauge("basilpaddle_leases_held", heldLeases.length);
         // A pool that this daemon no longer schedules is reported as zero: its last queue length would look like a stuck queue.
         for (const pool of Object.keys(view.configuration.declaration.pools)) {
-            const poolStatus = placement.status().get(pool);
-            metrics.gauge("basilpaddle_scheduler", poolStatus === undefined ? 0 : 1, { pool });
-            metrics.gauge("basilpaddle_queue", poolStatus?.waiting ?? 0, { pool });
-            const heldSlots = [...poolStatus?.held.values() ?? []].reduce((sum, slots) => sum + slots, 0);
-            metrics.gauge("basilpaddle_slots_held", heldSlots, { pool });
+            const schedulerStatus = placement.status().get(pool);
+            metrics.gauge("basilpaddle_scheduler", schedulerStatus === undefined ? 0 : 1, { pool });
+            metrics.gauge("basilpaddle_queue", schedulerStatus?.waiting ?? 0, { pool });
+            const allocatedSlots = [...schedulerStatus?.held.values() ?? []].reduce((sum, slots) => sum + slots, 0);
+            metrics.gauge("basilpaddle_slots_held", allocatedSlots, { pool });
         }
         metrics.gauge("process_resident_memory_bytes", process.memoryUsage.rss());
     });
--- a/packages/basilpaddle/src/node/daemon/start/entryStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryStart.ts
@@ -59,7 +59,7 @@
             undecidedRuns,
         });
         await this.store.dispose();
-        return { cut: abortedRequests };
+        return { abortedRequests };
     }
 
     protected override async openComponents(): Promise<void> {
@@ -91,10 +91,10 @@
             quarantinedRequests: this.quarantine,
         });
         this.store.add(() => this.daemon.close());
-        // Closed before the placement, so that this daemon can still answer others that it is no longer their scheduler while
-        // they switch to the next one.
+        // Closed before the placement, so that while other daemons switch to the next scheduler, this one can still answer them
+        // that it no longer schedules.
         this.store.add(() => this.control.close());
-        // Closed before the session, which still carries the outcomes of its orders to the audit trail.
+        // Closed before the control client, through whose session the outcomes of orders are still written to the audit trail.
         this.openOrders();
         this.store.add(collectEntryMetrics(metrics, this.control, this.placement, this.daemon));
         this.store.add(metrics.onCollect(() => this.quarantine.measure(metrics)));
--- a/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
+++ b/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
@@ -52,8 +52,8 @@
     }
 }
 
-function write(response: http.ServerResponse, status: number, type: string, text: string): void {
+function write(response: http.ServerResponse, status: number, contentType: string, text: string): void {
     const body = Buffer.from(text);
-    response.writeHead(status, { "Content-Type": type, "Content-Length": body.length });
+    response.writeHead(status, { "Content-Type": contentType, "Content-Length": body.length });
     response.end(body);
 }
--- a/packages/basilpaddle/src/node/daemon/start/routingStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/routingStart.ts
@@ -32,7 +32,7 @@
     return running;
 }
 
-/** Starts the metrics server. A failure, such as a port in use, is only logged, so that the daemon still serves its callers. */
+/** Starts the metrics server. A failure, such as a port in use, is only logged, so that the daemon can still serve callers. */
 async function serveMetrics(
     store: DisposableStore,
     settings: RoutingSettings,
@@ -61,7 +61,7 @@
 abstract class RunningRouting extends AssembledDaemon {
     private stopping: Promise<ShutdownReport> | undefined;
 
-    constructor(private readonly common: RoutingSettings, private readonly file: string, logger: Logger) {
+    constructor(private readonly routingSettings: RoutingSettings, private readonly file: string, logger: Logger) {
         super(logger);
     }
 
@@ -71,11 +71,11 @@
     }
 
     protected override async openComponents(): Promise<void> {
-        const { common, logger, metrics, store } = this;
-        const reload = SeedReload.create(common, this.file, logger);
+        const { routingSettings, logger, metrics, store } = this;
+        const reload = SeedReload.create(routingSettings, this.file, logger);
         store.add(() => reload.close());
         const quarantine = await this.openDaemon(() => reload.seeds());
-        await serveMetrics(store, common, metrics, quarantine, logger);
+        await serveMetrics(store, routingSettings, metrics, quarantine, logger);
     }
 
     /** Opens the daemon itself; resolves with its copy of the quarantined requests. */
@@ -85,9 +85,9 @@
     protected abstract closeDaemon(): Promise<number>;
 
     private async shutDown(): Promise<ShutdownReport> {
-        const cut = await this.closeDaemon();
+        const abortedCount = await this.closeDaemon();
         await this.store.dispose();
-        return { cut: new Array<string>(cut).fill("request") };
+        return { abortedRequests: new Array<string>(abortedCount).fill("request") };
     }
 }
 
--- a/packages/basilpaddle/src/node/daemon/start/runningDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/start/runningDaemon.ts
@@ -1,7 +1,7 @@
 /** Outcome of a shutdown. */
 export type ShutdownReport = {
     /** Identifiers of the requests that were aborted. */
-    readonly cut: readonly string[];
+    readonly abortedRequests: readonly string[];
 };
 
 /** A started daemon, which serves until it is stopped. */
@@ -10,7 +10,7 @@
     abstract readonly failure: Promise<string>;
 
     /**
-     * Accepts no new work, waits for requests in progress, hands over its leases and leadership, and stops. A second call
+     * Accepts no new work, waits for requests in progress, releases its leases, transfers its leadership, and stops. A second call
      * aborts requests in progress; both calls then resolve with the requests that were aborted.
      */
     abstract stop(): Promise<ShutdownReport>;
--- a/packages/basilpaddle/src/node/daemon/start/seedReload.ts
+++ b/packages/basilpaddle/src/node/daemon/start/seedReload.ts
@@ -8,15 +8,15 @@
 
 /** Keeps the seeds up to date with the settings file. Other changed settings need a restart. */
 export class SeedReload {
-    private names: readonly string[];
-    private text: string | undefined;
+    private currentSeeds: readonly string[];
+    private lastText: string | undefined;
     private currentCheck: Promise<void> | undefined;
     private isComplete = true;
     private readonly timer: NodeJS.Timeout;
     private readonly onSignal = (): void => void this.checkFile(true);
 
     private constructor(settings: RoutingSettings, private readonly file: string, private readonly logger: Logger) {
-        this.names = seedNames(settings);
+        this.currentSeeds = seedNames(settings);
         this.timer = setInterval(() => void this.checkFile(false), reloadIntervalMilliseconds);
         this.timer.unref();
         process.on("SIGHUP", this.onSignal);
@@ -27,7 +27,7 @@
     }
 
     seeds(): readonly string[] {
-        return this.names;
+        return this.currentSeeds;
     }
 
     close(): void {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Detects changes by the text: two writes within one tick of the file system's clock have the same modification time. */
+    /** Detects changes by comparing the text, since two writes within one tick of the file system's clock have the same modification time. */
     private async read(signalled: boolean): Promise<void> {
         const content = await readWhenComplete(this.file, finding => {
             if (this.isComplete) {
@@ -58,10 +58,10 @@
             this.isComplete = false;
         });
         const text = content.orDefault("");
-        if (!signalled && text === this.text) {
+        if (!signalled && text === this.lastText) {
             return;
         }
-        this.text = text;
+        this.lastText = text;
         const read = content.mapLeft((finding): readonly Finding[] => [finding])
             .chain(complete => parseRoutingSettings(this.file, complete));
         read.caseOf<void>({
@@ -75,10 +75,10 @@
         });
     }
 
-    private applySeeds(names: readonly string[], signalled: boolean): void {
-        if (signalled || names.join() !== this.names.join()) {
-            this.logger.info("seeds were reloaded from the settings file", { seeds: names, signalled });
+    private applySeeds(seeds: readonly string[], signalled: boolean): void {
+        if (signalled || seeds.join() !== this.currentSeeds.join()) {
+            this.logger.info("seeds were reloaded from the settings file", { seeds, signalled });
         }
-        this.names = names;
+        this.currentSeeds = seeds;
     }
 }
--- a/packages/basilpaddle/src/node/daemon/start/settings.ts
+++ b/packages/basilpaddle/src/node/daemon/start/settings.ts
@@ -41,14 +41,14 @@
             problems.push({
                 path: ["controls", position, "name"],
                 cause: `control daemon ${control.name} is listed twice`,
-                cure: "give each control daemon a name of its own",
+                cure: "give each control daemon a unique name",
             });
         }
         if (addresses.indexOf(`${control.host}:${control.port}`) !== position) {
             problems.push({
                 path: ["controls", position],
                 cause: `address ${control.host}:${control.port} is listed twice`,
-                cure: "give each control daemon an address of its own",
+                cure: "give each control daemon a unique address",
             });
         }
     });
@@ -56,7 +56,7 @@
         problems.push({
             path: ["controls"],
             cause: `doesn't list this control daemon, ${settings.name}`,
-            cure: "list all control daemons, this one among them",
+            cure: "list all control daemons, including this one",
         });
     }
     return problems;
@@ -68,7 +68,7 @@
         problems.push({
             path: ["timing", "viewInterval"],
             cause:
-                `${timing.viewInterval} ms leaves no room for a lost question within a view lease of ${timing.viewLease} ms`,
+                `${timing.viewInterval} ms is too long for a view lease of ${timing.viewLease} ms: the lease would expire after one lost request`,
             cure: "set it to at most half of timing.viewLease",
         });
     }
@@ -76,7 +76,7 @@
         problems.push({
             path: ["timing", "sessionTimeout"],
             cause:
-                `${timing.sessionTimeout} ms would give away leases that a daemon with a view lease of ${timing.viewLease} ms may still use`,
+                `${timing.sessionTimeout} ms is too short for a view lease of ${timing.viewLease} ms: another daemon could be granted leases that are still in use`,
             cure: "set it to more than timing.viewLease and its clock drift",
         });
     }
@@ -84,7 +84,7 @@
         problems.push({
             path: ["timing", "heartbeatInterval"],
             cause:
-                `${timing.heartbeatInterval} ms starts elections under a leader that is well, with an election timeout of ${timing.electionTimeout} ms`,
+                `${timing.heartbeatInterval} ms is too long for an election timeout of ${timing.electionTimeout} ms: one lost heartbeat would start an election although the leader works`,
             cure: "set it to at most half of timing.electionTimeout",
         });
     }
