--- a/packages/basilpaddle/src/node/daemon/operators/__tests__/operatorServer.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/__tests__/operatorServer.spec.ts
@@ -74,19 +74,19 @@
     });
 
     it("merges the files itself and forwards the change to the leader", async () => {
-        const seen: OperatorRequest[] = [];
+        const forwardedRequests: OperatorRequest[] = [];
         const base = await serve(
             fakeChannel("control-1", () => notLeader("control-3")),
             fakeChannel("control-2", () => "refused"),
             fakeChannel("control-3", request => {
-                seen.push(request);
+                forwardedRequests.push(request);
                 return accepted;
             }),
         );
         const { status, answer } = await post(`${base}/operator/v1/config`, change);
         expect(status).to.equal(200);
         expect(answer).to.deep.equal(accepted);
-        const [request] = seen;
+        const [request] = forwardedRequests;
         expect(request?.kind === "apply" && request.change.declaration.pools["drafting"]?.queueLimit).to.equal(1_000);
     });
 
@@ -94,9 +94,12 @@
         const base = await serve(fakeChannel("control-1", () => accepted));
         expect((await post(`${base}/operator/v1/config`, "{")).status).to.equal(400);
         expect((await post(`${base}/operator/v1/config`, { ...change, operator: "" })).status).to.equal(400);
-        const found = await post(`${base}/operator/v1/config`, { ...change, files: [{ name: "a.json", text: "{" }] });
-        expect(found.status).to.equal(422);
-        expect(found.answer.kind === "failure" && found.answer.findings?.[0]?.file).to.equal("a.json");
+        const rejectedReply = await post(`${base}/operator/v1/config`, {
+            ...change,
+            files: [{ name: "a.json", text: "{" }],
+        });
+        expect(rejectedReply.status).to.equal(422);
+        expect(rejectedReply.answer.kind === "failure" && rejectedReply.answer.findings?.[0]?.file).to.equal("a.json");
         expect((await post(`${base}/operator/v1/nothing`, {})).status).to.equal(404);
         expect((await fetch(`${base}/operator/v1/audit?limit=x`)).status).to.equal(400);
         expect((await fetch(`${base}/operator/v1/config`, { method: "DELETE" })).status).to.equal(405);
@@ -159,17 +162,17 @@
     it("reads from a control daemon that doesn't lead only while none leads", async () => {
         // Guards against `config show` with an outdated configuration: an entry daemon first asked a control daemon that was
         // partitioned from the others, and used its answer although it didn't lead.
-        const old: OperatorAnswer = { kind: "history", entries: [] };
+        const outdatedHistory: OperatorAnswer = { kind: "history", entries: [] };
         const entry = { revision: 1, index: 3, at: 0, changeId: "c1", operator: "ana", note: "", files: [] };
-        const current: OperatorAnswer = { kind: "history", entries: [entry] };
+        const currentHistory: OperatorAnswer = { kind: "history", entries: [entry] };
         let leads = true;
         const base = await serve(
-            fakeChannel("control-1", () => ({ kind: "operator", leading: false, answer: old })),
-            fakeChannel("control-2", () => leads ? current : "refused"),
+            fakeChannel("control-1", () => ({ kind: "operator", leading: false, answer: outdatedHistory })),
+            fakeChannel("control-2", () => leads ? currentHistory : "refused"),
         );
         const history = async (): Promise<unknown> => (await fetch(`${base}/operator/v1/history`)).json();
-        expect(await history()).to.deep.equal(current);
+        expect(await history()).to.deep.equal(currentHistory);
         leads = false;
-        expect(await history()).to.deep.equal(old);
+        expect(await history()).to.deep.equal(outdatedHistory);
     });
 });
--- a/packages/basilpaddle/src/node/daemon/operators/body.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/body.ts
@@ -1,32 +1,32 @@
 import type { IncomingMessage } from "node:http";
 
-/** Maximum size of the body of an operator's request. A change and its merged form together must fit into one frame between daemons. */
+/** Maximum size of the body of an operator's request. The files of a change and the declaration merged from them must fit into one frame between daemons together. */
 export const bodyLimitBytes = 4 * 1024 * 1024;
 
-/** The parsed body, or the HTTP status and message of the refusal. */
-export type Body =
+/** A parsed body, or the HTTP status and message of the refusal. */
+export type BodyResult =
     | { readonly kind: "read"; readonly value: unknown; }
     | { readonly kind: "refused"; readonly status: 400 | 408 | 413; readonly message: string; };
 
 /** Reads and parses a JSON body of at most `bodyLimitBytes`. */
-export async function readBody(request: IncomingMessage): Promise<Body> {
+export async function readBody(request: IncomingMessage): Promise<BodyResult> {
     const chunks: Buffer[] = [];
-    let bytes = 0;
+    let receivedBytes = 0;
     try {
         for await (const chunk of request as AsyncIterable<Buffer>) {
-            bytes += chunk.length;
-            if (bytes > bodyLimitBytes) {
+            receivedBytes += chunk.length;
+            if (receivedBytes > bodyLimitBytes) {
                 return {
                     kind: "refused",
                     status: 413,
-                    message: `the body is over the limit of ${bodyLimitBytes} bytes`,
+                    message: `the body exceeds ${bodyLimitBytes} bytes`,
                 };
             }
             chunks.push(chunk);
         }
     }
     catch {
-        return { kind: "refused", status: 408, message: "the body didn't arrive whole" };
+        return { kind: "refused", status: 408, message: "the body was not received completely" };
     }
     try {
         return { kind: "read", value: JSON.parse(Buffer.concat(chunks).toString("utf8")) };
--- a/packages/basilpaddle/src/node/daemon/operators/controlOperations.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/controlOperations.ts
@@ -12,7 +12,7 @@
 /** Timeout of the round trip to a quorum by which a leader confirms that it still leads. */
 const leadershipTimeoutMilliseconds = 500;
 
-/** Options of `ControlOperations`: the control daemon at which requests are carried out, with its name and clock. */
+/** Options of `ControlOperations`: the control daemon that carries out the requests, its name and its clock. */
 export type ControlOperationsOptions = {
     readonly name: string;
     readonly daemon: Pick<ControlDaemon, "status" | "propose">;
@@ -29,17 +29,17 @@
 
     /** Answers a request; changes are answered with `notLeader` unless this control daemon leads. */
     async handle(request: OperatorRequest): Promise<ControlAnswer> {
-        const changing = request.kind === "apply" || request.kind === "drain";
-        const leading = await this.leads();
+        const isChange = request.kind === "apply" || request.kind === "drain";
+        const leading = await this.confirmsLeadership();
         const { leader } = this.status().replicaStatus();
-        const answer = changing && !leading
+        const answer = isChange && !leading
             ? failure("notLeader", `${this.options.name} doesn't lead`)
             : await this.answer(request, leading);
         return { kind: "operator", leading, leader, answer };
     }
 
-    // A leader whose process was suspended may not know that it was replaced, and would report its old state as current.
-    private async leads(): Promise<boolean> {
+    // A leader whose process was suspended may not know yet that it was replaced, and would report outdated state as current.
+    private async confirmsLeadership(): Promise<boolean> {
         return this.status().replicaStatus().leading
             && await this.status().confirmLeadership(leadershipTimeoutMilliseconds);
     }
@@ -102,7 +102,7 @@
             return failure("notLeader", `${this.options.name} doesn't lead`);
         }
         return proposal.result.kind === "stale"
-            ? failure("unknownBackend", `${id} has changed meanwhile: ${proposal.result.reason}`)
+            ? failure("unknownBackend", `${id} changed before it could be drained: ${proposal.result.reason}`)
             : { kind: "drained", backend: id, incarnation };
     }
 
--- a/packages/basilpaddle/src/node/daemon/operators/leaderOperations.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/leaderOperations.ts
@@ -10,9 +10,9 @@
     type OperatorRequest,
 } from "./operatorWire.js";
 
-/** Pause between two rounds over all control daemons while none of them leads. */
+/** Delay before all control daemons are queried again if none of them led. */
 const roundIntervalMilliseconds = 100;
-/** Time that one control daemon gets for a read request before the next one is asked. */
+/** Timeout of a read request at one control daemon, after which the next one is queried. */
 const readTimeoutMilliseconds = 1_000;
 
 /** Channel for requests to one control daemon: to this process itself, or to another one over its link. */
@@ -21,7 +21,7 @@
     readonly send: (request: OperatorRequest, timeout: number) => Promise<Either<LinkFailure, ControlAnswer>>;
 };
 
-/** Finds the leader of the control daemons and forwards the request to it. Read requests fall back to a follower's answer. */
+/** Finds the leader of the control daemons and forwards requests to it. If none leads, a read request is answered by a follower. */
 export class LeaderOperations extends Operations {
     private lastLeader: string | undefined;
 
@@ -49,17 +49,17 @@
     }
 
     private async tryAllChannels(search: LeaderSearch): Promise<OperatorAnswer | undefined> {
-        const untried = new Map(this.channels.map(channel => [channel.name, channel]));
-        let next = untried.get(this.lastLeader ?? "") ?? this.channels[0];
-        while (next !== undefined) {
-            untried.delete(next.name);
-            const answer = await this.sendTo(next, search);
-            const final = search.handleReply(answer);
-            if (final !== undefined) {
-                this.lastLeader = next.name;
-                return final;
+        const untriedChannels = new Map(this.channels.map(channel => [channel.name, channel]));
+        let nextChannel = untriedChannels.get(this.lastLeader ?? "") ?? this.channels[0];
+        while (nextChannel !== undefined) {
+            untriedChannels.delete(nextChannel.name);
+            const answer = await this.sendTo(nextChannel, search);
+            const finalAnswer = search.handleReply(answer);
+            if (finalAnswer !== undefined) {
+                this.lastLeader = nextChannel.name;
+                return finalAnswer;
             }
-            next = untried.get(search.leaderHint ?? "") ?? [...untried.values()][0];
+            nextChannel = untriedChannels.get(search.leaderHint ?? "") ?? [...untriedChannels.values()][0];
         }
         return undefined;
     }
@@ -79,41 +79,41 @@
     leaderHint: string | undefined;
     /** The first answer to a read request by a control daemon that doesn't lead. */
     fallbackAnswer: OperatorAnswer | undefined;
-    private possiblyDelivered = false;
-    private message = "no control daemon answered";
+    private mayBeDelivered = false;
+    private failureMessage = "no control daemon answered";
 
     constructor(readonly request: OperatorRequest, readonly deadline: number) {}
 
     handleReply(answer: Either<LinkFailure, ControlAnswer>): OperatorAnswer | undefined {
         return answer.caseOf({
             Left: failure => {
-                this.possiblyDelivered ||= failure.kind === "lost" || failure.kind === "timeout";
-                this.message = failure.message;
+                this.mayBeDelivered ||= failure.kind === "lost" || failure.kind === "timeout";
+                this.failureMessage = failure.message;
                 return undefined;
             },
             Right: value => this.handleAnswer(value),
         });
     }
 
-    // After a lost answer the change may have reached a quorum. Reporting it as refused would make an operator send it again
-    // as a new change.
+    // If an answer was lost, a quorum may have accepted the change. If it were reported as refused, an operator would send it
+    // again as a new change.
     failure(): OperatorFailure {
-        const undecided = this.possiblyDelivered && isChange(this.request);
+        const isUndecided = this.mayBeDelivered && isChange(this.request);
         return {
             kind: "failure",
-            code: undecided ? "undecided" : "unreachable",
-            message: undecided
-                ? `it isn't known whether the change was accepted (${this.message}); send the same change again`
-                : `nothing was changed: ${this.message}`,
+            code: isUndecided ? "undecided" : "unreachable",
+            message: isUndecided
+                ? `it isn't known whether the change was accepted (${this.failureMessage}); send the same change again`
+                : `nothing was changed: ${this.failureMessage}`,
         };
     }
 
     private handleAnswer({ leading, leader, answer }: ControlAnswer): OperatorAnswer | undefined {
         if (answer.kind === "failure" && (answer.code === "notLeader" || answer.code === "undecided")) {
             // An undecided change is sent again; its identifier makes this idempotent.
-            this.possiblyDelivered ||= answer.code === "undecided";
+            this.mayBeDelivered ||= answer.code === "undecided";
             this.leaderHint = leader;
-            this.message = answer.message;
+            this.failureMessage = answer.message;
             return undefined;
         }
         if (!leading && !isChange(this.request)) {
@@ -145,6 +145,6 @@
     return parsed.success ? parsed.data : {
         kind: "operator",
         leading: false,
-        answer: { kind: "failure", code: "notLeader", message: `${name} gave an answer that can't be read` },
+        answer: { kind: "failure", code: "notLeader", message: `the answer of ${name} doesn't match the protocol` },
     };
 }
--- a/packages/basilpaddle/src/node/daemon/operators/operatorServer.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/operatorServer.ts
@@ -9,13 +9,13 @@
 import { type DaemonStatus, type OperatorAnswer, operatorRequestSchema, postedChangeSchema } from "./operatorWire.js";
 import { answerQuarantineCall } from "./quarantineCalls.js";
 
-/** Timeout of an operator's request that names none. */
+/** Timeout of an operator's request without a valid timeout of its own. */
 export const defaultTimeoutMilliseconds = 10_000;
-/** Maximum timeout that a request may name. */
-const maximumTimeoutMilliseconds = 120_000;
-/** Time within which an operator's whole request has to arrive. */
+/** Maximum timeout of an operator's request; a longer one is reduced to it. */
+const maxTimeoutMilliseconds = 120_000;
+/** Time within which an operator's request must be received completely. */
 const requestTimeoutMilliseconds = 30_000;
-const prefix = "/operator/v1/";
+const pathPrefix = "/operator/v1/";
 
 /** Options of an operators' server. */
 export type OperatorServerOptions = {
@@ -49,7 +49,7 @@
         });
     }
 
-    /** Resolves once the server listens. With port 0 the system chooses one; see `port()`. */
+    /** Resolves once the server listens. With port 0 the operating system chooses a free port, which `port()` returns. */
     static async create(options: OperatorServerOptions): Promise<OperatorServer> {
         const server = http.createServer({
             requestTimeout: requestTimeoutMilliseconds,
@@ -82,7 +82,7 @@
         }
         catch (error) {
             this.options.logger.error("failed to handle an operator's request", { error, url: request.url });
-            reply = failure(500, "badRequest", "the daemon failed to answer; its log says why");
+            reply = failure(500, "badRequest", "internal error; see the log of this daemon");
         }
         const body = reply.type === "json" ? `${JSON.stringify(reply.body)}\n` : String(reply.body);
         response.writeHead(reply.status, {
@@ -102,15 +102,15 @@
         const url = new URL(request.url ?? "/", "http://operators");
         const isRead = request.method === "GET" || request.method === "HEAD";
         if (isRead) {
-            const own = this.localReply(url.pathname);
-            if (own !== undefined) {
-                return own;
+            const ownReply = this.localReply(url.pathname);
+            if (ownReply !== undefined) {
+                return ownReply;
             }
         }
-        if (!url.pathname.startsWith(prefix)) {
-            return failure(404, "notFound", `there is nothing at ${url.pathname}`);
+        if (!url.pathname.startsWith(pathPrefix)) {
+            return failure(404, "notFound", `unknown path ${url.pathname}`);
         }
-        const name = url.pathname.slice(prefix.length);
+        const name = url.pathname.slice(pathPrefix.length);
         const timeout = parseTimeout(url.searchParams.get("timeout") ?? undefined);
         if (isRead) {
             const query = Object.fromEntries(url.searchParams);
@@ -119,7 +119,7 @@
         if (request.method === "POST") {
             return this.handlePost(name, request, timeout);
         }
-        return failure(405, "badRequest", `${request.method} isn't possible here`);
+        return failure(405, "badRequest", `the method ${request.method} isn't supported`);
     }
 
     private localReply(pathname: string): Reply | undefined {
@@ -140,7 +140,7 @@
 
     private async handleRead(name: string, query: Record<string, string>, timeout: number): Promise<Reply> {
         if (!["status", "configuration", "history", "audit"].includes(name)) {
-            return failure(404, "notFound", `there is nothing at ${prefix}${name}`);
+            return failure(404, "notFound", `unknown path ${pathPrefix}${name}`);
         }
         const request = operatorRequestSchema.safeParse({ ...query, kind: name });
         if (!request.success) {
@@ -162,24 +162,24 @@
             return this.apply(body.value, timeout);
         }
         if (name !== "drain") {
-            return failure(404, "notFound", `there is nothing to post to at ${prefix}${name}`);
+            return failure(404, "notFound", `POST isn't supported at ${pathPrefix}${name}`);
         }
-        const drain = operatorRequestSchema.safeParse({ ...body.value as object, kind: "drain" });
-        if (!drain.success) {
-            return failure(400, "badRequest", drain.error.issues.map(formatIssue).join("; "));
+        const drainRequest = operatorRequestSchema.safeParse({ ...body.value as object, kind: "drain" });
+        if (!drainRequest.success) {
+            return failure(400, "badRequest", drainRequest.error.issues.map(formatIssue).join("; "));
         }
-        return this.replyOf(await this.options.operations.handle(drain.data, timeout));
+        return this.replyOf(await this.options.operations.handle(drainRequest.data, timeout));
     }
 
     private async apply(value: unknown, timeout: number): Promise<Reply> {
-        const posted = postedChangeSchema.safeParse(value);
-        if (!posted.success) {
-            return failure(400, "badRequest", posted.error.issues.map(formatIssue).join("; "));
+        const postedChange = postedChangeSchema.safeParse(value);
+        if (!postedChange.success) {
+            return failure(400, "badRequest", postedChange.error.issues.map(formatIssue).join("; "));
         }
-        return mergeFiles(posted.data.files).caseOf<Promise<Reply> | Reply>({
+        return mergeFiles(postedChange.data.files).caseOf<Promise<Reply> | Reply>({
             Left: findings => failure(422, "findings", "the files have findings", findings),
             Right: async declaration => {
-                const change = { ...posted.data, declaration };
+                const change = { ...postedChange.data, declaration };
                 const answer = await this.options.operations.handle({ kind: "apply", change }, timeout);
                 this.options.logger.info("answered an operator's change", {
                     operator: change.operator,
@@ -233,8 +233,8 @@
 }
 
 function parseTimeout(text: string | undefined): number {
-    const asked = text === undefined ? defaultTimeoutMilliseconds : Number(text);
-    return Number.isFinite(asked) && asked > 0
-        ? Math.min(asked, maximumTimeoutMilliseconds)
+    const requestedTimeout = text === undefined ? defaultTimeoutMilliseconds : Number(text);
+    return Number.isFinite(requestedTimeout) && requestedTimeout > 0
+        ? Math.min(requestedTimeout, maxTimeoutMilliseconds)
         : defaultTimeoutMilliseconds;
 }
--- a/packages/basilpaddle/src/node/daemon/operators/operatorWire.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/operatorWire.ts
@@ -27,7 +27,7 @@
         topic: z.enum(auditTopics).optional(),
     }),
     z.object({ kind: z.literal("apply"), change: changeSchema }),
-    /** Drains a backend server: it gets no new work, as if it had announced that it is leaving. */
+    /** Drains a backend server: it gets no new work, as if it had sent a leave message. */
     z.object({ kind: z.literal("drain"), backend: z.string().min(1).max(200), operator: z.string().min(1).max(200) }),
 ]);
 
@@ -78,7 +78,7 @@
     role: z.enum(["control", "entry"]),
     failureDomain: z.string(),
     ready: z.boolean(),
-    /** Why it isn't ready. */
+    /** Why the daemon isn't ready. */
     reason: z.string().optional(),
     revision: index,
 });
@@ -99,7 +99,7 @@
     z.object({
         kind: z.literal("applied"),
         result: commandResultSchema,
-        /** Entry daemons that confirmed the change, if it was accepted; that is answered only once the change is in force. */
+        /** Entry daemons that confirmed the change, if it was accepted. An accepted change is answered only once it is in force. */
         daemons: z.array(z.string()),
     }),
     quarantinedAnswerSchema,
@@ -119,9 +119,9 @@
 /** The answer of one control daemon to a forwarded request. */
 export const controlAnswerSchema = z.object({
     kind: z.literal("operator"),
-    /** Whether it led throughout a round trip to a quorum that began after the request arrived. */
+    /** Whether the control daemon led throughout a round trip to a quorum that began after the request was received. */
     leading: z.boolean(),
-    /** The leader, as far as it knows. */
+    /** The leader, as far as this control daemon knows. */
     leader: z.string().optional(),
     answer: operatorAnswerSchema,
 });
--- a/packages/basilpaddle/src/node/daemon/operators/quarantineCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/quarantineCalls.ts
@@ -10,8 +10,8 @@
 export type QuarantineReply = { readonly status: number; readonly body: unknown; };
 
 /**
- * Answers operators' calls that list the quarantined requests or release one. Any daemon can be asked, since daemons
- * share these records with each other. Resolves with undefined for any other call.
+ * Answers operators' calls that list the quarantined requests or release one. Any daemon can answer them, since the
+ * daemons exchange these records. Resolves with undefined for any other call.
  */
 export async function answerQuarantineCall(
     quarantine: QuarantinedRequests,
--- a/packages/basilpaddle/src/node/daemon/operators/quarantineWire.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/quarantineWire.ts
@@ -13,7 +13,7 @@
     })),
 });
 
-/** Outcome of a release; `wasSuspected`: whether this daemon had crash records of the request. */
+/** Outcome of a release; `wasSuspected` is whether this daemon had crash records of the request. */
 export const releasedAnswerSchema = z.object({
     kind: z.literal("released"),
     digest: z.string(),
--- a/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
+++ b/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
@@ -8,7 +8,7 @@
 const metricsPath = "/metrics";
 const jsonContentType = "application/json; charset=utf-8";
 const metricsContentType = "text/plain; version=0.0.4; charset=utf-8";
-/** Time within which a client's whole request has to arrive. */
+/** Time within which a client's request must be received completely. */
 const requestTimeoutMilliseconds = 5_000;
 
 /** Serves metrics in the Prometheus text format, and operators' calls about quarantined requests. */
