--- a/packages/basilpaddle/src/node/cli/__tests__/commandLine.spec.ts
+++ b/packages/basilpaddle/src/node/cli/__tests__/commandLine.spec.ts
@@ -72,8 +72,8 @@
     });
     const applied = (status: number, body: object): Answer => ({ status, body: { kind: "applied", ...body } });
     const accepted = applied(200, { result: { kind: "accepted", revision: 5 }, daemons: ["entry-1", "entry-2"] });
-    const apply = (...more: string[]): Promise<number> =>
-        run("config", "apply", root, "--operator", "ana", "--at", at, ...more);
+    const apply = (...extraArguments: string[]): Promise<number> =>
+        run("config", "apply", root, "--operator", "ana", "--at", at, ...extraArguments);
 
     it("shows help with the exit codes, and rejects invalid command lines", async () => {
         expect(await run("--help")).to.equal(exitCodes.done);
@@ -98,34 +98,34 @@
     });
 
     it("applies against the revision in force", async () => {
-        let posted: { base?: number; } = {};
+        let postedChange: { base?: number; } = {};
         answers = (method, url, body) => {
             expect(url).to.match(/^\/operator\/v1\/config\?/);
             if (method === "GET") {
                 return configuration(4, "another");
             }
-            posted = body as typeof posted;
+            postedChange = body as typeof postedChange;
             return accepted;
         };
         expect(await apply("--note", "why")).to.equal(exitCodes.done);
-        expect(posted).to.deep.include({ base: 4, operator: "ana", note: "why" });
+        expect(postedChange).to.deep.include({ base: 4, operator: "ana", note: "why" });
         expect(printed).to.equal("revision 5 is accepted and in force (entry-1, entry-2)\n");
     });
 
     it("sends the same change again after a lost answer", async () => {
         // Guards against one `config apply` that creates two revisions, the second of which undoes another operator's change:
         // the change is accepted, the answer is lost, and the command sends it again under a newly generated identifier.
-        const seen: unknown[] = [];
+        const receivedChanges: unknown[] = [];
         answers = (method, _, body) => {
             if (method === "GET") {
                 return configuration(4, "another");
             }
-            seen.push(body);
-            return seen.length === 1 ? "cut" : accepted;
+            receivedChanges.push(body);
+            return receivedChanges.length === 1 ? "cut" : accepted;
         };
         expect(await apply()).to.equal(exitCodes.done);
-        expect(seen).to.have.length(2);
-        expect(seen[0]).to.deep.equal(seen[1]);
+        expect(receivedChanges).to.have.length(2);
+        expect(receivedChanges[0]).to.deep.equal(receivedChanges[1]);
         answers = method => method === "GET" ? configuration(4, "another") : "cut";
         expect(await apply()).to.equal(exitCodes.undecided);
     });
--- a/packages/basilpaddle/src/node/cli/__tests__/explanation.spec.ts
+++ b/packages/basilpaddle/src/node/cli/__tests__/explanation.spec.ts
@@ -5,7 +5,7 @@
 const line = (milliseconds: number, daemon: string, message: string, facts: object = {}): string => {
     return JSON.stringify({ at: at(milliseconds), level: "INFO", daemon, message, ...facts });
 };
-const ended = line(5_400, "gateway-1", "request", {
+const endLine = line(5_400, "gateway-1", "request", {
     request: "r",
     end: "failed",
     cause: "RESET_BY_SERVER",
@@ -16,7 +16,7 @@
 describe("the explanation of a request from logs", () => {
     it("contains its end and the related log lines, in order of time", () => {
         const { lines } = readLogLines([
-            `${ended}\n${line(5_000, "gateway-1", "a directory isn't reached any more")}`,
+            `${endLine}\n${line(5_000, "gateway-1", "a directory isn't reached any more")}`,
             line(4_000, "directory-1", "a backend server leaves", { id: "d-2" }),
         ]);
         const [attempt] = explain(lines, "r");
@@ -34,7 +34,7 @@
 
     it("omits other requests, unrelated lines of other daemons and lines from long before", () => {
         const { lines } = readLogLines([
-            ended,
+            endLine,
             line(5_300, "gateway-1", "request", { request: "other", milliseconds: 3 }),
             line(5_300, "gateway-2", "a directory isn't reached any more"),
             line(5_300, "directory-1", "a backend server leaves", { id: "d-9" }),
@@ -54,11 +54,11 @@
     });
 
     it("reads lines behind a collector's prefix, and counts what isn't a log line", () => {
-        const { lines, unread } = readLogLines([`host-7 12.5 ${ended}\nError: torn\n{"at":"20`]);
+        const { lines, unread } = readLogLines([`host-7 12.5 ${endLine}\nError: torn\n{"at":"20`]);
         expect([lines.length, unread]).to.deep.equal([1, 2]);
     });
 
     it("is empty for a request that no line names", () => {
-        expect(explain(readLogLines([ended]).lines, "unknown")).to.deep.equal([]);
+        expect(explain(readLogLines([endLine]).lines, "unknown")).to.deep.equal([]);
     });
 });
--- a/packages/basilpaddle/src/node/cli/changeIdentifier.ts
+++ b/packages/basilpaddle/src/node/cli/changeIdentifier.ts
@@ -1,7 +1,7 @@
 import { createHash } from "node:crypto";
 import type { ConfigurationFile } from "../state/index.js";
 
-/** The content by which changes are told apart. */
+/** The content that distinguishes a change from others. */
 export type ChangeContent = {
     readonly operator: string;
     readonly base: number;
@@ -16,15 +16,16 @@
 }
 
 /**
- * The revision that a change is made against if the operator names none: the one in force, or its predecessor if the one in
- * force is this same change. Otherwise a command that is repeated after a lost answer would be accepted as a new change, and
- * could undo a change that another operator made in between.
+ * The default for the revision that a change is made against: the one in force, or its predecessor if the one in force is
+ * this same change. Without the latter case, a command that is repeated after a lost answer would be accepted as a new change,
+ * and could undo a change that another operator made in between.
  */
 export function defaultBase(
     inForce: { readonly revision: number; readonly changeId: string; },
     content: Omit<ChangeContent, "base">,
 ): number {
-    const previous = inForce.revision - 1;
-    const sameChange = previous >= 0 && changeIdentifier({ ...content, base: previous }) === inForce.changeId;
-    return sameChange ? previous : inForce.revision;
+    const previousRevision = inForce.revision - 1;
+    const isSameChange = previousRevision >= 0
+        && changeIdentifier({ ...content, base: previousRevision }) === inForce.changeId;
+    return isSameChange ? previousRevision : inForce.revision;
 }
--- a/packages/basilpaddle/src/node/cli/commands/audit.ts
+++ b/packages/basilpaddle/src/node/cli/commands/audit.ts
@@ -10,9 +10,9 @@
 };
 
 /** Shows the audit trail, newest entries first. */
-export function run({ limit, before, topic, ...given }: AuditArguments): Promise<ExitCode> {
+export function run({ limit, before, topic, ...args }: AuditArguments): Promise<ExitCode> {
     return withClient(
-        given,
+        args,
         async context =>
             showAnswer(
                 context,
--- a/packages/basilpaddle/src/node/cli/commands/configApply.ts
+++ b/packages/basilpaddle/src/node/cli/commands/configApply.ts
@@ -15,39 +15,39 @@
 };
 
 /** Sends the configuration folder as a change, and waits until it is in force. */
-export async function run(given: ApplyArguments): Promise<ExitCode> {
-    const loaded = await loadConfiguration(given.dir);
+export async function run(args: ApplyArguments): Promise<ExitCode> {
+    const loaded = await loadConfiguration(args.dir);
     return loaded.caseOf<Promise<ExitCode> | ExitCode>({
         Left: findings => {
-            Output.create(given.json).findings(findings);
+            Output.create(args.json).findings(findings);
             return exitCodes.findings;
         },
-        Right: configuration => withClient(given, context => apply(context, given, configuration)),
+        Right: configuration => withClient(args, context => apply(context, args, configuration)),
     });
 }
 
-async function apply(context: OperatorContext, given: ApplyArguments, configuration: Configuration): Promise<ExitCode> {
-    const { operator, note } = given;
+async function apply(context: OperatorContext, args: ApplyArguments, configuration: Configuration): Promise<ExitCode> {
+    const { operator, note } = args;
     const files = [...configuration.files];
-    const base = given.base ?? await readBase(context, { operator, note, files });
+    const base = args.base ?? await readBase(context, { operator, note, files });
     if (typeof base !== "number") {
         return base.exitCode;
     }
-    const changeId = given.changeId ?? changeIdentifier({ operator, base, note, files });
+    const changeId = args.changeId ?? changeIdentifier({ operator, base, note, files });
     const change: PostedChange = { changeId, operator, base, note, files };
     // After a lost answer the change may have been accepted; its identifier makes sending it again idempotent.
-    const first = await context.client.apply(change);
-    const wasLost = first.swap().toMaybe().extract()?.kind === "lost";
-    const answer = wasLost ? await context.client.apply(change) : first;
+    const firstAnswer = await context.client.apply(change);
+    const firstAnswerWasLost = firstAnswer.swap().toMaybe().extract()?.kind === "lost";
+    const answer = firstAnswerWasLost ? await context.client.apply(change) : firstAnswer;
     return answer.caseOf<ExitCode>({
         Left: failure => {
             context.output.problem({
-                kind: wasLost ? "undecided" : failure.kind,
-                message: wasLost
+                kind: firstAnswerWasLost ? "undecided" : failure.kind,
+                message: firstAnswerWasLost
                     ? `${failure.message}; it isn't known whether change ${changeId} was accepted: run the same command again`
                     : failure.message,
             });
-            return wasLost ? exitCodes.undecided : exitCodes.unreachable;
+            return firstAnswerWasLost ? exitCodes.undecided : exitCodes.unreachable;
         },
         Right: value => reportResult(context, value, changeId),
     });
@@ -94,7 +94,7 @@
             return exitCodes.conflict;
         }
         default:
-            output.problem({ kind: result.kind, message: `the change was answered with ${result.kind}` });
+            output.problem({ kind: result.kind, message: `unexpected result of the change: ${result.kind}` });
             return exitCodes.failed;
     }
 }
--- a/packages/basilpaddle/src/node/cli/commands/configCheck.ts
+++ b/packages/basilpaddle/src/node/cli/commands/configCheck.ts
@@ -3,9 +3,9 @@
 import { Output } from "../output.js";
 
 /** Checks a configuration folder without contacting a daemon. */
-export async function run(given: { readonly dir: string; readonly json: boolean; }): Promise<ExitCode> {
-    const output = Output.create(given.json);
-    const loaded = await loadConfiguration(given.dir);
+export async function run(args: { readonly dir: string; readonly json: boolean; }): Promise<ExitCode> {
+    const output = Output.create(args.json);
+    const loaded = await loadConfiguration(args.dir);
     return loaded.caseOf<ExitCode>({
         Left: findings => {
             output.findings(findings);
--- a/packages/basilpaddle/src/node/cli/commands/configHistory.ts
+++ b/packages/basilpaddle/src/node/cli/commands/configHistory.ts
@@ -3,14 +3,14 @@
 import { table } from "../output.js";
 
 /** Lists the accepted changes, newest first. */
-export function run(given: OperatorArguments & { readonly limit: number; }): Promise<ExitCode> {
+export function run(args: OperatorArguments & { readonly limit: number; }): Promise<ExitCode> {
     return withClient(
-        given,
+        args,
         async context =>
             showAnswer(
                 context,
                 "history",
-                await context.client.read("history", { limit: given.limit }),
+                await context.client.read("history", { limit: args.limit }),
                 ({ entries }) =>
                     table(
                         ["revision", "at", "operator", "change", "files", "note"],
--- a/packages/basilpaddle/src/node/cli/commands/configShow.ts
+++ b/packages/basilpaddle/src/node/cli/commands/configShow.ts
@@ -2,9 +2,9 @@
 import { type OperatorArguments, showAnswer, withClient } from "../operatorCommand.js";
 
 /** Shows the configuration in force. */
-export function run(given: OperatorArguments): Promise<ExitCode> {
+export function run(args: OperatorArguments): Promise<ExitCode> {
     return withClient(
-        given,
+        args,
         async context =>
             showAnswer(context, "configuration", await context.client.read("config"), answer => [
                 `revision ${answer.revision}` + (answer.revision === 0
--- a/packages/basilpaddle/src/node/cli/commands/daemon.ts
+++ b/packages/basilpaddle/src/node/cli/commands/daemon.ts
@@ -11,8 +11,8 @@
 import { Output } from "../output.js";
 
 /** Runs a daemon until it is stopped or fails. */
-export async function run(role: Settings["role"], given: { readonly settings: string; }): Promise<ExitCode> {
-    const resolved = await resolveSettings(given.settings);
+export async function run(role: Settings["role"], args: { readonly settings: string; }): Promise<ExitCode> {
+    const resolved = await resolveSettings(args.settings);
     return resolved.caseOf<Promise<ExitCode> | ExitCode>({
         Left: findings => {
             Output.create(false).findings(findings);
@@ -23,7 +23,7 @@
                 return serve(settings);
             }
             const cause = `is for the role ${settings.role}, but the command is ${role}`;
-            Output.create(false).findings([{ file: given.settings, place: "role", cause }]);
+            Output.create(false).findings([{ file: args.settings, place: "role", cause }]);
             return exitCodes.findings;
         },
     });
--- a/packages/basilpaddle/src/node/cli/commands/drain.ts
+++ b/packages/basilpaddle/src/node/cli/commands/drain.ts
@@ -3,12 +3,12 @@
 
 /** Drains a backend server. */
 export function run(
-    given: OperatorArguments & { readonly name: string; readonly operator: string; },
+    args: OperatorArguments & { readonly name: string; readonly operator: string; },
 ): Promise<ExitCode> {
     return withClient(
-        given,
+        args,
         async context =>
-            showAnswer(context, "drained", await context.client.drain(given.name, given.operator), answer => [
+            showAnswer(context, "drained", await context.client.drain(args.name, args.operator), answer => [
                 `${answer.backend} (incarnation ${answer.incarnation}) gets no new work; its running requests are completed`,
             ]),
     );
--- a/packages/basilpaddle/src/node/cli/commands/explain.ts
+++ b/packages/basilpaddle/src/node/cli/commands/explain.ts
@@ -5,17 +5,18 @@
 
 /** Explains from log files how a request ended, with the related log lines. */
 export async function run(
-    given: { readonly request: string; readonly files: readonly string[]; readonly json: boolean; },
+    args: { readonly request: string; readonly files: readonly string[]; readonly json: boolean; },
 ): Promise<ExitCode> {
-    const output = Output.create(given.json);
-    const read = await readLogFiles(given.files, output);
+    const output = Output.create(args.json);
+    const read = await readLogFiles(args.files, output);
     if (read === undefined) {
         return exitCodes.failed;
     }
     const { lines, unread } = read;
-    const attempts = explain(lines, given.request);
+    const attempts = explain(lines, args.request);
     if (attempts.length === 0) {
-        const message = `none of ${lines.length} lines tells of ${given.request}; ${unread} weren't log lines`;
+        const message =
+            `none of ${lines.length} log lines reports the end of request ${args.request}; ${unread} lines couldn't be parsed`;
         output.problem({ kind: "unknown", message });
         return exitCodes.refused;
     }
--- a/packages/basilpaddle/src/node/cli/commands/held.ts
+++ b/packages/basilpaddle/src/node/cli/commands/held.ts
@@ -5,9 +5,9 @@
 const millisecondsInSecond = 1_000;
 
 /** Lists the requests that are quarantined because backend servers crashed while running them. */
-export function run(given: OperatorArguments): Promise<ExitCode> {
+export function run(args: OperatorArguments): Promise<ExitCode> {
     return withClient(
-        given,
+        args,
         async context =>
             showAnswer(context, "held", await context.client.read("held"), ({ requests }) => {
                 const rows = requests.map(({ digest, left, crashes }) => [
--- a/packages/basilpaddle/src/node/cli/commands/init.ts
+++ b/packages/basilpaddle/src/node/cli/commands/init.ts
@@ -12,27 +12,27 @@
 };
 
 /** Initialises the empty data folder of a control daemon of a new deployment. */
-export async function run(given: InitArguments): Promise<ExitCode> {
-    const output = Output.create(given.json);
-    const resolved = await resolveSettings(given.settings);
+export async function run(args: InitArguments): Promise<ExitCode> {
+    const output = Output.create(args.json);
+    const resolved = await resolveSettings(args.settings);
     return resolved.caseOf<Promise<ExitCode> | ExitCode>({
         Left: findings => {
             output.findings(findings);
             return exitCodes.findings;
         },
-        Right: settings => initialise(settings, given, output),
+        Right: settings => initialise(settings, args, output),
     });
 }
 
-async function initialise(settings: Settings, given: InitArguments, output: Output): Promise<ExitCode> {
+async function initialise(settings: Settings, args: InitArguments, output: Output): Promise<ExitCode> {
     if (settings.role !== "control") {
         const cause = `is for the role ${settings.role}; only a control daemon has a data folder`;
-        output.findings([{ file: given.settings, place: "role", cause }]);
+        output.findings([{ file: args.settings, place: "role", cause }]);
         return exitCodes.findings;
     }
     try {
         const names = settings.controls.map(control => control.name);
-        const identity = await initialiseControl(settings, given.cluster);
+        const identity = await initialiseControl(settings, args.cluster);
         output.result({ kind: "initialised", dataFolder: settings.dataFolder, ...identity }, () => [
             `${settings.dataFolder} is ready for ${identity.identity}, one of ${names.join(", ")}`,
         ]);
--- a/packages/basilpaddle/src/node/cli/commands/losses.ts
+++ b/packages/basilpaddle/src/node/cli/commands/losses.ts
@@ -5,15 +5,15 @@
 
 /** Summarises from log files, by cause, which requests were late or failed. */
 export async function run(
-    given: LossOptions & { readonly files: readonly string[]; readonly json: boolean; },
+    args: LossOptions & { readonly files: readonly string[]; readonly json: boolean; },
 ): Promise<ExitCode> {
-    const output = Output.create(given.json);
-    const read = await readLogFiles(given.files, output);
+    const output = Output.create(args.json);
+    const read = await readLogFiles(args.files, output);
     if (read === undefined) {
         return exitCodes.failed;
     }
     const { lines, unread } = read;
-    const summary = summariseLosses(lines, given);
+    const summary = summariseLosses(lines, args);
     output.result({ kind: "losses", ...summary, unread }, () => formatSummary(summary));
     return exitCodes.done;
 }
--- a/packages/basilpaddle/src/node/cli/commands/metrics.ts
+++ b/packages/basilpaddle/src/node/cli/commands/metrics.ts
@@ -2,8 +2,8 @@
 import { type OperatorArguments, withClient } from "../operatorCommand.js";
 
 /** Prints the metrics of the queried daemon. */
-export function run(given: OperatorArguments): Promise<ExitCode> {
-    return withClient(given, async ({ client, output }) => {
+export function run(args: OperatorArguments): Promise<ExitCode> {
+    return withClient(args, async ({ client, output }) => {
         const text = await client.metrics();
         return text.caseOf<ExitCode>({
             Left: failure => {
--- a/packages/basilpaddle/src/node/cli/commands/release.ts
+++ b/packages/basilpaddle/src/node/cli/commands/release.ts
@@ -3,12 +3,12 @@
 
 /** Releases a request from quarantine. */
 export function run(
-    given: OperatorArguments & { readonly request: string; readonly operator: string; },
+    args: OperatorArguments & { readonly request: string; readonly operator: string; },
 ): Promise<ExitCode> {
     return withClient(
-        given,
+        args,
         async context =>
-            showAnswer(context, "released", await context.client.release(given.request, given.operator), answer => [
+            showAnswer(context, "released", await context.client.release(args.request, args.operator), answer => [
                 answer.wasSuspected
                     ? `${answer.digest} is released; all daemons allow it again within about a second`
                     : `this daemon has no crash records of ${answer.digest}`,
--- a/packages/basilpaddle/src/node/cli/commands/status.ts
+++ b/packages/basilpaddle/src/node/cli/commands/status.ts
@@ -5,9 +5,9 @@
 import { table } from "../output.js";
 
 /** Shows daemons, leases, pools and backend servers, and which revision is in force where. */
-export function run(given: OperatorArguments): Promise<ExitCode> {
+export function run(args: OperatorArguments): Promise<ExitCode> {
     return withClient(
-        given,
+        args,
         async context =>
             showAnswer(context, "status", await context.client.read("status"), ({ status, daemon }) => [
                 ...daemonLines(daemon),
--- a/packages/basilpaddle/src/node/cli/configCommands.ts
+++ b/packages/basilpaddle/src/node/cli/configCommands.ts
@@ -17,7 +17,7 @@
             "check <dir>",
             "Check a configuration folder without contacting a daemon",
             nested => withFolder(withJson(nested)),
-            async given => setExitCode(await (await import("./commands/configCheck.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/configCheck.js")).run(args)),
         )
         .command(
             "apply <dir>",
@@ -43,7 +43,7 @@
                         }
                         return true;
                     }),
-            async given => setExitCode(await (await import("./commands/configApply.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/configApply.js")).run(args)),
         );
 }
 
@@ -53,7 +53,7 @@
             "show",
             "Show the configuration in force",
             withOperatorOptions,
-            async given => setExitCode(await (await import("./commands/configShow.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/configShow.js")).run(args)),
         )
         .command(
             "history",
@@ -64,7 +64,7 @@
                     default: 20,
                     describe: "maximum number of entries",
                 }),
-            async given => setExitCode(await (await import("./commands/configHistory.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/configHistory.js")).run(args)),
         );
 }
 
--- a/packages/basilpaddle/src/node/cli/daemonCommands.ts
+++ b/packages/basilpaddle/src/node/cli/daemonCommands.ts
@@ -9,13 +9,13 @@
             "entry",
             "Run an entry daemon until it is stopped",
             nested => withSettings(nested).epilogue(signals),
-            async given => setExitCode(await (await import("./commands/daemon.js")).run("entry", given)),
+            async args => setExitCode(await (await import("./commands/daemon.js")).run("entry", args)),
         )
         .command(
             "control",
             "Run a control daemon until it is stopped",
             nested => withSettings(nested).epilogue(signals),
-            async given => setExitCode(await (await import("./commands/daemon.js")).run("control", given)),
+            async args => setExitCode(await (await import("./commands/daemon.js")).run("control", args)),
         )
         .command(
             "init",
@@ -31,7 +31,7 @@
                         "Run it once for each control daemon, before its first start. A daemon that has lost its data folder "
                             + "is started without running it again, and rejoins the deployment.",
                     ),
-            async given => setExitCode(await (await import("./commands/init.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/init.js")).run(args)),
         );
 }
 
--- a/packages/basilpaddle/src/node/cli/exitCode.ts
+++ b/packages/basilpaddle/src/node/cli/exitCode.ts
@@ -10,7 +10,7 @@
     conflict: 3,
     /** The daemon or the control daemons couldn't be reached; nothing was changed. */
     unreachable: 4,
-    /** The answer was lost, so the change may or may not be accepted. Repeating the same command is idempotent. */
+    /** The answer was lost, so the change may or may not have been accepted. Repeating the same command is idempotent. */
     undecided: 5,
     /** The daemon refused: the named object doesn't exist. */
     refused: 6,
--- a/packages/basilpaddle/src/node/cli/explanation.ts
+++ b/packages/basilpaddle/src/node/cli/explanation.ts
@@ -1,12 +1,12 @@
 import { z } from "zod";
 
-/** Time before a request's arrival from which log lines of its gateway, or about its backend servers, are shown. */
+/** How long before a request's arrival log lines of its gateway, or about its backend servers, count as related. */
 const relatedBeforeMilliseconds = 10_000;
-/** Time after its end until which they are shown: a directory may notice an engine's end a little later than the request. */
+/** How long after its end they count as related: a directory may detect the end of an engine a little later than the gateway. */
 const relatedAfterMilliseconds = 1_000;
 /** Message of the log line in which a gateway reports how a request ended. */
 const requestMessage = "request";
-/** Messages of log lines that are only about one request. */
+/** Messages of log lines that concern only one request. */
 const requestMessages: ReadonlySet<string> = new Set([requestMessage, "request turned away"]);
 
 const lineSchema = z.looseObject({ at: z.iso.datetime(), daemon: z.string(), message: z.string() });
@@ -41,7 +41,7 @@
     readonly cause: string;
     /** The steps of the attempt, in order. */
     readonly path: readonly string[];
-    /** Log lines of its gateway around that time, of any daemon about its backend servers, and about the same content, in order. */
+    /** Related log lines in order: those of its gateway around that time, of any daemon about its backend servers, and about the same content. */
     readonly beliefs: readonly RelatedLine[];
 };
 
@@ -79,24 +79,25 @@
     const servers = serversInPath(path);
     const isRelated = (other: LogLine): boolean => {
         const at = Date.parse(other.at);
-        const near = at >= arrivedAt - relatedBeforeMilliseconds && at <= endedAt + relatedAfterMilliseconds;
-        const isOwn = other.daemon === line.daemon;
+        const isNear = at >= arrivedAt - relatedBeforeMilliseconds && at <= endedAt + relatedAfterMilliseconds;
+        const isSameDaemon = other.daemon === line.daemon;
         // Crashes that quarantine a request may have happened hours before, during other attempts.
-        const isSame = line.content !== undefined && other.content === line.content;
-        return !requestMessages.has(other.message) && (isSame || near && (isOwn || namesAnyServer(other, servers)));
+        const hasSameContent = line.content !== undefined && other.content === line.content;
+        return !requestMessages.has(other.message)
+            && (hasSameContent || isNear && (isSameDaemon || namesAnyServer(other, servers)));
     };
-    const beliefs = lines.filter(isRelated).map(({ at, daemon, message, ...facts }) => {
+    const relatedLines = lines.filter(isRelated).map(({ at, daemon, message, ...facts }) => {
         return { after: Date.parse(at) - arrivedAt, daemon, message, facts };
     });
     const arrived = new Date(arrivedAt).toISOString();
-    return { request, gateway: line.daemon, arrivedAt: arrived, milliseconds, end, cause, path, beliefs };
+    return { request, gateway: line.daemon, arrivedAt: arrived, milliseconds, end, cause, path, beliefs: relatedLines };
 }
 
 /** Backend servers that a path names: `read ID ...` and `run ID ...` of streams, `ID outcome ...` of plain requests. */
 function serversInPath(path: readonly string[]): ReadonlySet<string> {
     const stepsWithoutServer = new Set(["placed", "first", "refused", "heldBack", "pause"]);
-    const names = path.map(step => step.split(" ")).filter(([first = ""]) => !stepsWithoutServer.has(first));
-    return new Set(names.map(([first = "", second = ""]) => first === "read" || first === "run" ? second : first));
+    const stepWords = path.map(step => step.split(" ")).filter(([first = ""]) => !stepsWithoutServer.has(first));
+    return new Set(stepWords.map(([first = "", second = ""]) => first === "read" || first === "run" ? second : first));
 }
 
 function namesAnyServer(line: LogLine, servers: ReadonlySet<string>): boolean {
--- a/packages/basilpaddle/src/node/cli/logCommands.ts
+++ b/packages/basilpaddle/src/node/cli/logCommands.ts
@@ -16,7 +16,7 @@
                     demandOption: true,
                     describe: "log files of any daemons",
                 }),
-        async given => setExitCode(await (await import("./commands/explain.js")).run(given)),
+        async args => setExitCode(await (await import("./commands/explain.js")).run(args)),
     );
     parser.command(
         "losses <files..>",
@@ -50,6 +50,6 @@
                     }
                     return true;
                 }),
-        async given => setExitCode(await (await import("./commands/losses.js")).run(given)),
+        async args => setExitCode(await (await import("./commands/losses.js")).run(args)),
     );
 }
--- a/packages/basilpaddle/src/node/cli/lossSummary.ts
+++ b/packages/basilpaddle/src/node/cli/lossSummary.ts
@@ -15,7 +15,7 @@
 /** One step in the path of a request, as logged by its gateway. */
 type PathStep = {
     readonly kind: "placed" | "refused" | "read" | "run" | "first" | "pause" | "heldBack" | "other";
-    /** By whom the request was placed, or the backend server. */
+    /** The component that placed the request, or the backend server of the step. */
     readonly by: string;
     readonly outcome: string;
     readonly milliseconds: number;
@@ -37,6 +37,7 @@
 /** Summary of late and unserved requests, by cause. */
 export type LossSummary = {
     readonly requests: number;
+    /** Requests that were answered in time and without a pause. */
     readonly whole: number;
     readonly losses: readonly Loss[];
     /** Completed prefills, and how many of them were wasted because no answer was completed with their result. */
@@ -54,18 +55,18 @@
 };
 
 /** Maximum number of backend servers and time slices listed for each cause. */
-const maximumListed = 4;
+const maxListed = 4;
 
 /** Summarises the ends of requests in the log lines. */
 export function summariseLosses(lines: readonly LogLine[], options: LossOptions): LossSummary {
-    const found = new Map<
+    const entriesByCause = new Map<
         string,
         { readonly kind: Loss["kind"]; readonly servers: string[]; readonly moments: string[]; }
     >();
     let requests = 0;
-    let whole = 0;
-    let promptsRead = 0;
-    let readInVain = 0;
+    let answeredInTime = 0;
+    let totalPrefills = 0;
+    let wastedPrefills = 0;
     for (const line of lines.filter(({ message }) => message === requestMessage)) {
         const parsed = requestSchema.safeParse(line);
         if (!parsed.success) {
@@ -73,31 +74,31 @@
         }
         requests += 1;
         const steps = parsed.data.path.map(parseStep);
-        const reads = steps.filter(({ kind, outcome }) => kind === "read" && outcome === "done").length;
-        promptsRead += reads;
-        readInVain += reads - Math.min(reads, parsed.data.end === "answered" ? 1 : 0);
+        const completedPrefills = steps.filter(({ kind, outcome }) => kind === "read" && outcome === "done").length;
+        totalPrefills += completedPrefills;
+        wastedPrefills += completedPrefills - Math.min(completedPrefills, parsed.data.end === "answered" ? 1 : 0);
         const loss = classifyLoss(parsed.data, steps, options);
         if (loss === undefined) {
-            whole += 1;
+            answeredInTime += 1;
             continue;
         }
         const key = `${loss.kind} ${loss.cause}`;
-        const entry = found.get(key) ?? { kind: loss.kind, servers: [], moments: [] };
-        found.set(key, entry);
+        const entry = entriesByCause.get(key) ?? { kind: loss.kind, servers: [], moments: [] };
+        entriesByCause.set(key, entry);
         entry.servers.push(
             steps.findLast(({ kind }) => kind === "run" || kind === "read" || kind === "other")?.by ?? "none",
         );
         entry.moments.push(sliceStart(Date.parse(line.at) - parsed.data.milliseconds, options.slice));
     }
-    const losses = [...found].map(([key, { kind, servers, moments }]): Loss => ({
+    const losses = [...entriesByCause].map(([key, { kind, servers, moments }]): Loss => ({
         kind,
         cause: key.slice(kind.length + 1),
         count: servers.length,
-        servers: countValues(servers).slice(0, maximumListed).map(([id, count]) => ({ id, count })),
-        moments: countValues(moments).slice(0, maximumListed).map(([from, count]) => ({ from, count })),
+        servers: countValues(servers).slice(0, maxListed).map(([id, count]) => ({ id, count })),
+        moments: countValues(moments).slice(0, maxListed).map(([from, count]) => ({ from, count })),
     }));
     losses.sort((one, other) => other.count - one.count);
-    return { requests, whole, losses, promptsRead, readInVain };
+    return { requests, whole: answeredInTime, losses, promptsRead: totalPrefills, readInVain: wastedPrefills };
 }
 
 function classifyLoss(
@@ -107,7 +108,7 @@
 ): { readonly kind: Loss["kind"]; readonly cause: string; } | undefined {
     if (request.end !== "answered") {
         const cause = request.end === "callerGone"
-            ? `its caller left while ${stageWhenCallerLeft(steps)}`
+            ? `the caller disconnected ${stageAtDisconnect(steps)}`
             : withoutNumbers(request.cause);
         return { kind: "unserved", cause: `${request.end}: ${cause}` };
     }
@@ -115,9 +116,9 @@
     if (steps.some(({ kind }) => kind === "pause")) {
         return { kind: "late", cause: "a pause within the stream" };
     }
-    const took = first?.milliseconds ?? request.milliseconds;
+    const duration = first?.milliseconds ?? request.milliseconds;
     const target = first === undefined ? options.plainTarget : options.streamTarget;
-    return took > target ? { kind: "late", cause: slowestPhase(steps) } : undefined;
+    return duration > target ? { kind: "late", cause: slowestPhase(steps) } : undefined;
 }
 
 /** The phase that took most of the time to the first event. */
@@ -130,8 +131,11 @@
     }
     const first = steps[firstAt];
     if (first !== undefined) {
-        const known = [...times.values()].reduce((sum, time) => sum + time, 0);
-        times.set("the run's own first event, its prompt read there or elsewhere", first.milliseconds - known);
+        const earlierMilliseconds = [...times.values()].reduce((sum, time) => sum + time, 0);
+        times.set(
+            "the run up to its first event, including its prefill there or elsewhere",
+            first.milliseconds - earlierMilliseconds,
+        );
     }
     return [...times].sort(([, one], [, other]) => other - one)[0]?.[0] ?? "the backend server";
 }
@@ -140,26 +144,26 @@
     switch (kind) {
         case "placed":
         case "refused":
-            return "the wait for a place";
+            return "waiting for placement";
         case "read":
-            return outcome === "done" ? "the reading of the prompt" : "a reading that failed";
+            return outcome === "done" ? "prefill" : "a failed prefill";
         case "run":
-            return `a run that was ${outcome === "turnedAway" ? "turned away" : outcome}`;
+            return `a run that was ${outcome === "turnedAway" ? "rejected" : outcome}`;
         default:
             return `a call that was ${outcome}`;
     }
 }
 
 /** The stage in which a request was when its caller disconnected. */
-function stageWhenCallerLeft(steps: readonly PathStep[]): string {
+function stageAtDisconnect(steps: readonly PathStep[]): string {
     const last = steps.at(-1);
     if (last === undefined || last.kind === "placed" || last.kind === "refused") {
-        return "it waited for a place";
+        return "while waiting for placement";
     }
     if (steps.some(({ kind }) => kind === "first")) {
-        return "its stream ran";
+        return "while the answer was streamed";
     }
-    return last.kind === "read" ? "its prompt was read" : "it waited for its answer";
+    return last.kind === "read" ? "during prefill" : "while waiting for the answer";
 }
 
 /** Parses a step: `placed BY MS`, `refused MS`, `first MS`, `pause MS`, `read ID OUTCOME MS`, `heldBack (SERVER AGE, ...)`, `run ID OUTCOME MS (CAUSE)`, `ID OUTCOME MS`. */
--- a/packages/basilpaddle/src/node/cli/main.ts
+++ b/packages/basilpaddle/src/node/cli/main.ts
@@ -16,8 +16,8 @@
 /** Runs the command line and resolves with the exit code. The code of each command is loaded only when it is called. */
 export async function runCommandLine(argv: readonly string[]): Promise<ExitCode> {
     let code: ExitCode = exitCodes.done;
-    const setExitCode: ExitCodeCallback = ended => {
-        code = ended;
+    const setExitCode: ExitCodeCallback = newCode => {
+        code = newCode;
     };
     const parser = yargs([...argv])
         .scriptName("basilpaddle")
@@ -32,12 +32,12 @@
         .wrap(100)
         .epilogue(exitCodeHelp)
         .exitProcess(false)
-        .fail((message, error, shown) => {
+        .fail((message, error, yargsInstance) => {
             // An error thrown by a running command comes without a message; everything else is a mistake in the command line.
             if (typeof message !== "string") {
                 throw error;
             }
-            shown.showHelp("error");
+            yargsInstance.showHelp("error");
             process.stderr.write(`\n${message}\n`);
             // Unless an error is thrown here, yargs continues and runs the command.
             throw new UsageError(message);
--- a/packages/basilpaddle/src/node/cli/operatorClient.ts
+++ b/packages/basilpaddle/src/node/cli/operatorClient.ts
@@ -2,12 +2,12 @@
 import { Agent, request } from "undici";
 import { type OperatorAnswer, operatorAnswerSchema, type PostedChange } from "../daemon/operators/index.js";
 
-/** Time that the client waits for an answer beyond the timeout given to the daemon. */
+/** Time that the client waits for an answer in addition to the timeout that it sends to the daemon. */
 const answerMarginMilliseconds = 2_000;
 
 /** Why there is no answer from the operators' interface of a daemon. */
 export type ClientFailure = {
-    /** `unreachable`: nothing was sent. `lost`: the request may have been carried out. */
+    /** `unreachable`: the request was not sent. `lost`: it may have been carried out. */
     readonly kind: "unreachable" | "lost";
     readonly message: string;
 };
@@ -18,15 +18,17 @@
 
     private constructor(private readonly address: string, private readonly timeout: number) {}
 
-    /** Creates a client for the address `host:port`; `timeout` is the limit of each request in milliseconds. */
+    /** Creates a client for the address `host:port`; `timeout` applies to each request, in milliseconds. */
     static create(address: string, timeout: number): OperatorClient {
         return new OperatorClient(address, timeout);
     }
 
     /** Reads the resource `name` of the operators' interface. */
     read(name: string, query: Readonly<Record<string, string | number | undefined>> = {}): ClientAnswer {
-        const given = Object.entries(query).filter(([, value]) => value !== undefined);
-        const search = new URLSearchParams(Object.fromEntries(given.map(([key, value]) => [key, String(value)])));
+        const definedParameters = Object.entries(query).filter(([, value]) => value !== undefined);
+        const search = new URLSearchParams(
+            Object.fromEntries(definedParameters.map(([key, value]) => [key, String(value)])),
+        );
         return this.requestAnswer("GET", `/operator/v1/${name}`, search, undefined);
     }
 
@@ -98,6 +100,9 @@
         return Right(operatorAnswerSchema.parse(JSON.parse(text)));
     }
     catch {
-        return Left({ kind: "lost", message: `the answer isn't one of basilpaddle's: ${text.slice(0, 200)}` });
+        return Left({
+            kind: "lost",
+            message: `the answer doesn't match basilpaddle's protocol: ${text.slice(0, 200)}`,
+        });
     }
 }
--- a/packages/basilpaddle/src/node/cli/operatorCommand.ts
+++ b/packages/basilpaddle/src/node/cli/operatorCommand.ts
@@ -19,19 +19,19 @@
 
 /** Runs a command with a client of a daemon's operators' interface, which is closed afterwards. */
 export async function withClient(
-    given: OperatorArguments,
+    args: OperatorArguments,
     run: (context: OperatorContext) => Promise<ExitCode>,
 ): Promise<ExitCode> {
-    const client = OperatorClient.create(given.at, given.timeout);
+    const client = OperatorClient.create(args.at, args.timeout);
     try {
-        return await run({ client, output: Output.create(given.json) });
+        return await run({ client, output: Output.create(args.json) });
     }
     finally {
         await client.close();
     }
 }
 
-/** Prints an answer of the given kind, or why there is none, and returns the exit code. */
+/** Prints the answer if it is of the expected kind, otherwise the failure, and returns the exit code. */
 export async function showAnswer<K extends OperatorAnswer["kind"]>(
     { output }: OperatorContext,
     kind: K,
@@ -57,7 +57,7 @@
 /** Reports a failure, or an answer of another kind than expected, and returns the exit code. */
 export function reportUnexpected(output: Output, answer: OperatorAnswer): ExitCode {
     if (answer.kind !== "failure") {
-        output.problem({ kind: "failure", message: `the daemon gave an answer of kind ${answer.kind}` });
+        output.problem({ kind: "failure", message: `unexpected answer of kind ${answer.kind} from the daemon` });
         return exitCodes.failed;
     }
     if (answer.findings !== undefined) {
--- a/packages/basilpaddle/src/node/cli/operatorCommands.ts
+++ b/packages/basilpaddle/src/node/cli/operatorCommands.ts
@@ -9,7 +9,7 @@
             "status",
             "Show daemons, leases, pools and backend servers, and which revision is in force where",
             withOperatorOptions,
-            async given => setExitCode(await (await import("./commands/status.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/status.js")).run(args)),
         )
         .command(
             "drain <name>",
@@ -18,7 +18,7 @@
                 withOperatorName(withOperatorOptions(nested))
                     .positional("name", { type: "string", demandOption: true, describe: "the backend server" })
                     .epilogue("A daemon is drained by SIGTERM to its process."),
-            async given => setExitCode(await (await import("./commands/drain.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/drain.js")).run(args)),
         )
         .command(
             "audit",
@@ -31,13 +31,13 @@
                         choices: ["configuration", "membership", "order"] as const,
                         describe: "only entries of this topic",
                     }),
-            async given => setExitCode(await (await import("./commands/audit.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/audit.js")).run(args)),
         )
         .command(
             "held",
             "List the requests that are quarantined because backend servers crashed while running them",
             withOperatorOptions,
-            async given => setExitCode(await (await import("./commands/held.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/held.js")).run(args)),
         )
         .command(
             "release <request>",
@@ -48,12 +48,12 @@
                     demandOption: true,
                     describe: "digest of the request, as shown by `held` and in the log field `content`",
                 }),
-            async given => setExitCode(await (await import("./commands/release.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/release.js")).run(args)),
         )
         .command(
             "metrics",
             "Print the metrics of the queried daemon",
             withOperatorOptions,
-            async given => setExitCode(await (await import("./commands/metrics.js")).run(given)),
+            async args => setExitCode(await (await import("./commands/metrics.js")).run(args)),
         );
 }
--- a/packages/basilpaddle/src/node/cli/operatorOptions.ts
+++ b/packages/basilpaddle/src/node/cli/operatorOptions.ts
@@ -13,14 +13,14 @@
             describe: "operators' address of any daemon, as host:port",
         })
         .option("timeout", { type: "number", default: 10_000, describe: "milliseconds to wait for the outcome" })
-        .check(given => {
-            if (given.at === "") {
+        .check(args => {
+            if (args.at === "") {
                 throw new Error(`Name a daemon with --at host:port, or in the environment variable ${atVariable}.`);
             }
-            if (!/^(\[[0-9a-fA-F:]+\]|[^:]+):\d+$/.test(String(given.at))) {
-                throw new Error(`--at is ${String(given.at)}; it must be host:port, such as 127.0.0.11:7070`);
+            if (!/^(\[[0-9a-fA-F:]+\]|[^:]+):\d+$/.test(String(args.at))) {
+                throw new Error(`--at is ${String(args.at)}; it must be host:port, such as 127.0.0.11:7070`);
             }
-            if (!(Number(given.timeout) > 0)) {
+            if (!(Number(args.timeout) > 0)) {
                 throw new Error("--timeout must be a number of milliseconds above 0");
             }
             return true;
--- a/packages/basilpaddle/src/node/cli/output.ts
+++ b/packages/basilpaddle/src/node/cli/output.ts
@@ -14,7 +14,7 @@
         process.stdout.write(`${text}\n`);
     }
 
-    /** Writes a problem: to standard error as text, or with `--json` to standard output, where the program reads. */
+    /** Writes a problem: as text to standard error, or with `--json` to standard output, where a program expects the result. */
     problem(value: { readonly kind: string; readonly message: string; }): void {
         if (this.json) {
             process.stdout.write(`${JSON.stringify(value, undefined, 2)}\n`);
@@ -23,7 +23,7 @@
         process.stderr.write(`${value.message}\n`);
     }
 
-    /** Writes findings: one per line to standard error, or with `--json` as one value to standard output. */
+    /** Writes findings: as text to standard error, one per line, or with `--json` as one value to standard output. */
     findings(findings: readonly Finding[]): void {
         if (this.json) {
             process.stdout.write(`${JSON.stringify({ kind: "findings", findings }, undefined, 2)}\n`);
@@ -36,7 +36,7 @@
 
 /** Formats rows as text in aligned columns under their headings. */
 export function table(headings: readonly string[], rows: readonly (readonly (string | number)[])[]): string[] {
-    const all = [headings, ...rows.map(row => row.map(String))];
-    const widths = headings.map((_, column) => Math.max(...all.map(row => String(row[column] ?? "").length)));
-    return all.map(row => row.map((cell, column) => String(cell).padEnd(widths[column]!)).join("  ").trimEnd());
+    const allRows = [headings, ...rows.map(row => row.map(String))];
+    const widths = headings.map((_, column) => Math.max(...allRows.map(row => String(row[column] ?? "").length)));
+    return allRows.map(row => row.map((cell, column) => String(cell).padEnd(widths[column]!)).join("  ").trimEnd());
 }
