--- a/packages/basilpaddle/src/node/cli/lossSummary.ts
+++ b/packages/basilpaddle/src/node/cli/lossSummary.ts
@@ -123,21 +123,21 @@
 
 /** The phase that took most of the time to the first event. */
 function slowestPhase(steps: readonly PathStep[]): string {
-    const times = new Map<string, number>();
+    const phaseMilliseconds = new Map<string, number>();
     const firstAt = steps.findIndex(({ kind }) => kind === "first");
     for (const step of firstAt < 0 ? steps : steps.slice(0, firstAt)) {
         const name = phaseOf(step);
-        times.set(name, (times.get(name) ?? 0) + step.milliseconds);
+        phaseMilliseconds.set(name, (phaseMilliseconds.get(name) ?? 0) + step.milliseconds);
     }
     const first = steps[firstAt];
     if (first !== undefined) {
-        const earlierMilliseconds = [...times.values()].reduce((sum, time) => sum + time, 0);
-        times.set(
+        const earlierMilliseconds = [...phaseMilliseconds.values()].reduce((sum, time) => sum + time, 0);
+        phaseMilliseconds.set(
             "the run up to its first event, including its prefill there or elsewhere",
             first.milliseconds - earlierMilliseconds,
         );
     }
-    return [...times].sort(([, one], [, other]) => other - one)[0]?.[0] ?? "the backend server";
+    return [...phaseMilliseconds].sort(([, one], [, other]) => other - one)[0]?.[0] ?? "the backend server";
 }
 
 function phaseOf({ kind, outcome }: PathStep): string {
--- a/packages/basilpaddle/src/node/daemon/entry/__tests__/entryDaemon.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/__tests__/entryDaemon.spec.ts
@@ -43,9 +43,9 @@
         for (const stream of [false, true]) {
             const key = { ...headers, "idempotency-key": `k${stream}` };
             const first = await harness.chat({ stream }, key);
-            const before = harness.engine("d1").ran.length;
+            const ranBefore = harness.engine("d1").ran.length;
             const second = await harness.chat({ stream }, key);
-            expect(harness.engine("d1").ran.length).to.equal(before);
+            expect(harness.engine("d1").ran.length).to.equal(ranBefore);
             expect(second.headers["basilpaddle-replayed"]).to.equal("true");
             expect(stream ? streamedText(second) : second.body).to.equal(stream ? streamedText(first) : first.body);
         }
--- a/packages/basilpaddle/src/node/daemon/entry/flush.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/flush.ts
@@ -12,9 +12,9 @@
     response.once("close", () => end.abort());
     response.once("finish", () => end.abort());
     while (response.writableEnded && !response.writableFinished && !response.destroyed) {
-        const before = response.writableLength;
+        const previousLength = response.writableLength;
         await pause(clock, stalledReader, end.signal);
-        if (!end.signal.aborted && response.writableLength >= before) {
+        if (!end.signal.aborted && response.writableLength >= previousLength) {
             response.destroy();
         }
     }
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceConnections.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceConnections.ts
@@ -49,9 +49,9 @@
         if (instances.length === 0) {
             return undefined;
         }
-        const one = instances[this.randomness.integer(0, instances.length - 1)] as Announcement;
-        const other = instances[this.randomness.integer(0, instances.length - 1)] as Announcement;
-        return this.openCallsAt(one) <= this.openCallsAt(other) ? one : other;
+        const firstCandidate = instances[this.randomness.integer(0, instances.length - 1)] as Announcement;
+        const secondCandidate = instances[this.randomness.integer(0, instances.length - 1)] as Announcement;
+        return this.openCallsAt(firstCandidate) <= this.openCallsAt(secondCandidate) ? firstCandidate : secondCandidate;
     }
 
     /** Counts a call as open until the returned function is called. */
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceHeaders.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceHeaders.ts
@@ -17,10 +17,10 @@
 /** The end-to-end headers of a message, without the hop-by-hop ones and those that `connection` names. */
 export function endToEnd(headers: IncomingHttpHeaders): Record<string, string | string[]> {
     const connectionHeaders = String(headers.connection ?? "").toLowerCase().split(",").map(name => name.trim());
-    const dropped = new Set([...hopByHop, ...connectionHeaders]);
+    const droppedHeaders = new Set([...hopByHop, ...connectionHeaders]);
     const endToEndOnly: Record<string, string | string[]> = {};
     for (const [name, value] of Object.entries(headers)) {
-        if (value !== undefined && !dropped.has(name)) {
+        if (value !== undefined && !droppedHeaders.has(name)) {
             endToEndOnly[name] = value;
         }
     }
--- a/packages/basilpaddle/src/node/daemon/operators/__tests__/operatorServer.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/__tests__/operatorServer.spec.ts
@@ -147,16 +147,16 @@
     });
 
     it("finds a new leader and remembers it", async () => {
-        const asked: string[] = [];
+        const askedChannels: string[] = [];
         const history: OperatorAnswer = { kind: "history", entries: [] };
         const base = await serve(
-            fakeChannel("control-1", () => notLeader("control-2"), asked),
-            fakeChannel("control-2", () => history, asked),
+            fakeChannel("control-1", () => notLeader("control-2"), askedChannels),
+            fakeChannel("control-2", () => history, askedChannels),
         );
         await fetch(`${base}/operator/v1/history`);
         const response = await fetch(`${base}/operator/v1/history`);
         expect(await response.json()).to.deep.equal(history);
-        expect(asked).to.deep.equal(["control-1", "control-2", "control-2"]);
+        expect(askedChannels).to.deep.equal(["control-1", "control-2", "control-2"]);
     });
 
     it("reads from a control daemon that doesn't lead only while none leads", async () => {
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/settingsFile.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/settingsFile.spec.ts
@@ -54,12 +54,12 @@
         }
     }
 
-    const before: readonly (readonly [string, string | undefined])[] = [
+    const initialContents: readonly (readonly [string, string | undefined])[] = [
         ["absent", undefined],
         ["empty", ""],
         ["truncated", JSON.stringify(gateway).slice(0, 40)],
     ];
-    for (const [state, text] of before) {
+    for (const [state, text] of initialContents) {
         // Guards against a daemon that exits with findings because its settings were still being written when it started.
         it(`is waited for while it is ${state}`, async () => {
             if (text !== undefined) {
