--- a/packages/basilpaddle/src/node/daemon/start/__tests__/settingsFile.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/settingsFile.spec.ts
@@ -48,18 +48,18 @@
 
     /** Writes the file in steps, as a slow writer does; the last step completes it. */
     async function writeLater(text: string): Promise<void> {
-        for (const part of [0.3, 0.6, 1]) {
+        for (const fraction of [0.3, 0.6, 1]) {
             await new Promise(resolve => setTimeout(resolve, 120));
-            await writeFile(file, text.slice(0, Math.floor(part * text.length)));
+            await writeFile(file, text.slice(0, Math.floor(fraction * text.length)));
         }
     }
 
-    const before: readonly (readonly [string, string | undefined])[] = [
+    const initialContents: readonly (readonly [string, string | undefined])[] = [
         ["absent", undefined],
         ["empty", ""],
         ["truncated", JSON.stringify(gateway).slice(0, 40)],
     ];
-    for (const [state, text] of before) {
+    for (const [state, text] of initialContents) {
         // Guards against a daemon that exits with findings because its settings were still being written when it started.
         it(`is waited for while it is ${state}`, async () => {
             if (text !== undefined) {
--- a/packages/basilpaddle/src/node/daemon/start/entryStart.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryStart.ts
@@ -52,10 +52,14 @@
     }
 
     private async shutDown(): Promise<ShutdownReport> {
-        const { cut, unconfirmedCancels, undecidedRuns } = await this.daemon.drain();
-        this.logger.info("requests are drained; closing", { cut: cut.length, unconfirmedCancels, undecidedRuns });
+        const { abortedRequests, unconfirmedCancels, undecidedRuns } = await this.daemon.drain();
+        this.logger.info("requests are drained; closing", {
+            cut: abortedRequests.length,
+            unconfirmedCancels,
+            undecidedRuns,
+        });
         await this.store.dispose();
-        return { cut };
+        return { abortedRequests };
     }
 
     protected override async openComponents(): Promise<void> {
@@ -87,10 +91,10 @@
             quarantinedRequests: this.quarantine,
         });
         this.store.add(() => this.daemon.close());
-        // Closed before the placement, so that this daemon can still answer others that it is no longer their scheduler while
-        // they switch to the next one.
+        // Closed before the placement, so that while other daemons switch to the next scheduler, this one can still answer them
+        // that it no longer schedules.
         this.store.add(() => this.control.close());
-        // Closed before the session, which still carries the outcomes of its orders to the audit trail.
+        // Closed before the control client, through whose session the outcomes of orders are still written to the audit trail.
         this.openOrders();
         this.store.add(collectEntryMetrics(metrics, this.control, this.placement, this.daemon));
         this.store.add(metrics.onCollect(() => this.quarantine.measure(metrics)));
--- a/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
+++ b/packages/basilpaddle/src/node/daemon/start/metricsServer.ts
@@ -8,7 +8,7 @@
 const metricsPath = "/metrics";
 const jsonContentType = "application/json; charset=utf-8";
 const metricsContentType = "text/plain; version=0.0.4; charset=utf-8";
-/** Time within which a client's whole request has to arrive. */
+/** Time within which a client's request must be received completely. */
 const requestTimeoutMilliseconds = 5_000;
 
 /** Serves metrics in the Prometheus text format, and operators' calls about quarantined requests. */
@@ -52,8 +52,8 @@
     }
 }
 
-function write(response: http.ServerResponse, status: number, type: string, text: string): void {
+function write(response: http.ServerResponse, status: number, contentType: string, text: string): void {
     const body = Buffer.from(text);
-    response.writeHead(status, { "Content-Type": type, "Content-Length": body.length });
+    response.writeHead(status, { "Content-Type": contentType, "Content-Length": body.length });
     response.end(body);
 }
