--- a/packages/basilpaddle/src/node/cli/lossSummary.ts
+++ b/packages/basilpaddle/src/node/cli/lossSummary.ts
@@ -108,7 +108,7 @@
 ): { readonly kind: Loss["kind"]; readonly cause: string; } | undefined {
     if (request.end !== "answered") {
         const cause = request.end === "callerGone"
-            ? `the caller disconnected ${stageAtDisconnect(steps)}`
+            ? `its caller left while ${stageAtDisconnect(steps)}`
             : withoutNumbers(request.cause);
         return { kind: "unserved", cause: `${request.end}: ${cause}` };
     }
@@ -133,7 +133,7 @@
     if (first !== undefined) {
         const earlierMilliseconds = [...phaseMilliseconds.values()].reduce((sum, time) => sum + time, 0);
         phaseMilliseconds.set(
-            "the run up to its first event, including its prefill there or elsewhere",
+            "the run's own first event, its prompt read there or elsewhere",
             first.milliseconds - earlierMilliseconds,
         );
     }
@@ -144,11 +144,11 @@
     switch (kind) {
         case "placed":
         case "refused":
-            return "waiting for placement";
+            return "the wait for a place";
         case "read":
-            return outcome === "done" ? "prefill" : "a failed prefill";
+            return outcome === "done" ? "the reading of the prompt" : "a reading that failed";
         case "run":
-            return `a run that was ${outcome === "turnedAway" ? "rejected" : outcome}`;
+            return `a run that was ${outcome === "turnedAway" ? "turned away" : outcome}`;
         default:
             return `a call that was ${outcome}`;
     }
@@ -158,12 +158,12 @@
 function stageAtDisconnect(steps: readonly PathStep[]): string {
     const last = steps.at(-1);
     if (last === undefined || last.kind === "placed" || last.kind === "refused") {
-        return "while waiting for placement";
+        return "it waited for a place";
     }
     if (steps.some(({ kind }) => kind === "first")) {
-        return "while the answer was streamed";
+        return "its stream ran";
     }
-    return last.kind === "read" ? "during prefill" : "while waiting for the answer";
+    return last.kind === "read" ? "its prompt was read" : "it waited for its answer";
 }
 
 /** Parses a step: `placed BY MS`, `refused MS`, `first MS`, `pause MS`, `read ID OUTCOME MS`, `heldBack (SERVER AGE, ...)`, `run ID OUTCOME MS (CAUSE)`, `ID OUTCOME MS`. */
