--- a/packages/basilpaddle/src/node/coordination/agreement/__tests__/step.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/__tests__/step.spec.ts
@@ -141,7 +141,7 @@
         const { term } = driver.states.get(a)!;
         driver.handle(a, { kind: "message", from: b, message: { kind: "appended", term, matched: 1, ...echoed } });
         const confirmed = (): boolean =>
-            driver.effects.some(({ effect }) => effect.kind === "confirmed" && effect.held);
+            driver.effects.some(({ effect }) => effect.kind === "confirmed" && effect.stillLeading);
         expect(confirmed()).to.equal(false);
         driver.settle();
         expect(confirmed()).to.equal(true);
--- a/packages/basilpaddle/src/node/coordination/agreement/effect.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/effect.ts
@@ -46,4 +46,4 @@
     | { readonly kind: "proposed"; readonly token: number; readonly position: Position; }
     | { readonly kind: "refused"; readonly token: number; readonly leader: string | undefined; }
     /** Answers a `confirm` event: whether this replica is still the leader. */
-    | { readonly kind: "confirmed"; readonly token: number; readonly held: boolean; };
+    | { readonly kind: "confirmed"; readonly token: number; readonly stillLeading: boolean; };
--- a/packages/basilpaddle/src/node/coordination/agreement/election.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/election.ts
@@ -160,7 +160,7 @@
         return;
     }
     state.leadership = undefined;
-    leadership.confirmations.forEach(({ token }) => state.effect({ kind: "confirmed", token, held: false }));
+    leadership.confirmations.forEach(({ token }) => state.effect({ kind: "confirmed", token, stillLeading: false }));
     state.effect({ kind: "leadership", leading: false });
 }
 
--- a/packages/basilpaddle/src/node/coordination/agreement/replica.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/replica.ts
@@ -287,7 +287,7 @@
                 this.proposals.refuse(effect.token, effect.leader === undefined ? undefined : nameOf(effect.leader));
                 return;
             case "confirmed":
-                this.confirmations.get(effect.token)?.(effect.held);
+                this.confirmations.get(effect.token)?.(effect.stillLeading);
                 return;
         }
     }
--- a/packages/basilpaddle/src/node/coordination/agreement/replication.ts
+++ b/packages/basilpaddle/src/node/coordination/agreement/replication.ts
@@ -78,7 +78,7 @@
 export function confirmLeadership(state: AgreementState, token: number): void {
     const leadership = state.leadership;
     if (leadership === undefined) {
-        state.effect({ kind: "confirmed", token, held: false });
+        state.effect({ kind: "confirmed", token, stillLeading: false });
         return;
     }
     broadcast(state, leadership);
@@ -199,7 +199,7 @@
     });
     const confirmedRequests = leadership.confirmations.filter(({ round }) => round <= answeredByQuorum);
     leadership.confirmations = leadership.confirmations.filter(({ round }) => round > answeredByQuorum);
-    confirmedRequests.forEach(({ token }) => state.effect({ kind: "confirmed", token, held: true }));
+    confirmedRequests.forEach(({ token }) => state.effect({ kind: "confirmed", token, stillLeading: true }));
 }
 
 function sendTo(
--- a/packages/basilpaddle/src/node/coordination/placement.ts
+++ b/packages/basilpaddle/src/node/coordination/placement.ts
@@ -1,4 +1,10 @@
-import type { EngineHolding, LoadReport, Progress, SchedulingDecision, SchedulingRequest } from "../protocol/index.js";
+import type {
+    EngineAllocation,
+    LoadReport,
+    Progress,
+    SchedulingDecision,
+    SchedulingRequest,
+} from "../protocol/index.js";
 
 /** Reserves engines for attempts, through the pool's scheduler on this or another daemon, or by a local decision. */
 export abstract class Placement {
@@ -13,7 +19,7 @@
      * one. Resolves to the new engine's identifier, or to undefined if none has a free slot now. In that case the attempt
      * keeps its engines, and the call may be repeated.
      */
-    abstract move(allocation: EngineHolding): Promise<string | undefined>;
+    abstract move(allocation: EngineAllocation): Promise<string | undefined>;
 
     /** Reports the progress of an attempt. `finished`, `cancelled` and `failed` release its engines. */
     abstract progress(pool: string, progress: Progress): void;
--- a/packages/basilpaddle/src/node/coordination/request/__tests__/driver.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/driver.spec.ts
@@ -82,13 +82,13 @@
         // and the mark was checked only before the reservation.
         const rig = Rig.create();
         rig.placement.queue = () => {
-            rig.parts.marks.markLeaving("d1", 1);
+            rig.parts.leavingBackends.markLeaving("d1", 1);
             return Promise.resolve();
         };
         expect((await rig.drive({})).kind).to.equal("finished");
         expect(rig.engine("d1").ran).to.deep.equal([]);
         expect(rig.ranStages().filter(ran => ran.startsWith("prefill"))).to.have.length(1);
-        rig.parts.marks.markLeaving("p1", 1);
+        rig.parts.leavingBackends.markLeaving("p1", 1);
         await rig.drive({});
         expect(rig.placement.schedulingRequests.at(-1)?.avoid).to.deep.equal(["d1", "p1"]);
     });
@@ -211,7 +211,7 @@
         await rig.drive({});
         rig.mark("d1", "gone");
         await rig.waitUntilSettled();
-        expect(rig.parts.cancellations.outstanding).to.equal(0);
+        expect(rig.parts.cancellations.pendingCount).to.equal(0);
     });
 
     it("abandons a call to an engine that is gone from the view, though its connection stays silent", async () => {
--- a/packages/basilpaddle/src/node/coordination/request/__tests__/fullEngine.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/fullEngine.spec.ts
@@ -58,7 +58,7 @@
             rig.parts.clock.after = () => () => undefined;
             expect(await rig.drive({ run })).to.have.nested.property("refusal.code", "callerGone");
             expect(rig.engine("d1").faults.import).to.have.length(persistentlyFull.length - 1);
-            expect(rig.engine("p1").attemptsHoldingResources.size === 0 || rig.parts.cancellations.outstanding > 0).to
+            expect(rig.engine("p1").attemptsHoldingResources.size === 0 || rig.parts.cancellations.pendingCount > 0).to
                 .equal(true);
             await rig.waitUntilSettled();
             expect(rig.unreleasedAttempts()).to.deep.equal([]);
--- a/packages/basilpaddle/src/node/coordination/request/__tests__/leavingBackends.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/request/__tests__/leavingBackends.spec.ts
@@ -10,15 +10,15 @@
         // soon as the engine's state in the view was no longer ready, whatever the reason.
         const state = ViewState.create();
         state.apply(1, commands.announce("decode-1", 1));
-        const marks = LeavingBackends.create();
-        marks.markLeaving("decode-1", 1);
+        const leavingBackends = LeavingBackends.create();
+        leavingBackends.markLeaving("decode-1", 1);
         const ready = state.view();
         const entry = ready.backends["decode-1"]!;
-        marks.removeReflected({ ...ready, backends: { "decode-1": { ...entry, state: "draining" } } });
-        expect(marks.isLeaving("decode-1", 1)).to.equal(true);
-        marks.removeReflected(ready);
-        expect(marks.isLeaving("decode-1", 1)).to.equal(true);
-        marks.removeReflected({ ...ready, backends: { "decode-1": { ...entry, state: "leaving" } } });
-        expect(marks.isLeaving("decode-1", 1)).to.equal(false);
+        leavingBackends.removeReflected({ ...ready, backends: { "decode-1": { ...entry, state: "draining" } } });
+        expect(leavingBackends.isLeaving("decode-1", 1)).to.equal(true);
+        leavingBackends.removeReflected(ready);
+        expect(leavingBackends.isLeaving("decode-1", 1)).to.equal(true);
+        leavingBackends.removeReflected({ ...ready, backends: { "decode-1": { ...entry, state: "leaving" } } });
+        expect(leavingBackends.isLeaving("decode-1", 1)).to.equal(false);
     });
 });
--- a/packages/basilpaddle/src/node/coordination/request/answer.ts
+++ b/packages/basilpaddle/src/node/coordination/request/answer.ts
@@ -11,10 +11,10 @@
     /**
      * Writes the next token. If it returns a promise, the driver stops reading from the engine until the promise settles.
      */
-    abstract token(text: string): Promise<void> | undefined;
+    abstract appendToken(text: string): Promise<void> | undefined;
 
     /** The whole answer in its stored form, which is replayed to a retry of the request. */
-    abstract kept(end: AnswerEnd): StoredAnswer;
+    abstract toStoredAnswer(end: AnswerEnd): StoredAnswer;
 
     /** Writes the end of the answer. */
     abstract finish(end: AnswerEnd): void;
--- a/packages/basilpaddle/src/node/coordination/request/attempt.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attempt.ts
@@ -353,7 +353,7 @@
         if (backend?.state !== "ready") {
             return undefined;
         }
-        const leaving = this.context.options.marks.isLeaving(id, backend.announcement.incarnation);
+        const leaving = this.context.options.leavingBackends.isLeaving(id, backend.announcement.incarnation);
         return leaving ? undefined : backend.announcement;
     }
 
--- a/packages/basilpaddle/src/node/coordination/request/attemptContext.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attemptContext.ts
@@ -2,9 +2,9 @@
 import type { Answer, EndReason } from "./answer.js";
 import type { Lifecycle } from "./lifecycle.js";
 import type { OutcomeTracker } from "./outcomeTracker.js";
-import type { RequestParts } from "./parts.js";
+import type { RequestDependencies } from "./parts.js";
 import type { RequestScope } from "./scope.js";
-import type { Work } from "./work.js";
+import type { GenerationRequest } from "./work.js";
 
 /** How an attempt ended. */
 export type AttemptEnd =
@@ -25,8 +25,8 @@
 
 /** State that all attempts of one request share. */
 export type AttemptContext = {
-    readonly options: RequestParts;
-    readonly request: Work;
+    readonly options: RequestDependencies;
+    readonly request: GenerationRequest;
     readonly answer: Answer;
     readonly scope: RequestScope;
     readonly lifecycle: Lifecycle;
--- a/packages/basilpaddle/src/node/coordination/request/attemptSchedulingRequest.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attemptSchedulingRequest.ts
@@ -28,6 +28,6 @@
         deadlineWithin: request.deadlineAt - now,
         alreadySent: written.tokens,
         once: request.run !== undefined,
-        avoid: [...avoid, ...options.marks.leavingInPool(options.control.view(), request.pool)],
+        avoid: [...avoid, ...options.leavingBackends.leavingInPool(options.control.view(), request.pool)],
     };
 }
--- a/packages/basilpaddle/src/node/coordination/request/cancellations.ts
+++ b/packages/basilpaddle/src/node/coordination/request/cancellations.ts
@@ -37,7 +37,7 @@
     }
 
     /** Number of cancels that aren't confirmed yet. */
-    get outstanding(): number {
+    get pendingCount(): number {
         return this.pending.size;
     }
 
--- a/packages/basilpaddle/src/node/coordination/request/decodeReader.ts
+++ b/packages/basilpaddle/src/node/coordination/request/decodeReader.ts
@@ -134,7 +134,7 @@
         }
         written.tokens++;
         written.lastTokenAt = now;
-        this.backpressure = this.context.answer.token(text) ?? this.backpressure;
+        this.backpressure = this.context.answer.appendToken(text) ?? this.backpressure;
     }
 
     /** Waits for a slow caller with the idle timeout off: the engine is silent only because nothing reads from it. */
--- a/packages/basilpaddle/src/node/coordination/request/driver.ts
+++ b/packages/basilpaddle/src/node/coordination/request/driver.ts
@@ -5,10 +5,10 @@
 import type { AttemptContext, AttemptEnd } from "./attemptContext.js";
 import { Lifecycle } from "./lifecycle.js";
 import { OutcomeTracker } from "./outcomeTracker.js";
-import type { RequestParts } from "./parts.js";
+import type { RequestDependencies } from "./parts.js";
 import type { Run } from "./run.js";
 import { type RequestScope, type StopReason, untilAborted } from "./scope.js";
-import type { RequestEnd, Work } from "./work.js";
+import type { GenerationRequest, RequestEnd } from "./work.js";
 
 const maxAttempts = 3;
 const retryAfterFailureMilliseconds = 1_000;
@@ -31,8 +31,8 @@
     private run: Run | undefined;
 
     private constructor(
-        private readonly options: RequestParts,
-        private readonly request: Work,
+        private readonly options: RequestDependencies,
+        private readonly request: GenerationRequest,
         private readonly answer: Answer,
         private readonly scope: RequestScope,
     ) {}
@@ -41,7 +41,12 @@
      * Processes the request to its end. Never rejects. At the end, all resources of the request are released or being
      * released.
      */
-    static async drive(options: RequestParts, request: Work, answer: Answer, scope: RequestScope): Promise<RequestEnd> {
+    static async drive(
+        options: RequestDependencies,
+        request: GenerationRequest,
+        answer: Answer,
+        scope: RequestScope,
+    ): Promise<RequestEnd> {
         const driver = new RequestDriver(options, request, answer, scope);
         const remaining = request.deadlineAt - options.clock.monotonic();
         const disarm = options.clock.after(Math.max(0, remaining), () => scope.stop("deadlineExceeded"));
@@ -181,7 +186,7 @@
         const { tokens, promptTokens } = this.written;
         const end = { reason, tokens, promptTokens };
         if (this.run !== undefined) {
-            const recording = this.options.runRecords.finish(this.run, "answered", this.answer.kept(end));
+            const recording = this.options.runRecords.finish(this.run, "answered", this.answer.toStoredAnswer(end));
             await untilAborted(recording, this.scope.signal, undefined);
         }
         if (this.scope.stopped === "callerGone") {
--- a/packages/basilpaddle/src/node/coordination/request/parts.ts
+++ b/packages/basilpaddle/src/node/coordination/request/parts.ts
@@ -10,14 +10,14 @@
 import type { RunRecords } from "./run.js";
 
 /** Services and state that all requests of one daemon share. */
-export type RequestParts = {
+export type RequestDependencies = {
     readonly failureDomain: string;
     readonly control: ControlClient;
     readonly placement: Placement;
     readonly engines: EngineClients;
     readonly cancellations: Cancellations;
     readonly runRecords: RunRecords;
-    readonly marks: LeavingBackends;
+    readonly leavingBackends: LeavingBackends;
     readonly retryBudget: RetryBudget;
     /** Detects requests that crash the backend servers running them. */
     readonly crashDetector: CrashDetector;
--- a/packages/basilpaddle/src/node/coordination/request/run.ts
+++ b/packages/basilpaddle/src/node/coordination/request/run.ts
@@ -55,7 +55,7 @@
     }
 
     /** Number of records of run ends that were proposed and are not known to be committed yet. */
-    get undecided(): number {
+    get pendingCount(): number {
         return this.pending;
     }
 
@@ -117,7 +117,7 @@
         return { kind: "releaseRun", key: run.key, token: run.token, at: this.options.clock.wall() };
     }
 
-    /** Waits until no record is undecided, for at most `timeout` milliseconds. Returns the number of undecided ones. */
+    /** Waits until no record is pending, for at most `timeout` milliseconds. Returns the number of pending ones. */
     async drain(timeout: number): Promise<number> {
         const deadline = this.options.clock.monotonic() + timeout;
         while (this.pending > 0 && this.options.clock.monotonic() < deadline) {
--- a/packages/basilpaddle/src/node/coordination/request/viewWaits.ts
+++ b/packages/basilpaddle/src/node/coordination/request/viewWaits.ts
@@ -1,4 +1,4 @@
-import type { RequestParts } from "./parts.js";
+import type { RequestDependencies } from "./parts.js";
 import { pause } from "./scope.js";
 
 /** Maximum wait for engines that are in the scheduler's view but not yet in this daemon's view. */
@@ -8,7 +8,7 @@
 /** Interval at which the confirmation is polled. */
 const confirmationPollMilliseconds = 25;
 
-type ViewWaitOptions = Pick<RequestParts, "clock" | "control">;
+type ViewWaitOptions = Pick<RequestDependencies, "clock" | "control">;
 
 /**
  * Waits until the view contains the engines. The wait is bounded: if the view is newer than the scheduler's, the engines may
--- a/packages/basilpaddle/src/node/coordination/request/work.ts
+++ b/packages/basilpaddle/src/node/coordination/request/work.ts
@@ -2,7 +2,7 @@
 import type { RunIdentity } from "./run.js";
 
 /** A model request, validated and resolved against the configuration. */
-export type Work = {
+export type GenerationRequest = {
     readonly requestId: string;
     readonly pool: string;
     readonly organisation: string;
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/fakes.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/fakes.ts
@@ -195,7 +195,9 @@
         if (target === undefined || this.isPartitioned()) {
             return undefined;
         }
-        return target.handlePeer(body as PeerRequest, { gone: this.daemons.connections.get(this.sender)!.signal });
+        return target.handlePeer(body as PeerRequest, {
+            disconnected: this.daemons.connections.get(this.sender)!.signal,
+        });
     }
 }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/localScheduler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/localScheduler.spec.ts
@@ -96,7 +96,7 @@
         expect(scheduler.nextTickAt()).to.equal(1_001);
         const refused = scheduler.step({ kind: "tick" }, 1_001);
         expect(refused.map(decision => [decision.kind, decision.attempt])).to.deep.equal([["refused", "e"]]);
-        expect(scheduler.status().waiting).to.equal(0);
+        expect(scheduler.status().queuedCount).to.equal(0);
     });
 
     // Guards against several daemons assigning the last free slots of an engine at the same time: a request that can't be
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
@@ -3,7 +3,7 @@
 import { SchedulerBench } from "../../../../../../../simulation/scheduling/bench.js";
 import { schedulingProperty } from "../../../../../../../simulation/scheduling/runs.js";
 import { engine, schedulingRequest } from "../../../../../../../simulation/scheduling/samples.js";
-import type { EngineHolding } from "../../../protocol/index.js";
+import type { EngineAllocation } from "../../../protocol/index.js";
 
 describe("PoolScheduler", () => {
     // Guards against prefill results being evicted before a decode slot is free.
@@ -174,7 +174,7 @@
         fc.assert(schedulingProperty(), { seed: 20_261_202, numRuns: 200 });
     });
 
-    function allocationOf(attempt: string, decode: string): EngineHolding {
+    function allocationOf(attempt: string, decode: string): EngineAllocation {
         return { demand: schedulingRequest(attempt), prefill: "p1", decode, stage: "prefilled", tokens: 0 };
     }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { flushPromises } from "../../../../../../../simulation/manualClock.js";
 import { engine, schedulingRequest } from "../../../../../../../simulation/scheduling/samples.js";
-import type { EngineHolding, SchedulingDecision } from "../../../protocol/index.js";
+import type { EngineAllocation, SchedulingDecision } from "../../../protocol/index.js";
 import { incarnation, sampleView, TestDaemons } from "./fakes.js";
 
 const neverAborted = new AbortController().signal;
@@ -14,7 +14,7 @@
     });
 }
 
-function allocationOf(daemon: string, name: string, stage: EngineHolding["stage"]): EngineHolding {
+function allocationOf(daemon: string, name: string, stage: EngineAllocation["stage"]): EngineAllocation {
     return { demand: requestOf(daemon, name), prefill: "p1", decode: "d1", stage, tokens: 0 };
 }
 
@@ -120,7 +120,7 @@
         expect(outcome("three")).to.equal(0);
         daemons.partitioned.clear();
         await daemons.clock.advance(500);
-        expect(daemons.placement("a").status().get("drafts")!.waiting).to.equal(0);
+        expect(daemons.placement("a").status().get("drafts")!.queuedCount).to.equal(0);
     });
 
     // Guards against requests that are late already taking engines from new ones that can still meet their targets.
@@ -154,10 +154,10 @@
         await reserveAndPrefill("b", "two");
         await reserveAndPrefill("b", "three");
         const poolStatus = () => daemons.placement("a").status().get("drafts")!;
-        expect(poolStatus().waiting).to.equal(1);
+        expect(poolStatus().queuedCount).to.equal(1);
         daemons.kill("b");
         await flushPromises();
-        expect(poolStatus().waiting).to.equal(0);
+        expect(poolStatus().queuedCount).to.equal(0);
         daemons.closeSession("b");
         await flushPromises();
         expect(poolStatus().held.get("d1")).to.equal(0);
@@ -271,7 +271,7 @@
         reserve("a", "later");
         await flushPromises();
         for (const request of localPlacements) {
-            await daemons.placement("a").handlePeer(request, { gone: neverAborted });
+            await daemons.placement("a").handlePeer(request, { disconnected: neverAborted });
         }
         await daemons.clock.advance(300);
         expect(outcome("later")).to.equal("waits");
--- a/packages/basilpaddle/src/node/coordination/scheduling/localAllocations.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localAllocations.ts
@@ -1,8 +1,8 @@
-import type { EngineHolding, Progress, SchedulingRequest } from "../../protocol/index.js";
+import type { EngineAllocation, Progress, SchedulingRequest } from "../../protocol/index.js";
 
 /** Engines allocated to this daemon's attempts. A new scheduler queries them to learn which slots are in use. */
 export class LocalAllocations {
-    private readonly byAttempt = new Map<string, EngineHolding>();
+    private readonly byAttempt = new Map<string, EngineAllocation>();
 
     static create(): LocalAllocations {
         return new LocalAllocations();
@@ -36,7 +36,7 @@
     }
 
     /** The allocations in a pool. */
-    ofPool(pool: string): EngineHolding[] {
+    ofPool(pool: string): EngineAllocation[] {
         return [...this.byAttempt.values()].filter(allocation => allocation.demand.pool === pool);
     }
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localPlacement.ts
@@ -1,5 +1,5 @@
 import type {
-    EngineHolding,
+    EngineAllocation,
     LoadReport,
     Progress,
     SchedulingDecision,
@@ -45,7 +45,7 @@
         return decision ?? refuse(request, "noBackend", `no pool ${request.pool} is declared`, undefined);
     }
 
-    override async move(allocation: EngineHolding): Promise<string | undefined> {
+    override async move(allocation: EngineAllocation): Promise<string | undefined> {
         return this.pools.get(allocation.demand.pool)?.move(allocation);
     }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
@@ -1,4 +1,4 @@
-import type { EngineHolding, SchedulingDecision, SchedulingRequest } from "../../protocol/index.js";
+import type { EngineAllocation, SchedulingDecision, SchedulingRequest } from "../../protocol/index.js";
 import type { Randomness } from "../../utils/index.js";
 import { refuse } from "./refusals.js";
 import { Scheduler, type SchedulerEvent } from "./scheduler.js";
@@ -51,7 +51,7 @@
         return decisions;
     }
 
-    override move(allocation: EngineHolding, now: number): string | undefined {
+    override move(allocation: EngineAllocation, now: number): string | undefined {
         const { demand: request } = allocation;
         this.trackedPool.restore(allocation, now);
         const assignment = this.trackedPool.assignments.get(request.attempt);
@@ -79,7 +79,7 @@
     }
 
     override status(): ReturnType<Scheduler["status"]> {
-        return { held: this.trackedPool.allocatedSlotsByEngine(), waiting: this.waiting.size };
+        return { held: this.trackedPool.allocatedSlotsByEngine(), queuedCount: this.waiting.size };
     }
 
     private applyEvent(event: SchedulerEvent, now: number): SchedulingDecision[] {
--- a/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/peerLink.ts
@@ -1,5 +1,5 @@
 import type {
-    EngineHolding,
+    EngineAllocation,
     LoadReport,
     PeerAnswer,
     PeerRequest,
@@ -88,7 +88,7 @@
     }
 
     /** Requests another decode engine for an allocation whose decode engine is full. */
-    async move(allocation: EngineHolding): Promise<RemoteMove> {
+    async move(allocation: EngineAllocation): Promise<RemoteMove> {
         const request: PeerRequest = { kind: "move", pool: allocation.demand.pool, holding: allocation };
         const answer = await this.link.request(request, probeTimeoutMilliseconds);
         const body = answer.extract() as PeerAnswer;
@@ -110,7 +110,7 @@
     }
 
     /** Reports a local placement to the scheduler without confirmation; if it is lost, load reports show the used slot. */
-    reportLocalAllocation(allocation: EngineHolding): void {
+    reportLocalAllocation(allocation: EngineAllocation): void {
         this.link.send({ kind: "taken", pool: allocation.demand.pool, holding: allocation } satisfies PeerRequest);
     }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
@@ -1,4 +1,4 @@
-import type { EngineHolding, Progress, SchedulingDecision, SchedulingRequest } from "../../protocol/index.js";
+import type { EngineAllocation, Progress, SchedulingDecision, SchedulingRequest } from "../../protocol/index.js";
 import { Admission } from "./admission.js";
 import { AdmissionForecast } from "./admissionForecast.js";
 import { DisplacedAttempts } from "./displacedAttempts.js";
@@ -88,7 +88,7 @@
         return decisions;
     }
 
-    override move(allocation: EngineHolding, now: number): string | undefined {
+    override move(allocation: EngineAllocation, now: number): string | undefined {
         const { demand: request } = allocation;
         this.queue.remove(request.attempt);
         this.pool.restore(allocation, now);
@@ -128,7 +128,7 @@
     }
 
     override status(): ReturnType<Scheduler["status"]> {
-        return { held: this.pool.allocatedSlotsByEngine(), waiting: this.queue.size };
+        return { held: this.pool.allocatedSlotsByEngine(), queuedCount: this.queue.size };
     }
 
     private applyEvent(event: SchedulerEvent, now: number): SchedulingDecision[] {
--- a/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/scheduledPlacement.ts
@@ -1,5 +1,5 @@
 import type {
-    EngineHolding,
+    EngineAllocation,
     LoadReport,
     PeerAnswer,
     PeerRequest,
@@ -133,7 +133,7 @@
         return decision;
     }
 
-    override async move(allocation: EngineHolding): Promise<string | undefined> {
+    override async move(allocation: EngineAllocation): Promise<string | undefined> {
         const { demand: { attempt, pool }, prefill, decode: full } = allocation;
         const decode = await this.requestMove(allocation);
         this.options.logger.info("decode engine is full", { pool, attempt, prefill, full, movedTo: decode });
@@ -280,14 +280,14 @@
         // After a process freeze another daemon may hold the lease; the view shows that only once it is confirmed again.
         const decision = host === undefined || !this.options.control.mayStart()
             ? undefined
-            : await host.reserve(request, context.gone);
+            : await host.reserve(request, context.disconnected);
         return decision === undefined
             ? { kind: "notScheduler", holder: this.options.control.view().leases[schedulerLease(request.pool)]?.holder }
             : { kind: "decision", decision };
     }
 
     /** Asks the pool's scheduler even about a local placement, which the scheduler may not know yet. */
-    private async requestMove(allocation: EngineHolding): Promise<string | undefined> {
+    private async requestMove(allocation: EngineAllocation): Promise<string | undefined> {
         const { pool } = allocation.demand;
         const host = this.hosts.get(pool);
         if (host !== undefined) {
@@ -297,7 +297,7 @@
         return answer === "unreachable" ? this.localPlacement.move(allocation) : answer.decode;
     }
 
-    private serveMove(pool: string, allocation: EngineHolding): PeerAnswer {
+    private serveMove(pool: string, allocation: EngineAllocation): PeerAnswer {
         const host = this.hosts.get(pool);
         return host === undefined || !this.options.control.mayStart()
             ? { kind: "notScheduler", holder: this.options.control.view().leases[schedulerLease(pool)]?.holder }
--- a/packages/basilpaddle/src/node/coordination/scheduling/scheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/scheduler.ts
@@ -1,6 +1,6 @@
 import type {
     Announcement,
-    EngineHolding,
+    EngineAllocation,
     LoadReport,
     Organisation,
     Pool,
@@ -37,7 +37,7 @@
         readonly open: readonly { readonly daemon: string; readonly incarnation: string; }[];
     }
     /** Engines allocated to an attempt, but not by this scheduler: by an earlier scheduler or by a local placement. */
-    | { readonly kind: "holding"; readonly holding: EngineHolding; }
+    | { readonly kind: "holding"; readonly holding: EngineAllocation; }
     /** All available information about assignments made before this scheduler started has been applied. */
     | { readonly kind: "warm"; }
     /**
@@ -59,11 +59,11 @@
      * Called after the decode engine of an allocation rejected the attempt because it was full. Allocates and returns another
      * decode engine, or returns undefined if none has a free slot.
      */
-    abstract move(allocation: EngineHolding, now: number): string | undefined;
+    abstract move(allocation: EngineAllocation, now: number): string | undefined;
 
     /** Time of the next tick in monotonic milliseconds; undefined while none is needed. */
     abstract nextTickAt(): number | undefined;
 
     /** Number of allocated slots by engine identifier, and number of queued requests. */
-    abstract status(): { readonly held: ReadonlyMap<string, number>; readonly waiting: number; };
+    abstract status(): { readonly held: ReadonlyMap<string, number>; readonly queuedCount: number; };
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/schedulerHost.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/schedulerHost.ts
@@ -1,5 +1,5 @@
 import type {
-    EngineHolding,
+    EngineAllocation,
     LoadReport,
     Progress,
     SchedulingDecision,
@@ -26,7 +26,7 @@
 
 /** Queries daemons for their allocations in the pool, and engines for their load. */
 export type PoolSurvey = {
-    readonly allocations: () => Promise<readonly EngineHolding[]>[];
+    readonly allocations: () => Promise<readonly EngineAllocation[]>[];
     readonly reports: () => Promise<LoadReport | undefined>[];
 };
 
@@ -96,12 +96,12 @@
     }
 
     /** Applies an allocation made by a daemon's local placement. */
-    applyAllocation(allocation: EngineHolding): void {
+    applyAllocation(allocation: EngineAllocation): void {
         this.step({ kind: "holding", holding: allocation });
     }
 
     /** Allocates another decode engine to an attempt whose engine rejected it because it was full. */
-    move(allocation: EngineHolding): string | undefined {
+    move(allocation: EngineAllocation): string | undefined {
         return this.closed ? undefined : this.scheduler.move(allocation, this.clock.monotonic());
     }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
@@ -1,5 +1,5 @@
 import { LRUCache } from "lru-cache";
-import type { EngineHolding, LoadReport, Progress, SchedulingRequest } from "../../protocol/index.js";
+import type { EngineAllocation, LoadReport, Progress, SchedulingRequest } from "../../protocol/index.js";
 import { Counter } from "./counter.js";
 import type { EngineEntry } from "./scheduler.js";
 import { TrackedEngine } from "./trackedEngine.js";
@@ -68,7 +68,7 @@
     }
 
     /** Adds an allocation that another scheduler made: an earlier one, or a daemon's local one. */
-    restore(allocation: EngineHolding, now: number): void {
+    restore(allocation: EngineAllocation, now: number): void {
         const { demand: request } = allocation;
         if (
             this.assignments.has(request.attempt) || this.endedAttempts.has(request.attempt)
--- a/packages/basilpaddle/src/node/daemon/entry/backendMessages.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/backendMessages.ts
@@ -27,7 +27,7 @@
     readonly settings: EntrySettings;
     readonly control: ControlClient;
     readonly placement: Placement;
-    readonly marks: LeavingBackends;
+    readonly leavingBackends: LeavingBackends;
     readonly attempts: AttemptIds;
     readonly cancellations: Cancellations;
     readonly clock: Clock;
@@ -97,7 +97,7 @@
         if (known?.state === "leaving" && known.announcement.incarnation === announcement.incarnation) {
             return "superseded";
         }
-        if (this.options.marks.isLeaving(announcement.id, announcement.incarnation)) {
+        if (this.options.leavingBackends.isLeaving(announcement.id, announcement.incarnation)) {
             return "superseded";
         }
         if (known?.state === "ready" && isDeepStrictEqual(known.announcement, announcement)) {
@@ -120,7 +120,7 @@
     }
 
     private leave(id: string, incarnation: number): Promise<AnswerOutcome> {
-        this.options.marks.markLeaving(id, incarnation);
+        this.options.leavingBackends.markLeaving(id, incarnation);
         return this.propose({
             kind: "markBackend",
             id,
--- a/packages/basilpaddle/src/node/daemon/entry/entryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/entryDaemon.ts
@@ -12,7 +12,7 @@
     type EngineClientFactory,
     EngineClients,
     LeavingBackends,
-    type RequestParts,
+    type RequestDependencies,
     RetryBudget,
     RunRecords,
 } from "../../coordination/request/index.js";
@@ -66,7 +66,7 @@
 
     private constructor(
         private readonly options: EntryDaemonOptions,
-        private readonly requestDependencies: RequestParts,
+        private readonly requestDependencies: RequestDependencies,
     ) {}
 
     static async create(options: EntryDaemonOptions): Promise<EntryDaemon> {
@@ -194,7 +194,7 @@
     }
 
     private applyView(view: View): void {
-        this.requestDependencies.marks.removeReflected(view);
+        this.requestDependencies.leavingBackends.removeReflected(view);
         const urls = new Set(Object.values(view.backends).map(backend => backend.announcement.url));
         this.requestDependencies.engines.closeUnused(urls).catch((failure: unknown) => {
             this.options.logger.warn("failed to close the client of a removed engine", { failure: String(failure) });
@@ -202,7 +202,7 @@
     }
 }
 
-function createRequestDependencies(options: EntryDaemonOptions): RequestParts {
+function createRequestDependencies(options: EntryDaemonOptions): RequestDependencies {
     const { settings, control, clock, randomness, logger, metrics } = options;
     const engines = EngineClients.create(options.engines);
     const view = () => control.view();
@@ -213,7 +213,7 @@
         engines,
         cancellations: Cancellations.create({ engines, view, clock, randomness, logger, metrics }),
         runRecords: RunRecords.create({ control, clock, randomness, logger, metrics }),
-        marks: LeavingBackends.create(),
+        leavingBackends: LeavingBackends.create(),
         retryBudget: RetryBudget.create(),
         clock,
         randomness,
--- a/packages/basilpaddle/src/node/daemon/entry/modelAnswer.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/modelAnswer.ts
@@ -66,11 +66,11 @@
         super(options);
     }
 
-    override token(text: string): undefined {
+    override appendToken(text: string): undefined {
         this.tokenTexts.push(text);
     }
 
-    override kept(end: AnswerEnd): StoredAnswer {
+    override toStoredAnswer(end: AnswerEnd): StoredAnswer {
         return { status: 200, headers: { "content-type": "application/json" }, body: Buffer.from(this.body(end)) };
     }
 
@@ -116,7 +116,7 @@
         this.eventSuffix = eventSuffix;
     }
 
-    override token(text: string): Promise<void> | undefined {
+    override appendToken(text: string): Promise<void> | undefined {
         if (this.options.retainsText) {
             this.tokenTexts.push(text);
         }
@@ -134,7 +134,7 @@
         return bufferedLength > this.options.limits.waitingBytes ? this.waitForDrain() : undefined;
     }
 
-    override kept(end: AnswerEnd): StoredAnswer {
+    override toStoredAnswer(end: AnswerEnd): StoredAnswer {
         const text = this.eventPrefix + JSON.stringify(this.tokenTexts.join("")) + this.eventSuffix;
         return {
             status: 200,
--- a/packages/basilpaddle/src/node/daemon/entry/modelCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/modelCalls.ts
@@ -3,12 +3,12 @@
 import { servedVersion } from "../../coordination/orders/index.js";
 import { digestOf } from "../../coordination/quarantine/index.js";
 import {
+    type GenerationRequest,
     identifyRun,
+    type RequestDependencies,
     RequestDriver,
-    type RequestParts,
     type RequestScope,
     type RunIdentity,
-    type Work,
 } from "../../coordination/request/index.js";
 import {
     blockTokens,
@@ -36,12 +36,12 @@
 
 /** Limits and dependencies of the model API. */
 export type ModelCallsOptions = {
-    readonly requestDependencies: RequestParts;
+    readonly requestDependencies: RequestDependencies;
     readonly prefixHash: PrefixHash;
     readonly limits: EntrySettings["limits"];
 };
 
-type ResolvedRequest = { readonly request: ModelRequest; readonly work: Work; };
+type ResolvedRequest = { readonly request: ModelRequest; readonly generationRequest: GenerationRequest; };
 
 /** Serves /v1/chat/completions and /v1/completions. */
 export class ModelCalls {
@@ -80,12 +80,12 @@
     }
 
     private async drive(
-        { request, work }: ResolvedRequest,
+        { request, generationRequest }: ResolvedRequest,
         response: ServerResponse,
         scope: RequestScope,
     ): Promise<void> {
         const { requestDependencies: dependencies, limits } = this.options;
-        const { requestId } = work;
+        const { requestId } = generationRequest;
         const answer = ModelAnswer.create({
             request,
             requestId,
@@ -93,14 +93,14 @@
             scope,
             clock: dependencies.clock,
             limits,
-            retainsText: work.run !== undefined,
+            retainsText: generationRequest.run !== undefined,
         });
         const onClose = () => scope.stop("callerGone");
         response.once("close", onClose);
         if (response.destroyed) {
             onClose();
         }
-        const end = await RequestDriver.drive(dependencies, work, answer, scope);
+        const end = await RequestDriver.drive(dependencies, generationRequest, answer, scope);
         response.off("close", onClose);
         if (end.kind === "replayed") {
             sendRecordedAnswer(response, end.answer);
@@ -110,7 +110,7 @@
             answer.refuse(end.refusal);
         }
         else {
-            this.expected.record(work.pool, end.tokens);
+            this.expected.record(generationRequest.pool, end.tokens);
         }
     }
 
@@ -130,14 +130,23 @@
                     findTarget(declaration, callerOptions.organisation, model.model).chain(target =>
                         runIdentityOf(callerOptions, target, path, bytes).map(run => ({
                             request: model,
-                            work: this.work(requestId, receivedAt, callerOptions, model, target, run, path, bytes),
+                            generationRequest: this.createGenerationRequest(
+                                requestId,
+                                receivedAt,
+                                callerOptions,
+                                model,
+                                target,
+                                run,
+                                path,
+                                bytes,
+                            ),
                         }))
                     )
                 )
         );
     }
 
-    private work(
+    private createGenerationRequest(
         requestId: string,
         receivedAt: number,
         callerOptions: CallerOptions,
@@ -146,7 +155,7 @@
         run: RunIdentity | undefined,
         path: string,
         body: Buffer,
-    ): Work {
+    ): GenerationRequest {
         const deadline = Math.min(
             target.route?.deadline ?? defaultDeadlineMilliseconds,
             callerOptions.deadline ?? Infinity,
--- a/packages/basilpaddle/src/node/daemon/entry/services/recordedCall.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/recordedCall.ts
@@ -1,6 +1,6 @@
 import { type ServerResponse } from "node:http";
 import type { Dispatcher } from "undici";
-import { type RequestParts, type Run, untilAborted } from "../../../coordination/request/index.js";
+import { type RequestDependencies, type Run, untilAborted } from "../../../coordination/request/index.js";
 import {
     engineRefusalSchema,
     engineRefusalStatuses,
@@ -20,7 +20,7 @@
  * service may have executed it already, and a retry with the same key gets its answer.
  */
 export async function forwardRecordedAnswer(
-    dependencies: RequestParts,
+    dependencies: RequestDependencies,
     run: Run,
     call: ServiceCall,
     answer: Dispatcher.ResponseData,
--- a/packages/basilpaddle/src/node/daemon/entry/services/serviceCalls.ts
+++ b/packages/basilpaddle/src/node/daemon/entry/services/serviceCalls.ts
@@ -6,7 +6,12 @@
     quarantineRefusal,
     type RequestAttempt,
 } from "../../../coordination/quarantine/index.js";
-import { identifyRun, type RequestParts, type RequestScope, type Run } from "../../../coordination/request/index.js";
+import {
+    identifyRun,
+    type RequestDependencies,
+    type RequestScope,
+    type Run,
+} from "../../../coordination/request/index.js";
 import { type Announcement, callerHeaders, type EntrySettings, type Refusal } from "../../../protocol/index.js";
 import { DisposableStore } from "../../../utils/index.js";
 import { type CallerOptions, readCallerOptions } from "../callerHeaders.js";
@@ -20,7 +25,7 @@
 
 /** Limits and dependencies of calls to plain services. */
 export type ServiceCallsOptions = {
-    readonly requestDependencies: RequestParts;
+    readonly requestDependencies: RequestDependencies;
     readonly limits: EntrySettings["limits"];
     readonly connections: ServiceConnections;
 };
@@ -171,7 +176,7 @@
         tried: Set<string>,
         sendToInstance: (instance: Announcement) => Promise<SendResult>,
     ): Promise<SendResult> {
-        const { control, marks } = this.options.requestDependencies;
+        const { control, leavingBackends } = this.options.requestDependencies;
         const { name } = call.route;
         const { crashDetector, logger } = this.options.requestDependencies;
         const quarantined = call.attemptIdentity && quarantineRefusal(crashDetector, call.attemptIdentity, logger);
@@ -179,7 +184,7 @@
             return { kind: "failed", refusal: quarantined };
         }
         const isExcluded = (instance: Announcement) =>
-            tried.has(instance.id) || marks.isLeaving(instance.id, instance.incarnation);
+            tried.has(instance.id) || leavingBackends.isLeaving(instance.id, instance.incarnation);
         const instance = this.options.connections.pick(control.view(), name, isExcluded);
         if (instance === undefined) {
             return failedResult("noBackend", "notRun", `no instance of the service ${name} is ready`);
--- a/packages/basilpaddle/src/node/daemon/start/entryMetrics.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryMetrics.ts
@@ -24,7 +24,7 @@
         for (const pool of Object.keys(view.configuration.declaration.pools)) {
             const schedulerStatus = placement.status().get(pool);
             metrics.gauge("basilpaddle_scheduler", schedulerStatus === undefined ? 0 : 1, { pool });
-            metrics.gauge("basilpaddle_queue", schedulerStatus?.waiting ?? 0, { pool });
+            metrics.gauge("basilpaddle_queue", schedulerStatus?.queuedCount ?? 0, { pool });
             const allocatedSlots = [...schedulerStatus?.held.values() ?? []].reduce((sum, slots) => sum + slots, 0);
             metrics.gauge("basilpaddle_slots_held", allocatedSlots, { pool });
         }
--- a/packages/basilpaddle/src/node/protocol/scheduling.ts
+++ b/packages/basilpaddle/src/node/protocol/scheduling.ts
@@ -85,4 +85,4 @@
 /** Progress report of an attempt. */
 export type Progress = z.infer<typeof progressSchema>;
 /** The engines reserved for an attempt, as known to its entry daemon. */
-export type EngineHolding = z.infer<typeof engineHoldingSchema>;
+export type EngineAllocation = z.infer<typeof engineHoldingSchema>;
--- a/packages/basilpaddle/src/node/transport/link.ts
+++ b/packages/basilpaddle/src/node/transport/link.ts
@@ -36,5 +36,5 @@
 /** Context of a received request. */
 export type LinkContext = {
     /** Aborted when the connection of the request is closed, after which the request can't be answered. */
-    readonly gone: AbortSignal;
+    readonly disconnected: AbortSignal;
 };
--- a/packages/basilpaddle/src/node/transport/tcpLink.ts
+++ b/packages/basilpaddle/src/node/transport/tcpLink.ts
@@ -261,7 +261,7 @@
         this.sockets.add(socket);
         const reader = FrameReader.create();
         const connectionClosed = new AbortController();
-        const context: LinkContext = { gone: connectionClosed.signal };
+        const context: LinkContext = { disconnected: connectionClosed.signal };
         socket.on(
             "error",
             error => this.logger.debug("a connection from another daemon failed", { message: error.message }),
--- a/scripts/rig/cost.ts
+++ b/scripts/rig/cost.ts
@@ -69,7 +69,7 @@
         this.step({ kind: "rules", rules });
         this.step({ kind: "engines", engines: engines(workers) });
         const requestCount = (1 - prefillShare) * workers * slots + queue;
-        while (this.serial < requestCount || this.scheduler.status().waiting < queue) {
+        while (this.serial < requestCount || this.scheduler.status().queuedCount < queue) {
             this.addRequest();
             this.now += 1;
         }
--- a/scripts/rig/policy.ts
+++ b/scripts/rig/policy.ts
@@ -1,5 +1,5 @@
 import type {
-    EngineHolding,
+    EngineAllocation,
     LoadReport,
     Progress,
     SchedulingDecision,
@@ -28,6 +28,6 @@
 export type PolicyContext = {
     readonly cluster: Cluster;
     /** Engine allocations of a running entry daemon. */
-    readonly allocations: (entry: number) => readonly EngineHolding[];
+    readonly allocations: (entry: number) => readonly EngineAllocation[];
     readonly seed: number;
 };
--- a/scripts/rig/requests.ts
+++ b/scripts/rig/requests.ts
@@ -1,5 +1,5 @@
 import type {
-    EngineHolding,
+    EngineAllocation,
     Progress,
     SchedulingDecision,
     SchedulingRequest,
@@ -77,7 +77,7 @@
     }
 
     /** Engine allocations of an entry daemon. */
-    allocations(entry: number): readonly EngineHolding[] {
+    allocations(entry: number): readonly EngineAllocation[] {
         return [...this.openRequests].flatMap(({ arrival, attempt, sentTokens }) => {
             if (arrival.entry !== entry || attempt?.prefill === undefined || attempt.decode === undefined) {
                 return [];
--- a/simulation/agreement/host.ts
+++ b/simulation/agreement/host.ts
@@ -186,7 +186,7 @@
                 return;
             case "confirmed": {
                 const asked = process.confirmations.get(effect.token)!;
-                if (effect.held) {
+                if (effect.stillLeading) {
                     this.checks.confirmed(asked.term, asked.askedAt);
                 }
                 return;
--- a/simulation/requests/fakePlacement.ts
+++ b/simulation/requests/fakePlacement.ts
@@ -1,6 +1,6 @@
 import { Placement } from "../../packages/basilpaddle/src/node/coordination/index.js";
 import type {
-    EngineHolding,
+    EngineAllocation,
     LoadReport,
     Progress,
     SchedulingDecision,
@@ -50,7 +50,7 @@
         return { kind: "assigned", attempt, prefill, decode, fence: 1, expectedReuse: 0 };
     }
 
-    override move(assignment: EngineHolding): Promise<string | undefined> {
+    override move(assignment: EngineAllocation): Promise<string | undefined> {
         this.reportedFull.push(assignment.decode);
         return Promise.resolve(this.replacementDecode);
     }
--- a/simulation/requests/rig.ts
+++ b/simulation/requests/rig.ts
@@ -9,14 +9,14 @@
     AttemptIds,
     Cancellations,
     EngineClients,
+    type GenerationRequest,
     LeavingBackends,
+    type RequestDependencies,
     RequestDriver,
     type RequestEnd,
-    type RequestParts,
     RequestScope,
     RetryBudget,
     RunRecords,
-    type Work,
 } from "../../packages/basilpaddle/src/node/coordination/request/index.js";
 import { quarantineRulesSchema } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import {
@@ -34,11 +34,11 @@
     readonly texts: string[] = [];
     finishes = 0;
 
-    override token(text: string): undefined {
+    override appendToken(text: string): undefined {
         this.texts.push(text);
     }
 
-    override kept(end: AnswerEnd) {
+    override toStoredAnswer(end: AnswerEnd) {
         return { status: 200, headers: {}, body: Buffer.from(`${this.texts.join("")} ${end.reason}`) };
     }
 
@@ -67,7 +67,7 @@
         readonly engines: readonly FakeEngine[],
         readonly control: FakeControl,
         readonly placement: FakePlacement,
-        readonly parts: RequestParts,
+        readonly parts: RequestDependencies,
     ) {}
 
     static create(extra: object = {}): Rig {
@@ -96,7 +96,7 @@
             engines: directory,
             cancellations: Cancellations.create({ ...shared, engines: directory, view: () => control.view() }),
             runRecords: RunRecords.create(shared),
-            marks: LeavingBackends.create(),
+            leavingBackends: LeavingBackends.create(),
             retryBudget: RetryBudget.create(),
             crashDetector: CrashDetector.create({
                 ...shared,
@@ -116,10 +116,10 @@
         return this.engines.find(engine => engine.announcement.id === id) as FakeEngine;
     }
 
-    drive(extra: Partial<Work>): Promise<RequestEnd> {
+    drive(extra: Partial<GenerationRequest>): Promise<RequestEnd> {
         this.answer = new RecordingAnswer();
         const now = this.parts.clock.monotonic();
-        const work: Work = {
+        const generationRequest: GenerationRequest = {
             requestId: "r",
             pool: "drafting",
             organisation: "o",
@@ -135,7 +135,7 @@
             run: undefined,
             ...extra,
         };
-        return RequestDriver.drive(this.parts, work, this.answer, this.scope);
+        return RequestDriver.drive(this.parts, generationRequest, this.answer, this.scope);
     }
 
     /** All stages that the engines ran, as `stage attempt`. */
@@ -164,7 +164,7 @@
 
     /** Waits until every cancel is confirmed and every run record is decided. */
     async waitUntilSettled(): Promise<void> {
-        await until("cancels confirmed", () => this.parts.cancellations.outstanding === 0);
-        await until("records decided", () => this.parts.runRecords.undecided === 0);
+        await until("cancels confirmed", () => this.parts.cancellations.pendingCount === 0);
+        await until("records decided", () => this.parts.runRecords.pendingCount === 0);
     }
 }
--- a/simulation/scheduling/runs.ts
+++ b/simulation/scheduling/runs.ts
@@ -129,17 +129,17 @@
                         bench.step({ kind: "sessions", open: action.open ? [owner] : [] });
                         break;
                 }
-                const { held, waiting } = bench.scheduler.status();
+                const { held, queuedCount } = bench.scheduler.status();
                 // Beyond the slots, one more reservation is allowed for each answer that is expected to end in time.
                 expect(Math.max(0, ...held.values())).to.be.at.most(2 * slots);
-                expect(waiting).to.be.at.most(requestedAttempts.size);
+                expect(queuedCount).to.be.at.most(requestedAttempts.size);
             }
             for (const attempt of requestedAttempts) {
                 bench.step({ kind: "withdraw", attempt });
             }
             const finalStatus = bench.scheduler.status();
             expect([...finalStatus.held.values()].every(count => count === 0)).to.equal(true);
-            expect(finalStatus.waiting).to.equal(0);
+            expect(finalStatus.queuedCount).to.equal(0);
             tally.addRun(actions.length);
         },
     );
