--- a/packages/basilpaddle/src/node/coordination/request/attemptContext.ts
+++ b/packages/basilpaddle/src/node/coordination/request/attemptContext.ts
@@ -1,10 +1,10 @@
 import type { Refusal, RefusalCode } from "../../protocol/index.js";
 import type { Answer, EndReason } from "./answer.js";
+import type { GenerationRequest } from "./generationRequest.js";
 import type { Lifecycle } from "./lifecycle.js";
 import type { OutcomeTracker } from "./outcomeTracker.js";
-import type { RequestDependencies } from "./parts.js";
+import type { RequestDependencies } from "./requestDependencies.js";
 import type { RequestScope } from "./scope.js";
-import type { GenerationRequest } from "./work.js";
 
 /** How an attempt ended. */
 export type AttemptEnd =
--- a/packages/basilpaddle/src/node/coordination/request/driver.ts
+++ b/packages/basilpaddle/src/node/coordination/request/driver.ts
@@ -3,12 +3,12 @@
 import type { Answer, EndReason } from "./answer.js";
 import { Attempt } from "./attempt.js";
 import type { AttemptContext, AttemptEnd } from "./attemptContext.js";
+import type { GenerationRequest, RequestEnd } from "./generationRequest.js";
 import { Lifecycle } from "./lifecycle.js";
 import { OutcomeTracker } from "./outcomeTracker.js";
-import type { RequestDependencies } from "./parts.js";
+import type { RequestDependencies } from "./requestDependencies.js";
 import type { Run } from "./run.js";
 import { type RequestScope, type StopReason, untilAborted } from "./scope.js";
-import type { GenerationRequest, RequestEnd } from "./work.js";
 
 const maxAttempts = 3;
 const retryAfterFailureMilliseconds = 1_000;
--- a/packages/basilpaddle/src/node/coordination/request/viewWaits.ts
+++ b/packages/basilpaddle/src/node/coordination/request/viewWaits.ts
@@ -1,4 +1,4 @@
-import type { RequestDependencies } from "./parts.js";
+import type { RequestDependencies } from "./requestDependencies.js";
 import { pause } from "./scope.js";
 
 /** Maximum wait for engines that are in the scheduler's view but not yet in this daemon's view. */
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/localScheduler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/localScheduler.spec.ts
@@ -54,7 +54,7 @@
         const cancelled = { attempt: "a", stage: "cancelled" as const, tokens: 0 };
         const decisions = scheduler.step({ kind: "progress", progress: cancelled }, 2);
         expect(decisions.map(decision => [decision.kind, decision.attempt])).to.deep.equal([["assigned", "c"]]);
-        expect(scheduler.status().held.get("d1")).to.equal(2);
+        expect(scheduler.status().allocatedSlots.get("d1")).to.equal(2);
     });
 
     // Without the limit, nearly every first token was late for seconds after the scheduler became unreachable.
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/poolScheduler.spec.ts
@@ -166,7 +166,7 @@
         for (const [sequence, active] of [["a"], [], [], []].entries()) {
             bench.step({ kind: "load", report: { id: "d1", incarnation: 1, sequence, active, queuedTokens: 0 } });
         }
-        expect(bench.scheduler.status().held.get("d1")).to.equal(0);
+        expect(bench.scheduler.status().allocatedSlots.get("d1")).to.equal(0);
     });
 
     // Guards against leaked slots, which make a pool slower from day to day.
@@ -199,7 +199,7 @@
         bench.stages(other, "finished");
         expect(bench.outcome("queued")).to.equal("waits");
         expect(bench.scheduler.move(allocationOf(moving, "d1"), bench.now)).to.equal("d2");
-        expect([...bench.scheduler.status().held]).to.deep.include.members([["d1", 0], ["d2", 1]]);
+        expect([...bench.scheduler.status().allocatedSlots]).to.deep.include.members([["d1", 0], ["d2", 1]]);
         expect(bench.scheduler.move(allocationOf(moving, "d1"), bench.now), "asked again").to.equal("d2");
         // The engine that rejected the attempt counts as full until three later reports have shown otherwise.
         bench.advance(100);
--- a/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/__tests__/scheduledPlacement.spec.ts
@@ -91,7 +91,7 @@
         }));
         await flushPromises();
         expect([outcome("three"), outcome("four")]).to.deep.equal([11, 11]);
-        expect(daemons.placement("a").status().get("drafts")!.held.get("d2")).to.equal(2);
+        expect(daemons.placement("a").status().get("drafts")!.allocatedSlots.get("d2")).to.equal(2);
     });
 
     // Guards against a third request assigned to two slots after another daemon became the scheduler.
@@ -145,7 +145,7 @@
         caller.abort();
         await daemons.clock.advance(500);
         expect(outcome("one")).to.equal("callerGone");
-        expect(daemons.placement("a").status().get("drafts")!.held.get("d1")).to.equal(0);
+        expect(daemons.placement("a").status().get("drafts")!.allocatedSlots.get("d1")).to.equal(0);
     });
 
     // Guards against a queue full of requests of a dead daemon.
@@ -160,7 +160,7 @@
         expect(poolStatus().queuedCount).to.equal(0);
         daemons.closeSession("b");
         await flushPromises();
-        expect(poolStatus().held.get("d1")).to.equal(0);
+        expect(poolStatus().allocatedSlots.get("d1")).to.equal(0);
     });
 
     // Guards against engines decoding the answer of a killed daemon to its last token.
@@ -231,11 +231,11 @@
             const moved = daemons.placement("b").move(allocationOf("b", "one", "prefilled"));
             await daemons.clock.advance(300);
             expect(await moved).to.equal("d2");
-            const { held } = daemons.placement("a").status().get("drafts")!;
-            expect([...held]).to.deep.equal([["p1", 0], ["d1", 0], ["d2", 1]]);
+            const { allocatedSlots } = daemons.placement("a").status().get("drafts")!;
+            expect([...allocatedSlots]).to.deep.equal([["p1", 0], ["d1", 0], ["d2", 1]]);
             end("b", "one");
             await daemons.clock.advance(100);
-            expect(daemons.placement("a").status().get("drafts")!.held.get("d2")).to.equal(0);
+            expect(daemons.placement("a").status().get("drafts")!.allocatedSlots.get("d2")).to.equal(0);
         });
     }
 
--- a/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/localScheduler.ts
@@ -79,7 +79,7 @@
     }
 
     override status(): ReturnType<Scheduler["status"]> {
-        return { held: this.trackedPool.allocatedSlotsByEngine(), queuedCount: this.waiting.size };
+        return { allocatedSlots: this.trackedPool.allocatedSlotsByEngine(), queuedCount: this.waiting.size };
     }
 
     private applyEvent(event: SchedulerEvent, now: number): SchedulingDecision[] {
--- a/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/poolScheduler.ts
@@ -128,7 +128,7 @@
     }
 
     override status(): ReturnType<Scheduler["status"]> {
-        return { held: this.pool.allocatedSlotsByEngine(), queuedCount: this.queue.size };
+        return { allocatedSlots: this.pool.allocatedSlotsByEngine(), queuedCount: this.queue.size };
     }
 
     private applyEvent(event: SchedulerEvent, now: number): SchedulingDecision[] {
--- a/packages/basilpaddle/src/node/coordination/scheduling/scheduler.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/scheduler.ts
@@ -65,5 +65,5 @@
     abstract nextTickAt(): number | undefined;
 
     /** Number of allocated slots by engine identifier, and number of queued requests. */
-    abstract status(): { readonly held: ReadonlyMap<string, number>; readonly queuedCount: number; };
+    abstract status(): { readonly allocatedSlots: ReadonlyMap<string, number>; readonly queuedCount: number; };
 }
--- a/packages/basilpaddle/src/node/coordination/scheduling/tuning.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/tuning.ts
@@ -13,7 +13,7 @@
     readonly mostLag: number;
 };
 
-/** Default parameters, from measured runs. */
+/** Default parameters. */
 export const defaultTuning: SchedulerTuning = Object.freeze({
     lead: 20,
     affinity: 1,
--- a/packages/basilpaddle/src/node/daemon/start/entryMetrics.ts
+++ b/packages/basilpaddle/src/node/daemon/start/entryMetrics.ts
@@ -25,8 +25,11 @@
             const schedulerStatus = placement.status().get(pool);
             metrics.gauge("basilpaddle_scheduler", schedulerStatus === undefined ? 0 : 1, { pool });
             metrics.gauge("basilpaddle_queue", schedulerStatus?.queuedCount ?? 0, { pool });
-            const allocatedSlots = [...schedulerStatus?.held.values() ?? []].reduce((sum, slots) => sum + slots, 0);
-            metrics.gauge("basilpaddle_slots_held", allocatedSlots, { pool });
+            const allocatedSlotCount = [...schedulerStatus?.allocatedSlots.values() ?? []].reduce(
+                (sum, slots) => sum + slots,
+                0,
+            );
+            metrics.gauge("basilpaddle_slots_held", allocatedSlotCount, { pool });
         }
         metrics.gauge("process_resident_memory_bytes", process.memoryUsage.rss());
     });
--- a/packages/basilpaddle/src/node/state/log/logFile.ts
+++ b/packages/basilpaddle/src/node/state/log/logFile.ts
@@ -84,11 +84,11 @@
     }
 
     /**
-     * Replaces the whole content with the given records once earlier calls are done. `before` is awaited first, to write
-     * what has to be on disk before the replacement.
+     * Replaces the whole content with the given records once earlier calls are done. `beforeReplace` is awaited first,
+     * to write what has to be on disk before the replacement.
      */
-    rewrite(records: readonly Uint8Array[], before: () => Promise<void> = async () => {}): Promise<void> {
-        return this.enqueue(settle => ({ ...settle, kind: "replace", records, beforeReplace: before }));
+    rewrite(records: readonly Uint8Array[], beforeReplace: () => Promise<void> = async () => {}): Promise<void> {
+        return this.enqueue(deferred => ({ ...deferred, kind: "replace", records, beforeReplace }));
     }
 
     /** Number of syncs made by `append` so far. */
--- a/simulation/requests/runs.ts
+++ b/simulation/requests/runs.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
-import type { RequestEnd } from "../../packages/basilpaddle/src/node/coordination/request/work.js";
+import type { RequestEnd } from "../../packages/basilpaddle/src/node/coordination/request/generationRequest.js";
 import type { Outcome } from "../../packages/basilpaddle/src/node/protocol/index.js";
 import { Tally } from "../subject.js";
 import type { Fault, Stage } from "./fakes.js";
--- a/simulation/scheduling/runs.ts
+++ b/simulation/scheduling/runs.ts
@@ -129,16 +129,16 @@
                         bench.step({ kind: "sessions", open: action.open ? [owner] : [] });
                         break;
                 }
-                const { held, queuedCount } = bench.scheduler.status();
+                const { allocatedSlots, queuedCount } = bench.scheduler.status();
                 // Beyond the slots, one more reservation is allowed for each answer that is expected to end in time.
-                expect(Math.max(0, ...held.values())).to.be.at.most(2 * slots);
+                expect(Math.max(0, ...allocatedSlots.values())).to.be.at.most(2 * slots);
                 expect(queuedCount).to.be.at.most(requestedAttempts.size);
             }
             for (const attempt of requestedAttempts) {
                 bench.step({ kind: "withdraw", attempt });
             }
             const finalStatus = bench.scheduler.status();
-            expect([...finalStatus.held.values()].every(count => count === 0)).to.equal(true);
+            expect([...finalStatus.allocatedSlots.values()].every(count => count === 0)).to.equal(true);
             expect(finalStatus.queuedCount).to.equal(0);
             tally.addRun(actions.length);
         },
