--- a/packages/basilpaddle/src/node/cli/commands/drain.ts
+++ b/packages/basilpaddle/src/node/cli/commands/drain.ts
@@ -1,7 +1,7 @@
 import type { ExitCode } from "../exitCode.js";
 import { type OperatorArguments, showAnswer, withClient } from "../operatorCommand.js";
 
-/** Drains a backend server. */
+/** Marks the current incarnation of a backend server as `leaving`, as if it had sent a leave message. */
 export function run(
     args: OperatorArguments & { readonly name: string; readonly operator: string; },
 ): Promise<ExitCode> {
--- a/packages/basilpaddle/src/node/cli/operatorClient.ts
+++ b/packages/basilpaddle/src/node/cli/operatorClient.ts
@@ -37,7 +37,7 @@
         return this.requestAnswer("POST", "/operator/v1/config", new URLSearchParams(), change);
     }
 
-    /** Drains a backend server. */
+    /** Marks the current incarnation of a backend server as `leaving`, as if it had sent a leave message. */
     drain(backend: string, operator: string): ClientAnswer {
         return this.requestAnswer("POST", "/operator/v1/drain", new URLSearchParams(), { backend, operator });
     }
--- a/packages/basilpaddle/src/node/coordination/gateway/directoryWatcher.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/directoryWatcher.ts
@@ -54,7 +54,7 @@
     readonly onAnnounced: (announced: ServerAnnouncement) => void;
     /** Retries that this gateway borrowed within the last window; a new leader counts them as lent. @default none */
     readonly borrowed?: () => WatchRequest["borrowed"];
-    /** Called with records of requests during which backend servers crashed. */
+    /** Called with records of requests that backend servers were running when they crashed. */
     readonly onCrashes: (records: readonly CrashRecord[]) => void;
     /** The records to send to a directory after its restart. */
     readonly knownCrashes: () => readonly CrashRecord[];
@@ -157,7 +157,10 @@
         return reached.filter(directory => listedMembers.has(directory.name)).length * 2 > listedMembers.size;
     }
 
-    /** Reports requests during which backend servers crashed to every directory, not only the leader: any may fail next. */
+    /**
+     * Reports requests that backend servers were running when they crashed. Every directory receives them, not only the
+     * leader: any may fail next.
+     */
     report(records: readonly CrashRecord[]): void {
         if (this.unreportedCrashes.length === 0) {
             this.options.clock.after(reportDelayMilliseconds, () => this.sendCrashReports());
--- a/packages/basilpaddle/src/node/coordination/gateway/placementForecast.ts
+++ b/packages/basilpaddle/src/node/coordination/gateway/placementForecast.ts
@@ -52,7 +52,10 @@
         }
     }
 
-    /** Expected milliseconds until the given number of allocated tokens has been freed, in a pool of the given capacity. */
+    /**
+     * Expected milliseconds until `tokens` more than are free now have been freed, in a pool or engine of the given capacity.
+     * 0 if `tokens` isn't positive, infinite if the capacity is 0.
+     */
     expectedWait(tokens: number, capacity: number): number {
         return capacity === 0 ? Number.POSITIVE_INFINITY : Math.max(0, tokens) * this.meanAllocationTime / capacity;
     }
--- a/packages/basilpaddle/src/node/coordination/orders/__tests__/orderService.spec.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/__tests__/orderService.spec.ts
@@ -67,7 +67,7 @@
     });
 
     it("waits until the previous holder's lease and its orders in transit have expired", async () => {
-        // Guards against contradicting orders at an engine that doesn't check fencing numbers. The previous holder is
+        // Guards against contradicting orders at an engine that doesn't check fencing tokens. The previous holder is
         // partitioned, considers its lease valid for one more view lease, and sends an order at the end of it; a new
         // holder must not start as soon as the lease is granted.
         await clock.advance(takeoverDelay - 1);
--- a/packages/basilpaddle/src/node/coordination/orders/orderService.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderService.ts
@@ -80,7 +80,7 @@
 
     /**
      * Starts a term after a delay. The previous holder may consider its lease valid for one more view lease, and an order that
-     * it sends at the end of that time may take effect up to one order timeout later. Engines that don't check fencing numbers
+     * it sends at the end of that time may take effect up to one order timeout later. Engines that don't check fencing tokens
      * would execute the orders of both daemons, so not even their state is read before the delay has passed.
      */
     private beginTerm(fence: number): void {
--- a/packages/basilpaddle/src/node/coordination/orders/orderTerm.ts
+++ b/packages/basilpaddle/src/node/coordination/orders/orderTerm.ts
@@ -23,7 +23,7 @@
     readonly clock: Clock;
     readonly logger: Logger;
     readonly limits: OrderLimits;
-    /** Whether this daemon may send orders with this term's fencing number now, according to the monotonic clock. */
+    /** Whether this daemon may send orders with this term's fencing token now, according to the monotonic clock. */
     readonly mayOrder: () => boolean;
 };
 
@@ -32,7 +32,7 @@
 /** Number of attempts to record the outcome of an order in the audit trail; after that it is only logged. */
 const maxAuditAttempts = 5;
 
-/** The period in which a daemon holds the orders lease with one fencing number, after the initial delay. */
+/** The period in which a daemon holds the orders lease with one fencing token, after the initial delay. */
 export class OrderTerm {
     private state: ReconcilerState = emptyReconcilerState();
     private readonly reconciler: Reconciler;
--- a/packages/basilpaddle/src/node/coordination/scheduling/admission.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/admission.ts
@@ -104,8 +104,9 @@
         const currentLoad = forecast.currentLoad(modelEngines, now);
         const unqueuedDelay = forecast.firstTokenDelay(request, modelEngines, currentLoad, emptyQueueAhead, times);
         const queueDelay = forecast.firstTokenDelay(request, modelEngines, currentLoad, ahead, times) - unqueuedDelay;
-        // Requests of organisations within their share are served before an earlier request of an organisation over its
-        // share. Without this the earlier request is admitted, overtaken, and refused only after it has waited.
+        // Later requests of organisations within their share overtake a request of an organisation over its share. So its
+        // forecast queue delay is lengthened by the lag, as a fraction of its target for the first token and at most doubled.
+        // Without this it would be admitted, overtaken, and refused only after it has waited.
         const lag = isGoodputWeighted ? shares.lag(request.organisation) : 0;
         const overtakingFraction = Math.min(1, lag / Math.max(1, request.firstTokenWithin));
         return unqueuedDelay + queueDelay * (1 + overtakingFraction);
--- a/packages/basilpaddle/src/node/coordination/scheduling/trackedEngine.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedEngine.ts
@@ -25,7 +25,7 @@
     state: EngineEntry["state"];
     report: LoadReport | undefined;
     reportedAt = -Infinity;
-    /** Attempts to which this scheduler assigned a slot there. */
+    /** Attempts with a slot there: assigned by this scheduler, or restored from an earlier scheduler or a local placement. */
     readonly assignedAttempts = new Set<string>();
     /** Number of attempts in the last report that this scheduler doesn't know. */
     foreignAttempts = 0;
--- a/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
+++ b/packages/basilpaddle/src/node/coordination/scheduling/trackedPool.ts
@@ -168,7 +168,10 @@
         }
     }
 
-    /** Number of slots that this scheduler has allocated, by engine identifier. */
+    /**
+     * Number of allocated slots by engine identifier, including the restored allocations of earlier schedulers and of local
+     * placements.
+     */
     allocatedSlotsByEngine(): ReadonlyMap<string, number> {
         return new Map([...this.engines.values()].map(engine => [engine.id, engine.assignedAttempts.size]));
     }
--- a/packages/basilpaddle/src/node/coordination/view/viewClient.ts
+++ b/packages/basilpaddle/src/node/coordination/view/viewClient.ts
@@ -24,7 +24,7 @@
     readonly clock: Clock;
     readonly randomness: Randomness;
     readonly logger: Logger;
-    /** This daemon's records of requests that crashed backend servers. @default none */
+    /** This daemon's records of requests that backend servers were running when they crashed. @default none */
     readonly quarantined?: QuarantinedRequests | undefined;
 };
 
@@ -125,7 +125,10 @@
         this.poller.recordRenewal(id, incarnation);
     }
 
-    /** Sends the records of requests that crashed backend servers to the control daemons, with an early poll. */
+    /**
+     * Sends the records of requests that backend servers were running when they crashed to the control daemons, with an
+     * early poll.
+     */
     reportCrashes(digests: readonly string[]): void {
         digests.forEach(digest => this.crashes?.markChanged(digest));
         this.poller.pollSoon();
--- a/packages/basilpaddle/src/node/coordination/view/viewPoller.ts
+++ b/packages/basilpaddle/src/node/coordination/view/viewPoller.ts
@@ -218,7 +218,8 @@
     readonly logger: Logger;
     readonly lease: ViewLease;
     /**
-     * Exchanges records of requests that crashed backend servers, as part of the polls. @default no records are exchanged
+     * Exchanges records of requests that backend servers were running when they crashed, as part of the polls.
+     * @default no records are exchanged
      */
     readonly crashes?: CrashExchange | undefined;
     /** Log index and configuration revision that this daemon has applied. */
--- a/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/directoryDaemon.ts
@@ -44,7 +44,7 @@
     private readonly configurationCalls: ConfigurationCalls;
     private readonly connections: BackendConnections;
     private readonly watchService: WatchService;
-    /** Requests during which backend servers crashed. */
+    /** Requests that backend servers were running when they crashed. */
     readonly quarantinedRequests: QuarantinedRequests;
     private readonly name: string;
     private outlierDetector = OutlierDetector.create();
--- a/packages/basilpaddle/src/node/daemon/directory/placementService.ts
+++ b/packages/basilpaddle/src/node/daemon/directory/placementService.ts
@@ -18,8 +18,8 @@
 
 /**
  * How long a placement request waits for its decision before it is answered with `waiting`; the gateway then sends it again.
- * This answer lets gateways distinguish a leader with a long queue from an unresponsive one. Until it arrives or times out,
- * all requests of a gateway wait.
+ * This answer lets gateways distinguish a leader with a long queue from an unresponsive one. Each request waits for its own
+ * answer until one request of the gateway has timed out; from then on the gateway only probes the leader until it answers.
  */
 const replyTimeoutMilliseconds = 100;
 /** Interval at which queued placement requests are reviewed. */
--- a/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/gateway/gatewayDaemon.ts
@@ -52,7 +52,7 @@
     private readonly tally = CallTally.create();
     private readonly retries: RetryAllowance;
     private readonly connections: BackendConnections;
-    /** Requests during which backend servers crashed. */
+    /** Requests that backend servers were running when they crashed. */
     readonly quarantinedRequests: QuarantinedRequests;
     private readonly crashDetector: CrashDetector;
     private readonly watcher: DirectoryWatcher;
--- a/packages/basilpaddle/src/node/daemon/operators/__tests__/operatorServer.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/__tests__/operatorServer.spec.ts
@@ -160,8 +160,9 @@
     });
 
     it("reads from a control daemon that doesn't lead only while none leads", async () => {
-        // Guards against `config show` with an outdated configuration: an entry daemon first asked a control daemon that was
-        // partitioned from the others, and used its answer although it didn't lead.
+        // Guards against a `config show` that returns an old configuration after a newer one was accepted: an entry daemon
+        // asked a control daemon that was partitioned from the others, and took this first answer without checking that its
+        // sender led.
         const outdatedHistory: OperatorAnswer = { kind: "history", entries: [] };
         const entry = { revision: 1, index: 3, at: 0, changeId: "c1", operator: "ana", note: "", files: [] };
         const currentHistory: OperatorAnswer = { kind: "history", entries: [entry] };
--- a/packages/basilpaddle/src/node/daemon/operators/operatorWire.ts
+++ b/packages/basilpaddle/src/node/daemon/operators/operatorWire.ts
@@ -27,7 +27,10 @@
         topic: z.enum(auditTopics).optional(),
     }),
     z.object({ kind: z.literal("apply"), change: changeSchema }),
-    /** Drains a backend server: it gets no new work, as if it had sent a leave message. */
+    /**
+     * Marks the current incarnation of a backend server as `leaving`, as if it had sent a leave message: it gets no new work.
+     * This isn't the state `draining`, which only the holder of the orders lease sets.
+     */
     z.object({ kind: z.literal("drain"), backend: z.string().min(1).max(200), operator: z.string().min(1).max(200) }),
 ]);
 
--- a/packages/basilpaddle/src/node/daemon/start/__tests__/entryStart.spec.ts
+++ b/packages/basilpaddle/src/node/daemon/start/__tests__/entryStart.spec.ts
@@ -91,8 +91,9 @@
         return (await answer.text()).includes("shuttingDown");
     }
 
-    // Guards against a scheduler that cancels the streams of a daemon during its graceful shutdown. The session was closed
-    // before the drain, and an attempt that an engine lists without an open session counts as abandoned.
+    // Guards against a scheduler that cancels the streams of a daemon during its graceful shutdown. A daemon shut down while a
+    // request was in progress, and its session was closed before the drain. An attempt that an engine lists without an open
+    // session counts as abandoned, so it was cancelled.
     it("keeps its session until no request is in progress, and then closes it", async () => {
         const slowRequest = http.request({
             host,
--- a/packages/basilpaddle/src/node/daemon/start/runningDaemon.ts
+++ b/packages/basilpaddle/src/node/daemon/start/runningDaemon.ts
@@ -1,6 +1,6 @@
 /** Outcome of a shutdown. */
 export type ShutdownReport = {
-    /** Identifiers of the requests that were aborted. */
+    /** Identifiers of the aborted requests. A gateway knows only their number, and lists one placeholder for each. */
     readonly abortedRequests: readonly string[];
 };
 
@@ -11,7 +11,8 @@
 
     /**
      * Accepts no new work, waits for requests in progress, releases its leases, transfers its leadership, and stops. A second call
-     * aborts requests in progress; both calls then resolve with the requests that were aborted.
+     * aborts the requests in progress of an entry daemon. A gateway's shutdown isn't affected by it, and aborts what is left after
+     * the shutdown time. All calls resolve with the requests that were aborted.
      */
     abstract stop(): Promise<ShutdownReport>;
 }
--- a/packages/basilpaddle/src/node/protocol/crash.ts
+++ b/packages/basilpaddle/src/node/protocol/crash.ts
@@ -9,7 +9,8 @@
 /** When a request is quarantined because backend servers crashed while running it. The same for all daemons of a deployment. */
 export const quarantineRulesSchema = z.object({
     /**
-     * Crashes after which a request is quarantined. One may have an unrelated cause, and a second may be a coincidence.
+     * Threshold for crashes of phase `whole`. One may have an unrelated cause, and a second may be a coincidence. A request is
+     * quarantined once its crashes of all phases, each counted as a fraction of its phase's threshold, add up to 1.
      */
     crashes: z.int().min(1).default(3),
     /**
@@ -18,11 +19,14 @@
      */
     earlyCrashes: z.int().min(1).default(2),
     /**
-     * Threshold for crashes after the first part of the answer. Higher, since an unrelated crash affects every run on the
-     * engine for as long as it lasts.
+     * Threshold for crashes after the first part of the answer. Higher, since every run on an engine is exposed to unrelated
+     * crashes for as long as the run lasts.
      */
     lateCrashes: z.int().min(1).default(5),
-    /** Duration of the first quarantine in milliseconds; each further crash quadruples it, up to a day. */
+    /**
+     * Duration of the first quarantine in milliseconds. It quadruples, up to a day, for each further crash of phase `whole`.
+     * Other crashes count in proportion to their thresholds, and the sum is rounded to a whole number.
+     */
     firstHold: z.number().positive().default(600_000),
 });
 
--- a/packages/basilpaddle/src/node/protocol/declaration.ts
+++ b/packages/basilpaddle/src/node/protocol/declaration.ts
@@ -16,7 +16,10 @@
     })).min(1),
     /** Desired number of engines in each role. */
     copies: z.strictObject({ prefill: z.int().min(0), decode: z.int().min(0) }),
-    /** Minimum number of engines in each role; no order reduces the pool below it. @default 1 of each */
+    /**
+     * Minimum number of engines in each role that are ready and have all declared models warm, in the versions that new attempts
+     * run; no order reduces the pool below it. @default 1 of each
+     */
     floor: z.strictObject({ prefill: z.int().min(0).default(1), decode: z.int().min(0).default(1) }).prefault({}),
     targets: z.strictObject({
         /** Target time to the first token in milliseconds. @default 1500 */
--- a/packages/basilpaddle/src/node/protocol/gatewaySettings.ts
+++ b/packages/basilpaddle/src/node/protocol/gatewaySettings.ts
@@ -64,7 +64,10 @@
     tolerated: z.int().min(0).max(4),
     /** Heartbeat interval of backend servers. */
     heartbeat: milliseconds,
-    /** Time without contact to the daemon that may send orders after which another one may send orders. */
+    /**
+     * How long a new leader waits before its first order, plus a margin for clock differences: the previous leader may still
+     * believe that it may send orders. The first leader of a first start doesn't wait.
+     */
     orderLease: milliseconds,
     /** The same as in gateways' settings. The leader lends a part of the slack to gateways. @default nothing is lent */
     repeats: retryBudgetSchema.optional(),
--- a/packages/basilpaddle/src/node/state/view/backends.ts
+++ b/packages/basilpaddle/src/node/state/view/backends.ts
@@ -9,7 +9,7 @@
 /** Maximum number of `gone` backend servers kept, so that late commands about earlier incarnations are rejected. */
 export const goneBackendLimit = 1_000;
 
-/** Adds or updates a backend server. After a server announced that it is leaving, only a higher incarnation is accepted. */
+/** Adds or updates a backend server. After this incarnation was marked as leaving, only a higher one is accepted. */
 export function announceBackend(view: View, index: number, command: AnnounceBackend): Reduction {
     const { announcement } = command;
     const current = view.backends[announcement.id];
--- a/simulation/places/__tests__/daySimulation.spec.ts
+++ b/simulation/places/__tests__/daySimulation.spec.ts
@@ -43,8 +43,8 @@
     });
 
     // Guards against head-of-line blocking. At twice the capacity of a pool, room is freed in small pieces, and a large
-    // request at the head of the queue fits nowhere. When all engines were reserved for it instead of one, whole engines
-    // were empty while requests waited.
+    // request at the head of the queue fits nowhere. When all engines were reserved for it instead of one, all others had
+    // to wait after a while until it fitted, and whole engines were empty while requests waited.
     it("reserve one engine for a request that doesn't fit, and grant others at the remaining engines", () => {
         expect(mean(simulateSeeds("large-strained"), outcome => outcome.inTime)).to.be.above(0.847);
         expect(mean(simulateSeeds("celeste-grown"), outcome => outcome.inTime)).to.be.above(0.901);
--- a/simulation/places/cost.ts
+++ b/simulation/places/cost.ts
@@ -1,4 +1,4 @@
-// Measures the time spent in the placement code, by load and pool size.
+// Measures the wall-clock time spent in the placement code, by load and pool size.
 import { PlacementQueue } from "../../packages/basilpaddle/src/node/coordination/index.js";
 import { bundledDay } from "./day.js";
 import { simulateDay } from "./daySimulation.js";
@@ -23,7 +23,7 @@
     };
 }
 
-console.log("engines  times the load  requests/s  ms of processor a second  µs a request");
+console.log("engines  times the load  requests/s  ms a second  µs a request");
 for (const poolSizeFactor of [1, 2, 4, 8]) {
     for (const loadFactor of [1, 2, 3]) {
         const day = bundledDay("celeste-grown");
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -18,7 +18,8 @@
     .strict()
     .parse();
 
-// Exits explicitly on a signal, so that the exit handlers terminate the daemon processes that were started.
+// A run that is stopped by a signal must not leave daemon processes behind. An explicit exit runs the exit handlers, which
+// kill them.
 for (const signal of ["SIGINT", "SIGTERM"] as const) {
     process.once(signal, () => process.exit(1));
 }
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -1,6 +1,9 @@
 import { SeededRandomness } from "../packages/basilpaddle/src/node/utils/index.js";
 
-/** Kinds of faults injected into processes, connections, disks and backend servers, and of planned operations. */
+/**
+ * Kinds of faults injected into processes, connections, disks and backend servers, and of planned operations.
+ * `deadlyRequests` sends poison requests.
+ */
 export const faultKinds = [
     "killGateway",
     "pauseGateway",
